--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -17,7 +17,7 @@
 from daisyhub.lots._run_types import (
     CancelRun,
     Engine,
-    EnginesSeen,
+    EnginesListed,
     EventArrived,
     FinishItem,
     Item,
@@ -105,7 +105,7 @@
         """Runs that are open."""
         return len(self._runs)
 
-    def runs_at(self, endpoint_id: str) -> int:
+    def open_run_count(self, endpoint_id: str) -> int:
         """Returns the number of open runs at an engine."""
         engine = self._engines.get(endpoint_id)
         return len(engine.runs) if engine else 0
@@ -134,7 +134,7 @@
         match event:
             case EventArrived():
                 return self._on_event(event, now_s)
-            case EnginesSeen():
+            case EnginesListed():
                 self._on_engines(event)
             case LotOpened():
                 self._on_opened(event)
@@ -194,7 +194,7 @@
             self._drop_run(run)
         return [CancelRun(run, "the lot was ended") for run in runs]
 
-    def _on_engines(self, event: EnginesSeen) -> None:
+    def _on_engines(self, event: EnginesListed) -> None:
         """Takes the engines over; runs at those left out go on."""
         seen = {engine.endpoint_id: engine for engine in event.engines}
         for endpoint_id in [e for e in self._engines if e not in seen]:
@@ -222,7 +222,7 @@
         engine = self._engines.get(run.endpoint_id)
         if engine is not None:
             engine.failures = 0
-            engine.resting_until_s = min(engine.resting_until_s, now_s)
+            engine.backoff_until_s = min(engine.backoff_until_s, now_s)
             if run.events:
                 self._learn_pace(engine, now_s - run.heard_at_s)
         run.texts.append(event.data)
@@ -413,7 +413,7 @@
             for engine in self._engines.values()
             if engine.seen.pool == lot.opened.pool
             and not engine.seen.is_loading
-            and now_s >= engine.resting_until_s
+            and now_s >= engine.backoff_until_s
             and len(engine.runs) < engine.seen.slots
             and engine.seen.versions.get(head.model, 0) >= head.oldest_version
         ]
@@ -504,4 +504,4 @@
 
 def _rest(engine: Engine | None, now_s: float, rest_s: float) -> None:
     if engine is not None:
-        engine.resting_until_s = max(engine.resting_until_s, now_s + rest_s)
+        engine.backoff_until_s = max(engine.backoff_until_s, now_s + rest_s)
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -36,7 +36,7 @@
 from daisyhub.lots._run_types import (
     CancelRun,
     EngineSeen,
-    EnginesSeen,
+    EnginesListed,
     FinishItem,
     LotClosed,
     LotOpened,
@@ -54,7 +54,7 @@
     ObjectStoreError,
 )
 
-__all__ = ["HolderTools", "LotHolder"]
+__all__ = ["LotHolderDependencies", "LotHolder"]
 
 # Seconds between looks at silent runs and free slots; a few events' time.
 _TICK_S = 0.1
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HolderTools:
+class LotHolderDependencies:
     """What a holder works with.
 
     Attributes:
@@ -95,7 +95,7 @@
         runner: Runs items at engines.
         rewards: Makes reward calls.
         is_loading: Whether an engine is loading weights.
-        is_alone: Whether daemons that were heard before are silent now.
+        has_lost_peers: Whether daemons that were heard before are silent now.
         clock: The true time.
         metrics: Counts runs.
         log: Where decisions are noted.
@@ -109,7 +109,7 @@
     runner: ItemRunner
     rewards: RewardCaller
     is_loading: Callable[[str], bool]
-    is_alone: Callable[[], bool]
+    has_lost_peers: Callable[[], bool]
     clock: TrueClock
     metrics: Metrics
     log: DecisionLog
@@ -153,7 +153,7 @@
 
     name = "lot_holder"
 
-    def __init__(self, duty: DutyController, tools: HolderTools):
+    def __init__(self, duty: DutyController, tools: LotHolderDependencies):
         super().__init__(duty)
         self._tools = tools
         self._core = DispatchCore()
@@ -174,9 +174,9 @@
         """Items that run."""
         return self._core.running_items
 
-    def runs_at(self, endpoint_id: str) -> int:
+    def open_run_count(self, endpoint_id: str) -> int:
         """Returns the number of runs open at an engine."""
-        return self._core.runs_at(endpoint_id)
+        return self._core.open_run_count(endpoint_id)
 
     def demand(self) -> dict[str, float]:
         """Returns the tokens asked for by the last lot of each model."""
@@ -217,7 +217,7 @@
             self._held.clear()
             self._scopes.clear()
 
-    async def keep_texts(self) -> None:
+    async def save_unfinished_texts(self) -> None:
         """Keeps the text of unfinished items in the store."""
         with anyio.move_on_after(_KEEPING_S):
             async with anyio.create_task_group() as tasks:
@@ -245,7 +245,7 @@
         """Keeps texts now and then, for the case that this daemon dies."""
         while True:
             await anyio.sleep(_KEEP_S)
-            await self.keep_texts()
+            await self.save_unfinished_texts()
 
     def _tick(self) -> None:
         tools = self._tools
@@ -260,7 +260,7 @@
             for endpoint in tools.directory.all()
             if endpoint.entry.versions and not endpoint.entry.is_leaving
         )
-        self._handle(EnginesSeen(engines))
+        self._handle(EnginesListed(engines))
         for held in list(self._held.values()):
             self._list(held, ListingTick())
 
@@ -495,7 +495,7 @@
 
     async def _look_up_end(self, held: _Held) -> bool:
         """Reads what another holder may have listed; False if it can't."""
-        is_own = not held.is_inherited and not self._tools.is_alone()
+        is_own = not held.is_inherited and not self._tools.has_lost_peers()
         if is_own or held.listing.is_whole:
             return True
         now_s = time.monotonic()
@@ -516,14 +516,14 @@
         held = self._held.get(lot_id)
         return held.head if held and self._duty.fencing else None
 
-    async def answer_head(self, asked: LotHeadAsked) -> LotAnswer:
+    async def handle_head_request(self, asked: LotHeadAsked) -> LotAnswer:
         """Answers a peer whose caller asks for a lot unknown there."""
         head = self.head(asked.lot_id)
         if head is None:
             return LotAnswer(is_held=False)
         return LotAnswer(is_held=True, content=msgspec.json.encode(head))
 
-    async def answer_results(self, asked: LotResultsAsked) -> LotAnswer:
+    async def handle_results_request(self, asked: LotResultsAsked) -> LotAnswer:
         """Answers a peer that reads results for its caller."""
         found = await self.results(asked.lot_id, asked.after, asked.wait_s)
         if found is None:
@@ -532,7 +532,7 @@
             return LotAnswer(is_held=False, is_ended=is_ended)
         return LotAnswer(is_held=True, content=msgspec.json.encode(found))
 
-    async def answer_body(self, asked: LotBodyAsked) -> LotAnswer:
+    async def handle_body_request(self, asked: LotBodyAsked) -> LotAnswer:
         """Answers a peer that reads an item's body for its caller."""
         held = self._held.get(asked.lot_id)
         if held is None or held.spec is None or not self._duty.fencing:
