--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -44,8 +44,8 @@
     WriteLedger,
 )
 from daisyhub.accounting._share_core import (
-    AskHeard,
     GrantHeard,
+    LoanRequested,
     SendAsk,
     SendGrant,
     ShareCore,
@@ -53,7 +53,7 @@
 )
 
 __all__ = [
-    "AskHeard",
+    "LoanRequested",
     "CallFailed",
     "EmptyStore",
     "EpochMark",
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -16,7 +16,7 @@
 from daisyhub.base import Core
 
 __all__ = [
-    "AskHeard",
+    "LoanRequested",
     "GrantHeard",
     "SendAsk",
     "SendGrant",
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskHeard:
+class LoanRequested:
     """A peer asks for quanta; `stamp_s` and `incarnation` are its own."""
 
     peer: str
@@ -132,7 +132,7 @@
         self._incarnations: dict[str, int] = {}
         self._lent: dict[str, dict[str, list[_Loan]]] = {}
         self._borrowed: dict[str, dict[str, _Loan]] = {}
-        self._asks: dict[str, AskHeard] = {}
+        self._asks: dict[str, LoanRequested] = {}
         self._next_ask_s = started_s
 
     @property
@@ -153,7 +153,7 @@
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
-            case AskHeard():
+            case LoanRequested():
                 self._note_incarnation(event.peer, event.incarnation)
                 self._asks[event.peer] = event
                 return []
@@ -206,7 +206,9 @@
         kept = max(_FLOOR_QUANTA, int(wanted * _HEADROOM))
         return max(0, BASE_QUANTA - kept)
 
-    def _grant(self, ask: AskHeard, asked, spare, now_s: float) -> SendGrant:
+    def _grant(
+        self, ask: LoanRequested, asked, spare, now_s: float
+    ) -> SendGrant:
         """Lends a part of the spare quanta in proportion to the asks."""
         grants = []
         for account, wanted in ask.wants:
@@ -218,7 +220,7 @@
             self._note_lent(account, ask, quanta, now_s)
         return SendGrant(ask.peer, ask.incarnation, ask.stamp_s, tuple(grants))
 
-    def _note_lent(self, account, ask: AskHeard, quanta, now_s) -> None:
+    def _note_lent(self, account, ask: LoanRequested, quanta, now_s) -> None:
         """Notes a loan beside earlier ones, which may still be used."""
         if not quanta:
             return
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -16,8 +16,8 @@
 )
 
 from daisyhub.accounting import (
-    AskHeard,
     GrantHeard,
+    LoanRequested,
     SendAsk,
     ShareCore,
     ShareTick,
@@ -67,7 +67,7 @@
     def hear(self, sender, incarnation, action):
         stamp = (action.incarnation, action.stamp_s)
         if isinstance(action, SendAsk):
-            event = AskHeard(sender, *stamp, action.wants)
+            event = LoanRequested(sender, *stamp, action.wants)
         else:
             event = GrantHeard(sender, incarnation, *stamp, action.grants)
         self.cores[action.peer].handle(event, self.now_s)
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -5,8 +5,8 @@
 import anyio
 
 from daisyhub.accounting import (
-    AskHeard,
     GrantHeard,
+    LoanRequested,
     PeerUsage,
     RateShares,
     SendAsk,
@@ -261,9 +261,9 @@
 
 def _share_event(
     envelope: Envelope, message: RateAsk | RateGrant
-) -> AskHeard | GrantHeard:
+) -> LoanRequested | GrantHeard:
     if isinstance(message, RateAsk):
-        return AskHeard(
+        return LoanRequested(
             envelope.sender,
             message.incarnation,
             message.stamp_s,
