--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -44,7 +44,7 @@
     WriteLedger,
 )
 from daisyhub.accounting._share_core import (
-    GrantHeard,
+    LoanGranted,
     LoanRequested,
     SendAsk,
     SendGrant,
@@ -59,7 +59,7 @@
     "EpochMark",
     "FlushCore",
     "FlushTick",
-    "GrantHeard",
+    "LoanGranted",
     "Ledger",
     "LedgerRead",
     "LedgerRefused",
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -17,7 +17,7 @@
 
 __all__ = [
     "LoanRequested",
-    "GrantHeard",
+    "LoanGranted",
     "SendAsk",
     "SendGrant",
     "ShareCore",
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantHeard:
+class LoanGranted:
     """A peer lends quanta in answer to the ask of `stamp_s`.
 
     Attributes:
@@ -157,7 +157,7 @@
                 self._note_incarnation(event.peer, event.incarnation)
                 self._asks[event.peer] = event
                 return []
-            case GrantHeard():
+            case LoanGranted():
                 self._on_grant(event)
                 return []
         raise TypeError(f"not a share event: {event!r}")
@@ -228,7 +228,7 @@
         loans = self._lent.setdefault(account, {}).setdefault(ask.peer, [])
         loans.append(_Loan(quanta, ask.stamp_s, until_s))
 
-    def _on_grant(self, event: GrantHeard) -> None:
+    def _on_grant(self, event: LoanGranted) -> None:
         self._note_incarnation(event.peer, event.lender_incarnation)
         is_current = (
             event.incarnation == self._incarnation
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -16,7 +16,7 @@
 )
 
 from daisyhub.accounting import (
-    GrantHeard,
+    LoanGranted,
     LoanRequested,
     SendAsk,
     ShareCore,
@@ -69,7 +69,7 @@
         if isinstance(action, SendAsk):
             event = LoanRequested(sender, *stamp, action.wants)
         else:
-            event = GrantHeard(sender, incarnation, *stamp, action.grants)
+            event = LoanGranted(sender, incarnation, *stamp, action.grants)
         self.cores[action.peer].handle(event, self.now_s)
 
     @rule(
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -5,7 +5,7 @@
 import anyio
 
 from daisyhub.accounting import (
-    GrantHeard,
+    LoanGranted,
     LoanRequested,
     PeerUsage,
     RateShares,
@@ -261,7 +261,7 @@
 
 def _share_event(
     envelope: Envelope, message: RateAsk | RateGrant
-) -> LoanRequested | GrantHeard:
+) -> LoanRequested | LoanGranted:
     if isinstance(message, RateAsk):
         return LoanRequested(
             envelope.sender,
@@ -269,7 +269,7 @@
             message.stamp_s,
             message.wants,
         )
-    return GrantHeard(
+    return LoanGranted(
         envelope.sender,
         envelope.incarnation,
         message.incarnation,
