--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -46,8 +46,8 @@
 from daisyhub.accounting._share_core import (
     LoanGranted,
     LoanRequested,
-    SendAsk,
     SendGrant,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
@@ -78,7 +78,7 @@
     "SealCore",
     "SealTick",
     "SealedWindow",
-    "SendAsk",
+    "SendLoanRequest",
     "SendGrant",
     "SendReport",
     "ShareCore",
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -5,8 +5,8 @@
 from daisyhub.accounting._share_core import (
     LoanGranted,
     LoanRequested,
-    SendAsk,
     SendGrant,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
@@ -47,7 +47,7 @@
 
     def tick(
         self, live: tuple[str, ...], now_s: float
-    ) -> list[SendAsk | SendGrant]:
+    ) -> list[SendLoanRequest | SendGrant]:
         """Returns what to send to peers."""
         self._measure(now_s)
         wanted = {account: self._wanted(account) for account in self._rates}
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -18,7 +18,7 @@
 __all__ = [
     "LoanRequested",
     "LoanGranted",
-    "SendAsk",
+    "SendLoanRequest",
     "SendGrant",
     "ShareCore",
     "ShareTick",
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendAsk:
+class SendLoanRequest:
     """Action: ask a peer."""
 
     peer: str
@@ -149,7 +149,7 @@
         return self.quanta(account, now_s) / self.total
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendAsk` and `SendGrant` actions."""
+        """Takes one event; returns `SendLoanRequest` and `SendGrant` actions."""
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
@@ -173,7 +173,9 @@
         if not self._is_held_back(now_s):
             self._next_ask_s = now_s + self._term_s / _ASKS_PER_TERM
         for peer in event.live:
-            actions.append(SendAsk(peer, self._incarnation, now_s, wants))
+            actions.append(
+                SendLoanRequest(peer, self._incarnation, now_s, wants)
+            )
         return actions
 
     def _missing(self, event: ShareTick, now_s: float) -> Wants:
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -18,7 +18,7 @@
 from daisyhub.accounting import (
     LoanGranted,
     LoanRequested,
-    SendAsk,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
@@ -66,7 +66,7 @@
 
     def hear(self, sender, incarnation, action):
         stamp = (action.incarnation, action.stamp_s)
-        if isinstance(action, SendAsk):
+        if isinstance(action, SendLoanRequest):
             event = LoanRequested(sender, *stamp, action.wants)
         else:
             event = LoanGranted(sender, incarnation, *stamp, action.grants)
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -9,8 +9,8 @@
     LoanRequested,
     PeerUsage,
     RateShares,
-    SendAsk,
     SendGrant,
+    SendLoanRequest,
     UsageCounters,
 )
 from daisyhub.balancing import EndpointNews, EndpointTable
@@ -245,14 +245,14 @@
 
 
 def _rate_messages(
-    daemon_id: str, actions: list[SendAsk | SendGrant]
+    daemon_id: str, actions: list[SendLoanRequest | SendGrant]
 ) -> list[RateAsk | RateGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
             continue
         fields = {"incarnation": action.incarnation, "stamp_s": action.stamp_s}
-        if isinstance(action, SendAsk):
+        if isinstance(action, SendLoanRequest):
             messages.append(RateAsk(wants=action.wants, **fields))
         else:
             messages.append(RateGrant(grants=action.grants, **fields))
