--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -46,7 +46,7 @@
 from daisyhub.accounting._share_core import (
     LoanGranted,
     LoanRequested,
-    SendGrant,
+    SendLoanGrant,
     SendLoanRequest,
     ShareCore,
     ShareTick,
@@ -79,7 +79,7 @@
     "SealTick",
     "SealedWindow",
     "SendLoanRequest",
-    "SendGrant",
+    "SendLoanGrant",
     "SendReport",
     "ShareCore",
     "ShareTick",
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -5,7 +5,7 @@
 from daisyhub.accounting._share_core import (
     LoanGranted,
     LoanRequested,
-    SendGrant,
+    SendLoanGrant,
     SendLoanRequest,
     ShareCore,
     ShareTick,
@@ -47,7 +47,7 @@
 
     def tick(
         self, live: tuple[str, ...], now_s: float
-    ) -> list[SendLoanRequest | SendGrant]:
+    ) -> list[SendLoanRequest | SendLoanGrant]:
         """Returns what to send to peers."""
         self._measure(now_s)
         wanted = {account: self._wanted(account) for account in self._rates}
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -19,7 +19,7 @@
     "LoanRequested",
     "LoanGranted",
     "SendLoanRequest",
-    "SendGrant",
+    "SendLoanGrant",
     "ShareCore",
     "ShareTick",
     "Wants",
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendGrant:
+class SendLoanGrant:
     """Action: answer a peer's ask; `incarnation` is that of the ask."""
 
     peer: str
@@ -149,7 +149,7 @@
         return self.quanta(account, now_s) / self.total
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendLoanRequest` and `SendGrant` actions."""
+        """Takes one event; returns `SendLoanRequest` and `SendLoanGrant` actions."""
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
@@ -210,7 +210,7 @@
 
     def _grant(
         self, ask: LoanRequested, asked, spare, now_s: float
-    ) -> SendGrant:
+    ) -> SendLoanGrant:
         """Lends a part of the spare quanta in proportion to the asks."""
         grants = []
         for account, wanted in ask.wants:
@@ -220,7 +220,9 @@
             quanta = max(0, min(wanted, part, room))
             grants.append((account, quanta))
             self._note_lent(account, ask, quanta, now_s)
-        return SendGrant(ask.peer, ask.incarnation, ask.stamp_s, tuple(grants))
+        return SendLoanGrant(
+            ask.peer, ask.incarnation, ask.stamp_s, tuple(grants)
+        )
 
     def _note_lent(self, account, ask: LoanRequested, quanta, now_s) -> None:
         """Notes a loan beside earlier ones, which may still be used."""
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -9,7 +9,7 @@
     LoanRequested,
     PeerUsage,
     RateShares,
-    SendGrant,
+    SendLoanGrant,
     SendLoanRequest,
     UsageCounters,
 )
@@ -245,7 +245,7 @@
 
 
 def _rate_messages(
-    daemon_id: str, actions: list[SendLoanRequest | SendGrant]
+    daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
 ) -> list[RateAsk | RateGrant]:
     messages = []
     for action in actions:
