--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -38,7 +38,7 @@
         self._limits[account] = limit_per_s
         return self._core.share(account, now_s)
 
-    def seen_shares(self, now_s: float) -> dict[str, float]:
+    def active_shares(self, now_s: float) -> dict[str, float]:
         """Returns the shares of accounts that were seen lately."""
         return {
             account: self._core.share(account, now_s)
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -92,7 +92,7 @@
         """Tells which peers are live and the versions last heard."""
         return {
             "live": self.live_peers(),
-            "rate_shares": self._shares.seen_shares(boot_time_s()),
+            "rate_shares": self._shares.active_shares(boot_time_s()),
             "versions": dict(sorted(self._versions.items())),
         }
 
