--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -53,7 +53,7 @@
         wanted = {account: self._wanted(account) for account in self._rates}
         return self._core.handle(ShareTick(wanted, live), now_s)
 
-    def hear(self, event: LoanRequested | LoanGranted, now_s: float) -> None:
+    def handle(self, event: LoanRequested | LoanGranted, now_s: float) -> None:
         """Takes a peer's ask or grant."""
         self._core.handle(event, now_s)
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -140,7 +140,7 @@
                 self._counters.hold(envelope.sender, message.parts)
             case RateAsk() | RateGrant():
                 event = _share_event(envelope, message)
-                self._shares.hear(event, boot_time_s())
+                self._shares.handle(event, boot_time_s())
             case UsageHeld():
                 self._counters.on_held(
                     envelope.sender,
