--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -17,7 +17,7 @@
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     SampleReady,
     Span,
     StateRead,
@@ -80,7 +80,7 @@
     pulls = GROUPS // GROUPS_A_PULL
     for number in range(pulls):
         pull_id = f"step-1042-{number}"
-        asked = PullAsked(
+        asked = PullRequested(
             call=number,
             pull_id=pull_id,
             version=1,
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -18,7 +18,7 @@
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
     RefuseCall,
     SampleFailed,
@@ -203,7 +203,7 @@
         self._calls += 1
         acks = (f"pull-{self._pulls - 1}",) if self._pulls > 1 else ()
         self.feed(
-            PullAsked(
+            PullRequested(
                 call=self._calls,
                 pull_id=f"pull-{self._pulls}",
                 version=self.version,
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -30,7 +30,7 @@
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
     SampleReady,
     Span,
@@ -112,7 +112,7 @@
 
     def _ask(self, acks: tuple[str, ...]) -> list[object]:
         self._pulls += 1
-        event = PullAsked(
+        event = PullRequested(
             call=self._pulls,
             pull_id=f"pull-{self._pulls:08d}",
             version=1,
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -42,8 +42,8 @@
     OpenBody,
     ProgressAnswer,
     PullAnswer,
-    PullAsked,
     PullBody,
+    PullRequested,
     ReadState,
     RefuseCall,
     RefusedBecause,
@@ -320,7 +320,7 @@
             return AckAsked(call=number, pull_id=body.pull_id, until_s=until_s)
         case "pull":
             body = decode_body(call.body, PullBody)
-            return PullAsked(
+            return PullRequested(
                 call=number,
                 pull_id=body.pull_id,
                 version=body.version,
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -22,7 +22,7 @@
     LotReleased,
     LotTick,
     OpenAsked,
-    PullAsked,
+    PullRequested,
     ReadState,
     RefuseCall,
     RefusedBecause,
@@ -50,7 +50,7 @@
 _STORE_PAUSE_S = 0.2
 _IDLE_S = 900.0
 
-LotCall = PullAsked | OpenAsked | AckAsked | CloseAsked
+LotCall = PullRequested | OpenAsked | AckAsked | CloseAsked
 
 
 class LotCore(Core):
@@ -126,7 +126,7 @@
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
                 self._slots.fail(event.attempt, now_s)
-            case PullAsked() | OpenAsked() | AckAsked() | CloseAsked():
+            case PullRequested() | OpenAsked() | AckAsked() | CloseAsked():
                 self._on_call(event, now_s)
             case StateRead():
                 actions += self._on_read(event)
@@ -177,7 +177,7 @@
         self._touched_s = now_s
         self._calls[call.call] = call
         match call:
-            case PullAsked():
+            case PullRequested():
                 self._acks.update(call.acks)
             case OpenAsked():
                 self._read_first(call)
@@ -307,7 +307,7 @@
         match call:
             case OpenAsked():
                 return [self._tell(call)]
-            case PullAsked():
+            case PullRequested():
                 return self._serve_pull(call, now_s)
             case AckAsked():
                 return self._serve_ack(call)
@@ -319,7 +319,7 @@
             return [self._refuse(call, RefusedBecause.UNKNOWN_PULL)]
         return [self._tell(call)] if record.is_acked else []
 
-    def _serve_pull(self, call: PullAsked, now_s: float) -> list[object]:
+    def _serve_pull(self, call: PullRequested, now_s: float) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
         if record is None:
             return []
@@ -336,7 +336,9 @@
             return []
         return [self._hand_over(call, record.groups)]
 
-    def _hand_over(self, call: PullAsked, groups: tuple[int, ...]) -> HandOver:
+    def _hand_over(
+        self, call: PullRequested, groups: tuple[int, ...]
+    ) -> HandOver:
         self._drop_call(call)
         return HandOver(
             call.call,
@@ -347,7 +349,7 @@
 
     def _end_wait(self, call: LotCall) -> object:
         """Ends a call whose time is over with a true answer."""
-        is_pull = isinstance(call, PullAsked)
+        is_pull = isinstance(call, PullRequested)
         if not is_pull or self._state is None or self._write is not None:
             return self._refuse(call, RefusedBecause.PLATFORM)
         return self._hand_over(call, ())
@@ -394,11 +396,11 @@
         )
         return WriteState(write_id, state, self._version)
 
-    def _unstored_pulls(self) -> list[PullAsked]:
+    def _unstored_pulls(self) -> list[PullRequested]:
         return [
             call
             for call in self._calls.values()
-            if isinstance(call, PullAsked)
+            if isinstance(call, PullRequested)
             and call.pull_id not in self._state.pulls
         ]
 
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -16,7 +16,7 @@
     "LotReleased",
     "LotTick",
     "OpenAsked",
-    "PullAsked",
+    "PullRequested",
     "ReadState",
     "RefuseCall",
     "RefusedBecause",
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class PullAsked:
+class PullRequested:
     """The trainer asks for groups.
 
     Attributes:
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -27,7 +27,7 @@
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
     RefuseCall,
     RefusedBecause,
@@ -142,7 +142,7 @@
         a fault, and its write to the store meets a fault.
         """
         self.calls += 1
-        call = PullAsked(
+        call = PullRequested(
             call=self.calls,
             pull_id=f"{rank}-{self.pulls[rank]}",
             version=self.trainer,
