--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -38,8 +38,8 @@
     LotSpec,
     LotState,
     LotTick,
-    OpenAsked,
     OpenBody,
+    OpenRequested,
     ProgressAnswer,
     PullAnswer,
     PullBody,
@@ -312,7 +312,7 @@
     until_s = time.monotonic() + _CALL_WAIT_S
     match call.verb:
         case "open":
-            return OpenAsked(call=number, until_s=until_s)
+            return OpenRequested(call=number, until_s=until_s)
         case "close":
             return CloseAsked(call=number, until_s=until_s)
         case "ack":
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -21,7 +21,7 @@
     HandOver,
     LotReleased,
     LotTick,
-    OpenAsked,
+    OpenRequested,
     PullRequested,
     ReadState,
     RefuseCall,
@@ -50,7 +50,7 @@
 _STORE_PAUSE_S = 0.2
 _IDLE_S = 900.0
 
-LotCall = PullRequested | OpenAsked | AckAsked | CloseAsked
+LotCall = PullRequested | OpenRequested | AckAsked | CloseAsked
 
 
 class LotCore(Core):
@@ -126,7 +126,7 @@
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
                 self._slots.fail(event.attempt, now_s)
-            case PullRequested() | OpenAsked() | AckAsked() | CloseAsked():
+            case PullRequested() | OpenRequested() | AckAsked() | CloseAsked():
                 self._on_call(event, now_s)
             case StateRead():
                 actions += self._on_read(event)
@@ -179,7 +179,7 @@
         match call:
             case PullRequested():
                 self._acks.update(call.acks)
-            case OpenAsked():
+            case OpenRequested():
                 self._read_first(call)
             case AckAsked():
                 self._acks.add(call.pull_id)
@@ -305,7 +305,7 @@
         if call.call in self._unread:
             return []
         match call:
-            case OpenAsked():
+            case OpenRequested():
                 return [self._tell(call)]
             case PullRequested():
                 return self._serve_pull(call, now_s)
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -15,7 +15,7 @@
     "HandOver",
     "LotReleased",
     "LotTick",
-    "OpenAsked",
+    "OpenRequested",
     "PullRequested",
     "ReadState",
     "RefuseCall",
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class OpenAsked:
+class OpenRequested:
     """The trainer opens the lot, again or for the first time."""
 
     call: int
