--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -25,8 +25,8 @@
 from daisyhub.metrics import Metrics
 from daisyhub.peers import LotAnswer, LotCall
 from daisyhub.rollouts import (
-    AckAsked,
     AckBody,
+    AckRequested,
     CancelSample,
     CloseAsked,
     CountUsage,
@@ -317,7 +317,9 @@
             return CloseAsked(call=number, until_s=until_s)
         case "ack":
             body = decode_body(call.body, AckBody)
-            return AckAsked(call=number, pull_id=body.pull_id, until_s=until_s)
+            return AckRequested(
+                call=number, pull_id=body.pull_id, until_s=until_s
+            )
         case "pull":
             body = decode_body(call.body, PullBody)
             return PullRequested(
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -2,7 +2,7 @@
 
 from daisyhub.rollouts._lot_core import LotCore
 from daisyhub.rollouts._lot_events import (
-    AckAsked,
+    AckRequested,
     CancelSample,
     CloseAsked,
     CountUsage,
@@ -66,7 +66,7 @@
     "VersionPublished",
     "WeightCore",
     "WeightTick",
-    "AckAsked",
+    "AckRequested",
     "CancelSample",
     "CloseAsked",
     "CountUsage",
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -14,7 +14,7 @@
 from daisyhub.base import Core
 from daisyhub.rollouts._group_choice import choose_groups, usage_of
 from daisyhub.rollouts._lot_events import (
-    AckAsked,
+    AckRequested,
     CloseAsked,
     CountUsage,
     GiveUp,
@@ -50,7 +50,7 @@
 _STORE_PAUSE_S = 0.2
 _IDLE_S = 900.0
 
-LotCall = PullRequested | OpenRequested | AckAsked | CloseAsked
+LotCall = PullRequested | OpenRequested | AckRequested | CloseAsked
 
 
 class LotCore(Core):
@@ -126,7 +126,12 @@
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
                 self._slots.fail(event.attempt, now_s)
-            case PullRequested() | OpenRequested() | AckAsked() | CloseAsked():
+            case (
+                PullRequested()
+                | OpenRequested()
+                | AckRequested()
+                | CloseAsked()
+            ):
                 self._on_call(event, now_s)
             case StateRead():
                 actions += self._on_read(event)
@@ -181,7 +186,7 @@
                 self._acks.update(call.acks)
             case OpenRequested():
                 self._read_first(call)
-            case AckAsked():
+            case AckRequested():
                 self._acks.add(call.pull_id)
                 if self._state and call.pull_id not in self._state.pulls:
                     self._read_first(call)
@@ -273,7 +278,7 @@
     def _on_closed(self) -> list[object]:
         actions = []
         for call in list(self._calls.values()):
-            if isinstance(call, CloseAsked | AckAsked):
+            if isinstance(call, CloseAsked | AckRequested):
                 actions.append(self._tell(call))
         self._is_released = True
         return actions + self._refuse_all(RefusedBecause.CLOSED)
@@ -309,11 +314,11 @@
                 return [self._tell(call)]
             case PullRequested():
                 return self._serve_pull(call, now_s)
-            case AckAsked():
+            case AckRequested():
                 return self._serve_ack(call)
         return []
 
-    def _serve_ack(self, call: AckAsked) -> list[object]:
+    def _serve_ack(self, call: AckRequested) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
         if record is None:
             return [self._refuse(call, RefusedBecause.UNKNOWN_PULL)]
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -6,7 +6,7 @@
 from daisyhub.rollouts._lot_types import EngineAnswer, Group, LotState
 
 __all__ = [
-    "AckAsked",
+    "AckRequested",
     "CancelSample",
     "CloseAsked",
     "CountUsage",
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class AckAsked:
+class AckRequested:
     """The trainer has taken the samples of a pull."""
 
     call: int
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -16,7 +16,7 @@
 )
 
 from daisyhub.rollouts import (
-    AckAsked,
+    AckRequested,
     CancelSample,
     CountUsage,
     EngineAnswer,
@@ -174,7 +174,9 @@
             self.calls += 1
             pull_id = done[pick % len(done)]
             until_s = self.now_s + WAIT_S
-            event = AckAsked(call=self.calls, pull_id=pull_id, until_s=until_s)
+            event = AckRequested(
+                call=self.calls, pull_id=pull_id, until_s=until_s
+            )
             self.feed(holder, event)
 
     @rule(who=st.sampled_from(["trainer", "engines", "both"]))
