--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -28,7 +28,7 @@
     AckBody,
     AckRequested,
     CancelSample,
-    CloseAsked,
+    CloseRequested,
     CountUsage,
     Generate,
     GiveUp,
@@ -314,7 +314,7 @@
         case "open":
             return OpenRequested(call=number, until_s=until_s)
         case "close":
-            return CloseAsked(call=number, until_s=until_s)
+            return CloseRequested(call=number, until_s=until_s)
         case "ack":
             body = decode_body(call.body, AckBody)
             return AckRequested(
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -4,7 +4,7 @@
 from daisyhub.rollouts._lot_events import (
     AckRequested,
     CancelSample,
-    CloseAsked,
+    CloseRequested,
     CountUsage,
     Generate,
     GiveUp,
@@ -68,7 +68,7 @@
     "WeightTick",
     "AckRequested",
     "CancelSample",
-    "CloseAsked",
+    "CloseRequested",
     "CountUsage",
     "Generate",
     "GiveUp",
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -15,7 +15,7 @@
 from daisyhub.rollouts._group_choice import choose_groups, usage_of
 from daisyhub.rollouts._lot_events import (
     AckRequested,
-    CloseAsked,
+    CloseRequested,
     CountUsage,
     GiveUp,
     HandOver,
@@ -50,7 +50,7 @@
 _STORE_PAUSE_S = 0.2
 _IDLE_S = 900.0
 
-LotCall = PullRequested | OpenRequested | AckRequested | CloseAsked
+LotCall = PullRequested | OpenRequested | AckRequested | CloseRequested
 
 
 class LotCore(Core):
@@ -130,7 +130,7 @@
                 PullRequested()
                 | OpenRequested()
                 | AckRequested()
-                | CloseAsked()
+                | CloseRequested()
             ):
                 self._on_call(event, now_s)
             case StateRead():
@@ -190,7 +190,7 @@
                 self._acks.add(call.pull_id)
                 if self._state and call.pull_id not in self._state.pulls:
                     self._read_first(call)
-            case CloseAsked():
+            case CloseRequested():
                 self._wants_close = True
 
     def _read_first(self, call: LotCall) -> None:
@@ -278,7 +278,7 @@
     def _on_closed(self) -> list[object]:
         actions = []
         for call in list(self._calls.values()):
-            if isinstance(call, CloseAsked | AckRequested):
+            if isinstance(call, CloseRequested | AckRequested):
                 actions.append(self._tell(call))
         self._is_released = True
         return actions + self._refuse_all(RefusedBecause.CLOSED)
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -8,7 +8,7 @@
 __all__ = [
     "AckRequested",
     "CancelSample",
-    "CloseAsked",
+    "CloseRequested",
     "CountUsage",
     "Generate",
     "GiveUp",
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CloseAsked:
+class CloseRequested:
     """The trainer closes the lot."""
 
     call: int
