--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -10,9 +10,9 @@
 import msgspec
 
 from daisyhub.rollouts import (
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
@@ -94,7 +94,7 @@
         body = msgspec.json.encode(msgspec.to_builtins(write.state))
         end_s = time.process_time()
         done = WriteDone(write.write_id, write.expected_version + 1)
-        given = _only(core.handle(done, 1.0), HandOver)
+        given = _only(core.handle(done, 1.0), DeliverGroups)
         last_s = time.process_time()
         samples = msgspec.json.encode(given.groups)
         sums["hand_over_us"] += (time.process_time() - last_s) * _US
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -11,9 +11,9 @@
 from daisyhub.hosting import EndpointRecord
 from daisyhub.rollouts import (
     CancelSample,
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
@@ -228,7 +228,7 @@
                     self._stored += 1
                     done = WriteDone(action.write_id, self._stored)
                     clock.after(_STORE_S, functools.partial(self.feed, done))
-                case HandOver():
+                case DeliverGroups():
                     self._take(action)
                 case RefuseCall():
                     clock.after(_PAUSE_S, self.ask)
@@ -298,7 +298,7 @@
         if attempt.slot >= 0 and now_s < attempt.ends_s:
             attempt.engine.free(attempt)
 
-    def _take(self, action: HandOver) -> None:
+    def _take(self, action: DeliverGroups) -> None:
         clock = self.run.clock
         for group in action.groups:
             for sample in group.samples:
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -23,9 +23,9 @@
     rank_candidates,
 )
 from daisyhub.rollouts import (
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
@@ -106,7 +106,7 @@
                     waiting += self.feed(ready)
                 case WriteState():
                     waiting += self._commit(action)
-                case HandOver() if action.remaining:
+                case DeliverGroups() if action.remaining:
                     waiting += self._ask((action.pull_id,))
         return self
 
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -30,9 +30,9 @@
     CancelSample,
     CloseRequested,
     CountUsage,
+    DeliverGroups,
     Generate,
     GiveUp,
-    HandOver,
     LotCore,
     LotReleased,
     LotSpec,
@@ -245,14 +245,16 @@
                     self._tasks.start_soon(self._call_store, action)
                 case CountUsage():
                     self._count(action)
-                case HandOver() | TellProgress() | RefuseCall():
+                case DeliverGroups() | TellProgress() | RefuseCall():
                     self._answer(action)
                 case GiveUp():
                     log.info("lot {} is given up", self.spec.lot_id)
                     self._is_over = True
                     self._wakeup.set()
 
-    def _answer(self, action: HandOver | TellProgress | RefuseCall) -> None:
+    def _answer(
+        self, action: DeliverGroups | TellProgress | RefuseCall
+    ) -> None:
         waiter = self._waiters.get(action.call)
         if waiter is not None:
             waiter.answer = action
@@ -336,7 +338,7 @@
 def _answer_of(action: object) -> LotAnswer:
     """Returns the trainer's answer; raises `Refusal` if it is one."""
     match action:
-        case HandOver():
+        case DeliverGroups():
             return _json_answer(
                 PullAnswer(
                     pull_id=action.pull_id,
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -17,8 +17,8 @@
     AckRequested,
     CloseRequested,
     CountUsage,
+    DeliverGroups,
     GiveUp,
-    HandOver,
     LotReleased,
     LotTick,
     OpenRequested,
@@ -343,9 +343,9 @@
 
     def _hand_over(
         self, call: PullRequested, groups: tuple[int, ...]
-    ) -> HandOver:
+    ) -> DeliverGroups:
         self._drop_call(call)
-        return HandOver(
+        return DeliverGroups(
             call.call,
             call.pull_id,
             tuple(self._slots.group(group) for group in groups),
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -12,7 +12,7 @@
     "CountUsage",
     "Generate",
     "GiveUp",
-    "HandOver",
+    "DeliverGroups",
     "LotReleased",
     "LotTick",
     "OpenRequested",
@@ -187,7 +187,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandOver:
+class DeliverGroups:
     """Action: answer the pull; without groups nothing was ready."""
 
     call: int
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -19,9 +19,9 @@
     AckRequested,
     CancelSample,
     CountUsage,
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotReleased,
     LotSpec,
@@ -283,7 +283,7 @@
         }
         rest = []
         for action in self.out[holder]:
-            if isinstance(action, HandOver):
+            if isinstance(action, DeliverGroups):
                 self.take(action)
             elif isinstance(action, RefuseCall):
                 # Only pulls that were taken are acknowledged here.
