--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -17,7 +17,7 @@
     ClientKey,
     ConfigHead,
     Document,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
     PutInForce,
     Route,
@@ -130,7 +130,7 @@
         self.table: RouteTable | None = None
 
     def adopt(self, head: ConfigHead, contents: dict[str, str]) -> None:
-        self._core.handle(HeadHeard(head), 0.0)
+        self._core.handle(HeadReceived(head), 0.0)
         for action in self._core.handle(PartsFetched(contents), 0.0):
             if isinstance(action, PutInForce):
                 document = action.snapshot.document
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -19,7 +19,7 @@
     "FetchFailed",
     "FetchFromPeer",
     "FetchParts",
-    "HeadHeard",
+    "HeadReceived",
     "PartsFetched",
     "PeerFetched",
     "PeerHeard",
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadHeard:
+class HeadReceived:
     """Event: the platform told a head."""
 
     head: ConfigHead
@@ -166,7 +166,7 @@
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes one event; returns what to withdraw, use and fetch."""
         match event:
-            case HeadHeard():
+            case HeadReceived():
                 actions = self._on_head(event)
             case WithdrawnHeard():
                 actions = self._withdraw(event.key_ids)
@@ -187,7 +187,7 @@
     def _source(self, name: str) -> _Source:
         return self._sources.setdefault(name, _Source())
 
-    def _on_head(self, event: HeadHeard) -> list[object]:
+    def _on_head(self, event: HeadReceived) -> list[object]:
         if event.head.version <= self._platform_head.version:
             return []
         self._platform_head = event.head
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -23,7 +23,7 @@
     FetchFailed,
     FetchFromPeer,
     FetchParts,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
     PeerFetched,
     PeerHeard,
@@ -256,7 +256,7 @@
             daemon.news.handle(failed, self.now_s)
             return
         value = action.found.value
-        heard = HeadHeard(value) if action.listener else None
+        heard = HeadReceived(value) if action.listener else None
         daemon.feed(heard or WithdrawnHeard(value.key_ids), self.now_s)
         done = NewsDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -16,7 +16,7 @@
     FetchFailed,
     FetchFromPeer,
     FetchParts,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
     PeerFetched,
     PeerHeard,
@@ -128,7 +128,7 @@
 
     async def on_head(self, found: PlatformObject) -> None:
         """Takes a head from the platform's watch."""
-        self._feed(HeadHeard(msgspec.convert(found.value, ConfigHead)))
+        self._feed(HeadReceived(msgspec.convert(found.value, ConfigHead)))
 
     async def on_withdrawn(self, found: PlatformObject) -> None:
         """Takes the withdrawn keys from the platform's watch."""
