--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -49,9 +49,9 @@
     RefusedBecause,
     SampleFailed,
     SampleReady,
+    SendProgress,
     StateRead,
     StateReadFailed,
-    TellProgress,
     WriteDone,
     WriteInDoubt,
     WriteRefused,
@@ -245,7 +245,7 @@
                     self._tasks.start_soon(self._call_store, action)
                 case CountUsage():
                     self._count(action)
-                case DeliverGroups() | TellProgress() | RefuseCall():
+                case DeliverGroups() | SendProgress() | RefuseCall():
                     self._answer(action)
                 case GiveUp():
                     log.info("lot {} is given up", self.spec.lot_id)
@@ -253,7 +253,7 @@
                     self._wakeup.set()
 
     def _answer(
-        self, action: DeliverGroups | TellProgress | RefuseCall
+        self, action: DeliverGroups | SendProgress | RefuseCall
     ) -> None:
         waiter = self._waiters.get(action.call)
         if waiter is not None:
@@ -346,7 +346,7 @@
                     remaining=action.remaining,
                 )
             )
-        case TellProgress():
+        case SendProgress():
             return _json_answer(
                 ProgressAnswer(
                     remaining=action.remaining,
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -28,9 +28,9 @@
     RefusedBecause,
     SampleFailed,
     SampleReady,
+    SendProgress,
     StateRead,
     StateReadFailed,
-    TellProgress,
     WriteDone,
     WriteInDoubt,
     WriteRefused,
@@ -283,9 +283,9 @@
         self._is_released = True
         return actions + self._refuse_all(RefusedBecause.CLOSED)
 
-    def _tell(self, call: LotCall) -> TellProgress:
+    def _tell(self, call: LotCall) -> SendProgress:
         self._drop_call(call)
-        return TellProgress(
+        return SendProgress(
             call.call, self.remaining, self.open_pulls, self._state.is_closed
         )
 
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -24,7 +24,7 @@
     "SampleReady",
     "StateRead",
     "StateReadFailed",
-    "TellProgress",
+    "SendProgress",
     "WriteDone",
     "WriteInDoubt",
     "WriteRefused",
@@ -197,7 +197,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellProgress:
+class SendProgress:
     """Action: answer an open, ack or close."""
 
     call: int
