--- a/daisyhub/config/__init__.py
+++ b/daisyhub/config/__init__.py
@@ -14,7 +14,7 @@
     PeerHeard,
     PutInForce,
     WithdrawKeys,
-    WithdrawnHeard,
+    WithdrawnKeysReceived,
 )
 from daisyhub.config._document import (
     SECTION_NAMES,
@@ -78,7 +78,7 @@
     "Sections",
     "Snapshot",
     "WithdrawKeys",
-    "WithdrawnHeard",
+    "WithdrawnKeysReceived",
     "WithdrawnKey",
     "WithdrawnKeys",
     "build_snapshot",
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -25,7 +25,7 @@
     "PeerHeard",
     "PutInForce",
     "WithdrawKeys",
-    "WithdrawnHeard",
+    "WithdrawnKeysReceived",
     "withdrawn_digest",
 ]
 
@@ -50,7 +50,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WithdrawnHeard:
+class WithdrawnKeysReceived:
     """Event: the platform told withdrawn keys."""
 
     key_ids: tuple[str, ...]
@@ -168,7 +168,7 @@
         match event:
             case HeadReceived():
                 actions = self._on_head(event)
-            case WithdrawnHeard():
+            case WithdrawnKeysReceived():
                 actions = self._withdraw(event.key_ids)
             case PeerHeard():
                 actions = self._on_peer(event)
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -28,8 +28,8 @@
     PeerFetched,
     PeerHeard,
     PutInForce,
-    WithdrawnHeard,
     WithdrawnKeys,
+    WithdrawnKeysReceived,
     join_sections,
 )
 from daisyhub.config._acceptance_types import (
@@ -257,7 +257,7 @@
             return
         value = action.found.value
         heard = HeadReceived(value) if action.listener else None
-        daemon.feed(heard or WithdrawnHeard(value.key_ids), self.now_s)
+        daemon.feed(heard or WithdrawnKeysReceived(value.key_ids), self.now_s)
         done = NewsDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
 
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -23,8 +23,8 @@
     PutInForce,
     Snapshot,
     WithdrawKeys,
-    WithdrawnHeard,
     WithdrawnKeys,
+    WithdrawnKeysReceived,
     empty_document,
 )
 from daisyhub.exceptions import PlatformUnavailableError
@@ -133,7 +133,7 @@
     async def on_withdrawn(self, found: PlatformObject) -> None:
         """Takes the withdrawn keys from the platform's watch."""
         record = msgspec.convert(found.value, WithdrawnKeys)
-        self._feed(WithdrawnHeard(record.key_ids))
+        self._feed(WithdrawnKeysReceived(record.key_ids))
 
     def on_peer(self, heard: PeerHeard) -> None:
         """Takes what a peer's heartbeat tells."""
