--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -32,7 +32,6 @@
     CountUsage,
     DeliverGroups,
     Generate,
-    GiveUp,
     LotCore,
     LotReleased,
     LotSpec,
@@ -52,6 +51,7 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StopServing,
     WriteDone,
     WriteInDoubt,
     WriteRefused,
@@ -247,7 +247,7 @@
                     self._count(action)
                 case DeliverGroups() | SendProgress() | RefuseCall():
                     self._answer(action)
-                case GiveUp():
+                case StopServing():
                     log.info("lot {} is given up", self.spec.lot_id)
                     self._is_over = True
                     self._wakeup.set()
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -18,7 +18,6 @@
     CloseRequested,
     CountUsage,
     DeliverGroups,
-    GiveUp,
     LotReleased,
     LotTick,
     OpenRequested,
@@ -31,6 +30,7 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StopServing,
     WriteDone,
     WriteInDoubt,
     WriteRefused,
@@ -170,7 +170,7 @@
         if self._is_waiting or self._write is not None or self._unbilled:
             return actions + self._talk_to_store(now_s)
         self.is_over = True
-        return [*actions, GiveUp()]
+        return [*actions, StopServing()]
 
     def _refuse_all(self, reason: RefusedBecause) -> list[object]:
         refused = [RefuseCall(number, reason) for number in self._calls]
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -11,7 +11,7 @@
     "CloseRequested",
     "CountUsage",
     "Generate",
-    "GiveUp",
+    "StopServing",
     "DeliverGroups",
     "LotReleased",
     "LotTick",
@@ -223,5 +223,5 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveUp:
+class StopServing:
     """Action: stop serving the lot here; nothing is open any more."""
