--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -22,7 +22,7 @@
     "HeadReceived",
     "PartsFetched",
     "PeerFetched",
-    "PeerHeard",
+    "PeerSummaryReceived",
     "PutInForce",
     "WithdrawKeys",
     "WithdrawnKeysReceived",
@@ -57,7 +57,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerHeard:
+class PeerSummaryReceived:
     """Event: a peer told what it has."""
 
     daemon_id: str
@@ -170,7 +170,7 @@
                 actions = self._on_head(event)
             case WithdrawnKeysReceived():
                 actions = self._withdraw(event.key_ids)
-            case PeerHeard():
+            case PeerSummaryReceived():
                 actions = self._on_peer(event)
             case PartsFetched():
                 actions = self._on_parts(event, now_s)
@@ -196,7 +196,7 @@
         source.retry_at_s = 0.0
         return []
 
-    def _on_peer(self, event: PeerHeard) -> list[object]:
+    def _on_peer(self, event: PeerSummaryReceived) -> list[object]:
         source = self._source(event.daemon_id)
         source.version = event.version
         source.withdrawn_count = event.withdrawn_count
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -26,7 +26,7 @@
     HeadReceived,
     PartsFetched,
     PeerFetched,
-    PeerHeard,
+    PeerSummaryReceived,
     PutInForce,
     WithdrawnKeys,
     WithdrawnKeysReceived,
@@ -318,7 +318,7 @@
         if sender == to or (sender, to) in self.cut:
             return
         core = self.daemons[sender].core
-        heard = PeerHeard(
+        heard = PeerSummaryReceived(
             sender, core.version, len(core.withdrawn), core.withdrawn_digest
         )
         self.daemons[to].feed(heard, self.now_s)
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -19,7 +19,7 @@
     HeadReceived,
     PartsFetched,
     PeerFetched,
-    PeerHeard,
+    PeerSummaryReceived,
     PutInForce,
     Snapshot,
     WithdrawKeys,
@@ -135,7 +135,7 @@
         record = msgspec.convert(found.value, WithdrawnKeys)
         self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer(self, heard: PeerHeard) -> None:
+    def on_peer(self, heard: PeerSummaryReceived) -> None:
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -16,7 +16,7 @@
 from daisyhub.balancing import EndpointNews, EndpointTable
 from daisyhub.base import Controller
 from daisyhub.clocks import boot_time_s
-from daisyhub.config import PeerHeard
+from daisyhub.config import PeerSummaryReceived
 from daisyhub.controllers._config import ConfigController
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
@@ -182,7 +182,7 @@
         self._versions[sender] = beat.config_version
         self._feed(HeartbeatHeard(sender, beat))
         self._config.on_peer(
-            PeerHeard(
+            PeerSummaryReceived(
                 sender,
                 beat.config_version,
                 beat.withdrawn_keys,
