--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -44,8 +44,8 @@
     PullBody,
     PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     SampleFailed,
     SampleReady,
     SendProgress,
@@ -69,11 +69,11 @@
 _LEASE_STEP_S = 0.02
 _OK = 200
 _REASONS = {
-    RefusedBecause.RELEASED: ErrorCode.LOT_ELSEWHERE,
-    RefusedBecause.PLATFORM: ErrorCode.PLATFORM_UNAVAILABLE,
-    RefusedBecause.CLOSED: ErrorCode.LOT_CONFLICT,
-    RefusedBecause.ACKED: ErrorCode.LOT_CONFLICT,
-    RefusedBecause.UNKNOWN_PULL: ErrorCode.LOT_CONFLICT,
+    RefusalReason.RELEASED: ErrorCode.LOT_ELSEWHERE,
+    RefusalReason.PLATFORM: ErrorCode.PLATFORM_UNAVAILABLE,
+    RefusalReason.CLOSED: ErrorCode.LOT_CONFLICT,
+    RefusalReason.ACKED: ErrorCode.LOT_CONFLICT,
+    RefusalReason.UNKNOWN_PULL: ErrorCode.LOT_CONFLICT,
 }
 
 log = get_logger("lots")
@@ -354,7 +354,7 @@
                     closed=action.is_closed,
                 )
             )
-    reason = RefusedBecause.RELEASED
+    reason = RefusalReason.RELEASED
     if isinstance(action, RefuseCall):
         reason = action.reason
     error = _REASONS[reason]
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -23,8 +23,8 @@
     OpenRequested,
     PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     SampleFailed,
     SampleReady,
     SendProgress,
@@ -148,7 +148,7 @@
     def _go_on(self, now_s: float) -> list[object]:
         """Does what is possible now."""
         if self.is_over:
-            return self._refuse_all(RefusedBecause.RELEASED)
+            return self._refuse_all(RefusalReason.RELEASED)
         if self._is_idle(now_s) or self._is_released:
             return self._wind_up(now_s)
         actions = self._serve_calls(now_s)
@@ -165,14 +165,14 @@
     def _wind_up(self, now_s: float) -> list[object]:
         """Refuses calls at once; waits only for a write in flight."""
         self._is_released = True
-        actions = self._refuse_all(RefusedBecause.RELEASED)
+        actions = self._refuse_all(RefusalReason.RELEASED)
         actions += self._slots.forget(range(len(self.spec.prompts)))
         if self._is_waiting or self._write is not None or self._unbilled:
             return actions + self._talk_to_store(now_s)
         self.is_over = True
         return [*actions, StopServing()]
 
-    def _refuse_all(self, reason: RefusedBecause) -> list[object]:
+    def _refuse_all(self, reason: RefusalReason) -> list[object]:
         refused = [RefuseCall(number, reason) for number in self._calls]
         self._calls.clear()
         self._unread.clear()
@@ -281,7 +281,7 @@
             if isinstance(call, CloseRequested | AckRequested):
                 actions.append(self._tell(call))
         self._is_released = True
-        return actions + self._refuse_all(RefusedBecause.CLOSED)
+        return actions + self._refuse_all(RefusalReason.CLOSED)
 
     def _tell(self, call: LotCall) -> SendProgress:
         self._drop_call(call)
@@ -289,7 +289,7 @@
             call.call, self.remaining, self.open_pulls, self._state.is_closed
         )
 
-    def _refuse(self, call: LotCall, reason: RefusedBecause) -> RefuseCall:
+    def _refuse(self, call: LotCall, reason: RefusalReason) -> RefuseCall:
         self._drop_call(call)
         return RefuseCall(call.call, reason)
 
@@ -321,7 +321,7 @@
     def _serve_ack(self, call: AckRequested) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
         if record is None:
-            return [self._refuse(call, RefusedBecause.UNKNOWN_PULL)]
+            return [self._refuse(call, RefusalReason.UNKNOWN_PULL)]
         return [self._tell(call)] if record.is_acked else []
 
     def _serve_pull(self, call: PullRequested, now_s: float) -> list[object]:
@@ -329,7 +329,7 @@
         if record is None:
             return []
         if record.is_acked:
-            return [self._refuse(call, RefusedBecause.ACKED)]
+            return [self._refuse(call, RefusalReason.ACKED)]
         self._slots.want(record.groups, is_repeat=True)
         oldest = call.version - self.spec.max_staleness
         # Checks every group, so that all stale samples are replaced at once.
@@ -356,7 +356,7 @@
         """Ends a call whose time is over with a true answer."""
         is_pull = isinstance(call, PullRequested)
         if not is_pull or self._state is None or self._write is not None:
-            return self._refuse(call, RefusedBecause.PLATFORM)
+            return self._refuse(call, RefusalReason.PLATFORM)
         return self._hand_over(call, ())
 
     def _talk_to_store(self, now_s: float) -> list[object]:
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -19,7 +19,7 @@
     "PullRequested",
     "ReadState",
     "RefuseCall",
-    "RefusedBecause",
+    "RefusalReason",
     "SampleFailed",
     "SampleReady",
     "StateRead",
@@ -32,7 +32,7 @@
 ]
 
 
-class RefusedBecause(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a call ends without what it asked for."""
 
     RELEASED = "the lot moves to another daemon"
@@ -211,7 +211,7 @@
     """Action: end a call with its final answer at once."""
 
     call: int
-    reason: RefusedBecause
+    reason: RefusalReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -29,8 +29,8 @@
     LotTick,
     PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     Sample,
     SampleFailed,
     SampleReady,
@@ -287,7 +287,7 @@
                 self.take(action)
             elif isinstance(action, RefuseCall):
                 # Only pulls that were taken are acknowledged here.
-                is_known = action.reason is not RefusedBecause.UNKNOWN_PULL
+                is_known = action.reason is not RefusalReason.UNKNOWN_PULL
                 self.check(is_known, ("acknowledgement refused", action))
             elif isinstance(action, CountUsage):
                 is_new = not self.billed & set(action.groups)
