--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -13,13 +13,13 @@
 )
 from daisyhub.balancing import EndpointNews, EndpointTable, LeastLoaded
 from daisyhub.config import (
+    ActivateSnapshot,
     AdoptionCore,
     ClientKey,
     ConfigHead,
     Document,
     HeadReceived,
     PartsFetched,
-    PutInForce,
     Route,
     Sections,
     split_sections,
@@ -132,7 +132,7 @@
     def adopt(self, head: ConfigHead, contents: dict[str, str]) -> None:
         self._core.handle(HeadReceived(head), 0.0)
         for action in self._core.handle(PartsFetched(contents), 0.0):
-            if isinstance(action, PutInForce):
+            if isinstance(action, ActivateSnapshot):
                 document = action.snapshot.document
                 self.table = RouteTable(document)
                 self._keys.replace_keys(document.keys)
--- a/daisyhub/config/__init__.py
+++ b/daisyhub/config/__init__.py
@@ -3,6 +3,7 @@
 from daisyhub.config._acceptance import AcceptanceCore
 from daisyhub.config._acceptance_types import ChangeRequest
 from daisyhub.config._adoption import (
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     FetchFailed,
@@ -12,7 +13,6 @@
     PartsFetched,
     PeerFetched,
     PeerSummaryReceived,
-    PutInForce,
     WithdrawKeys,
     WithdrawnKeysReceived,
 )
@@ -71,7 +71,7 @@
     "PartsFetched",
     "PeerFetched",
     "PeerSummaryReceived",
-    "PutInForce",
+    "ActivateSnapshot",
     "RefusedChange",
     "Route",
     "SectionRef",
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -23,7 +23,7 @@
     "PartsFetched",
     "PeerFetched",
     "PeerSummaryReceived",
-    "PutInForce",
+    "ActivateSnapshot",
     "WithdrawKeys",
     "WithdrawnKeysReceived",
     "withdrawn_digest",
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PutInForce:
+class ActivateSnapshot:
     """Action: use this configuration from now on."""
 
     snapshot: Snapshot
@@ -227,7 +227,7 @@
         except PartsError:
             return self._on_failure(name, now_s)
         self.snapshot = snapshot
-        return [*self._on_success(name), PutInForce(snapshot)]
+        return [*self._on_success(name), ActivateSnapshot(snapshot)]
 
     def _on_success(self, name: str) -> list[object]:
         source = self._source(name)
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -17,6 +17,7 @@
 
 from daisyhub.config import (
     AcceptanceCore,
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     ConfigHead,
@@ -27,7 +28,6 @@
     PartsFetched,
     PeerFetched,
     PeerSummaryReceived,
-    PutInForce,
     WithdrawnKeys,
     WithdrawnKeysReceived,
     join_sections,
@@ -83,7 +83,7 @@
         for action in self.core.handle(event, now_s):
             if isinstance(action, FetchParts | FetchFromPeer):
                 self.fetches.append(action)
-            elif isinstance(action, PutInForce):
+            elif isinstance(action, ActivateSnapshot):
                 self.in_force = action.snapshot
 
 
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -8,6 +8,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.config import (
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     ConfigHead,
@@ -20,7 +21,6 @@
     PartsFetched,
     PeerFetched,
     PeerSummaryReceived,
-    PutInForce,
     Snapshot,
     WithdrawKeys,
     WithdrawnKeys,
@@ -162,7 +162,7 @@
                     self._keys.withdraw(key_ids)
                     log.info("{} keys are withdrawn", len(key_ids))
                     self._tell()
-                case PutInForce(snapshot):
+                case ActivateSnapshot(snapshot):
                     self._put_in_force(snapshot)
                 case FetchParts() | FetchFromPeer():
                     self._fetches.append(action)
