--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -21,7 +21,7 @@
     SampleReady,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 
@@ -93,7 +93,7 @@
         mid_s = time.process_time()
         body = msgspec.json.encode(msgspec.to_builtins(write.state))
         end_s = time.process_time()
-        done = WriteDone(write.write_id, write.expected_version + 1)
+        done = StateWritten(write.write_id, write.expected_version + 1)
         given = _only(core.handle(done, 1.0), DeliverGroups)
         last_s = time.process_time()
         samples = msgspec.json.encode(given.groups)
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -25,7 +25,7 @@
     SampleReady,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 from daisyhub.rollouts._slot_table import SlotTable
@@ -226,7 +226,7 @@
                     clock.after(_STORE_S, functools.partial(self.feed, read))
                 case WriteState():
                     self._stored += 1
-                    done = WriteDone(action.write_id, self._stored)
+                    done = StateWritten(action.write_id, self._stored)
                     clock.after(_STORE_S, functools.partial(self.feed, done))
                 case DeliverGroups():
                     self._take(action)
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -35,7 +35,7 @@
     SampleReady,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 
@@ -125,7 +125,7 @@
     def _commit(self, action: WriteState) -> list[object]:
         self.commits += 1
         self.commit_bytes += len(msgspec.json.encode(action.state))
-        return self.feed(WriteDone(action.write_id, self.commits))
+        return self.feed(StateWritten(action.write_id, self.commits))
 
 
 def _lot_us(slots: int) -> float:
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -51,8 +51,8 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StateWritten,
     StopServing,
-    WriteDone,
     WriteInDoubt,
     WriteRefused,
     WriteState,
@@ -307,7 +307,7 @@
             return WriteRefused(action.write_id)
         except PlatformUnavailableError:
             return WriteInDoubt(action.write_id)
-        return WriteDone(action.write_id, version)
+        return StateWritten(action.write_id, version)
 
 
 def _event_of(call: LotCall, number: int) -> object:
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -30,8 +30,8 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StateWritten,
     StopServing,
-    WriteDone,
     WriteInDoubt,
     WriteRefused,
     WriteState,
@@ -135,7 +135,7 @@
                 self._on_call(event, now_s)
             case StateRead():
                 actions += self._on_read(event)
-            case WriteDone():
+            case StateWritten():
                 actions += self._on_written(event)
             case StateReadFailed() | WriteRefused() | WriteInDoubt():
                 self._on_store_trouble(event, now_s)
@@ -221,7 +221,7 @@
         self._must_read = bool(self._unread)
         return self._adopt(event.state, event.version)
 
-    def _on_written(self, event: WriteDone) -> list[object]:
+    def _on_written(self, event: StateWritten) -> list[object]:
         write = self._write
         if write is None or event.write_id != write.write_id:
             return []
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -25,7 +25,7 @@
     "StateRead",
     "StateReadFailed",
     "SendProgress",
-    "WriteDone",
+    "StateWritten",
     "WriteInDoubt",
     "WriteRefused",
     "WriteState",
@@ -127,7 +127,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteDone:
+class StateWritten:
     """The write with this id took effect as `version`."""
 
     write_id: str
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -37,7 +37,7 @@
     Span,
     StateRead,
     StateReadFailed,
-    WriteDone,
+    StateWritten,
     WriteInDoubt,
     WriteRefused,
     WriteState,
@@ -336,7 +336,7 @@
         elif fault in ("", "store"):
             event = WriteRefused(action.write_id)
             if self.apply(action):
-                event = WriteDone(action.write_id, self.version)
+                event = StateWritten(action.write_id, self.version)
         else:
             event = WriteInDoubt(action.write_id)
             if fault == "lose":
