--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -21,7 +21,7 @@
     "FetchParts",
     "HeadReceived",
     "PartsFetched",
-    "PeerFetched",
+    "PeerStateFetched",
     "PeerSummaryReceived",
     "ActivateSnapshot",
     "WithdrawKeys",
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerFetched:
+class PeerStateFetched:
     """Event: a peer answered `FetchFromPeer`."""
 
     daemon_id: str
@@ -174,7 +174,7 @@
                 actions = self._on_peer(event)
             case PartsFetched():
                 actions = self._on_parts(event, now_s)
-            case PeerFetched():
+            case PeerStateFetched():
                 actions = self._on_peer_parts(event, now_s)
             case FetchFailed():
                 actions = self._on_failure(event.source, now_s)
@@ -212,7 +212,9 @@
         contents = {**self.known_contents, **self._fetched}
         return self._adopt(PLATFORM, self._platform_head, contents, now_s)
 
-    def _on_peer_parts(self, event: PeerFetched, now_s: float) -> list[object]:
+    def _on_peer_parts(
+        self, event: PeerStateFetched, now_s: float
+    ) -> list[object]:
         withdrawn = self._withdraw(event.withdrawn)
         contents = {**self.known_contents, **event.contents}
         return withdrawn + self._adopt(
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -26,7 +26,7 @@
     FetchParts,
     HeadReceived,
     PartsFetched,
-    PeerFetched,
+    PeerStateFetched,
     PeerSummaryReceived,
     WithdrawnKeys,
     WithdrawnKeysReceived,
@@ -305,7 +305,7 @@
         }
         texts = self.damage(texts, how)
         withdrawn = tuple(core.withdrawn)
-        return PeerFetched(source, head, texts, withdrawn)
+        return PeerStateFetched(source, head, texts, withdrawn)
 
     def damage(self, texts, how):
         return {d: t + " " * (how == "damaged") for d, t in texts.items()}
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -19,7 +19,7 @@
     FetchParts,
     HeadReceived,
     PartsFetched,
-    PeerFetched,
+    PeerStateFetched,
     PeerSummaryReceived,
     Snapshot,
     WithdrawKeys,
@@ -199,7 +199,7 @@
             return FetchFailed(fetch.daemon_id)
         if not isinstance(parts, ConfigParts):
             return FetchFailed(fetch.daemon_id)
-        return PeerFetched(
+        return PeerStateFetched(
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
         )
 
