--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -51,10 +51,10 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StateWriteRejected,
     StateWritten,
     StopServing,
     WriteInDoubt,
-    WriteRefused,
     WriteState,
 )
 from daisyhub.settings import DaemonSettings
@@ -304,7 +304,7 @@
                 write_id=action.write_id,
             )
         except PlatformConflictError:
-            return WriteRefused(action.write_id)
+            return StateWriteRejected(action.write_id)
         except PlatformUnavailableError:
             return WriteInDoubt(action.write_id)
         return StateWritten(action.write_id, version)
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -20,10 +20,10 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StateWriteRejected,
     StateWritten,
     StopServing,
     WriteInDoubt,
-    WriteRefused,
     WriteState,
 )
 from daisyhub.rollouts._lot_types import (
@@ -87,7 +87,7 @@
     "SendProgress",
     "StateWritten",
     "WriteInDoubt",
-    "WriteRefused",
+    "StateWriteRejected",
     "WriteState",
     "MAX_GROUPS",
     "AckBody",
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -30,10 +30,10 @@
     SendProgress,
     StateRead,
     StateReadFailed,
+    StateWriteRejected,
     StateWritten,
     StopServing,
     WriteInDoubt,
-    WriteRefused,
     WriteState,
 )
 from daisyhub.rollouts._lot_types import (
@@ -137,7 +137,7 @@
                 actions += self._on_read(event)
             case StateWritten():
                 actions += self._on_written(event)
-            case StateReadFailed() | WriteRefused() | WriteInDoubt():
+            case StateReadFailed() | StateWriteRejected() | WriteInDoubt():
                 self._on_store_trouble(event, now_s)
             case LotReleased():
                 self._is_released = True
@@ -240,7 +240,7 @@
             return
         self._is_waiting = False
         self._store_at_s = now_s + _STORE_PAUSE_S
-        if isinstance(event, WriteRefused):
+        if isinstance(event, StateWriteRejected):
             self._write = None
             self._must_read = True
             self._store_at_s = now_s
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -27,7 +27,7 @@
     "SendProgress",
     "StateWritten",
     "WriteInDoubt",
-    "WriteRefused",
+    "StateWriteRejected",
     "WriteState",
 ]
 
@@ -135,7 +135,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteRefused:
+class StateWriteRejected:
     """The object is at another version than this write expected."""
 
     write_id: str
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -37,9 +37,9 @@
     Span,
     StateRead,
     StateReadFailed,
+    StateWriteRejected,
     StateWritten,
     WriteInDoubt,
-    WriteRefused,
     WriteState,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -334,7 +334,7 @@
             if fault in ("", "store"):
                 event = StateRead(self.state, self.version)
         elif fault in ("", "store"):
-            event = WriteRefused(action.write_id)
+            event = StateWriteRejected(action.write_id)
             if self.apply(action):
                 event = StateWritten(action.write_id, self.version)
         else:
