--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -52,9 +52,9 @@
     StateRead,
     StateReadFailed,
     StateWriteRejected,
+    StateWriteUncertain,
     StateWritten,
     StopServing,
-    WriteInDoubt,
     WriteState,
 )
 from daisyhub.settings import DaemonSettings
@@ -306,7 +306,7 @@
         except PlatformConflictError:
             return StateWriteRejected(action.write_id)
         except PlatformUnavailableError:
-            return WriteInDoubt(action.write_id)
+            return StateWriteUncertain(action.write_id)
         return StateWritten(action.write_id, version)
 
 
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -21,9 +21,9 @@
     StateRead,
     StateReadFailed,
     StateWriteRejected,
+    StateWriteUncertain,
     StateWritten,
     StopServing,
-    WriteInDoubt,
     WriteState,
 )
 from daisyhub.rollouts._lot_types import (
@@ -86,7 +86,7 @@
     "StateReadFailed",
     "SendProgress",
     "StateWritten",
-    "WriteInDoubt",
+    "StateWriteUncertain",
     "StateWriteRejected",
     "WriteState",
     "MAX_GROUPS",
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -31,9 +31,9 @@
     StateRead,
     StateReadFailed,
     StateWriteRejected,
+    StateWriteUncertain,
     StateWritten,
     StopServing,
-    WriteInDoubt,
     WriteState,
 )
 from daisyhub.rollouts._lot_types import (
@@ -137,7 +137,9 @@
                 actions += self._on_read(event)
             case StateWritten():
                 actions += self._on_written(event)
-            case StateReadFailed() | StateWriteRejected() | WriteInDoubt():
+            case (
+                StateReadFailed() | StateWriteRejected() | StateWriteUncertain()
+            ):
                 self._on_store_trouble(event, now_s)
             case LotReleased():
                 self._is_released = True
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -26,7 +26,7 @@
     "StateReadFailed",
     "SendProgress",
     "StateWritten",
-    "WriteInDoubt",
+    "StateWriteUncertain",
     "StateWriteRejected",
     "WriteState",
 ]
@@ -142,7 +142,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteInDoubt:
+class StateWriteUncertain:
     """Whether the write with this id took effect is unknown."""
 
     write_id: str
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -38,8 +38,8 @@
     StateRead,
     StateReadFailed,
     StateWriteRejected,
+    StateWriteUncertain,
     StateWritten,
-    WriteInDoubt,
     WriteState,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -338,7 +338,7 @@
             if self.apply(action):
                 event = StateWritten(action.write_id, self.version)
         else:
-            event = WriteInDoubt(action.write_id)
+            event = StateWriteUncertain(action.write_id)
             if fault == "lose":
                 self.apply(action)
             elif fault == "delay":
@@ -369,7 +369,7 @@
     """Broken: takes a write for done before its effect is known."""
 
     def _on_store_trouble(self, event, now_s):
-        if isinstance(event, WriteInDoubt) and self._write:
+        if isinstance(event, StateWriteUncertain) and self._write:
             self._adopt(self._write.state, self._version)
         super()._on_store_trouble(event, now_s)
 
