--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -19,9 +19,9 @@
     BookLoaded,
     BookRefused,
     BookWritten,
-    EndpointSight,
     LeaseKeeper,
     LoadBook,
+    ObservedEndpoint,
     OrderAnswered,
     OrderBook,
     OrderCore,
@@ -107,7 +107,7 @@
 
     def _demand(self, name: str, pool: EndpointPool) -> PoolDemand:
         sights = tuple(
-            EndpointSight(
+            ObservedEndpoint(
                 endpoint_id=state.endpoint_id,
                 cheap=state.cheap,
                 is_leaving=state.is_leaving,
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -40,7 +40,7 @@
     WriteBook,
 )
 from daisyhub.hosting._pool_sizing import (
-    EndpointSight,
+    ObservedEndpoint,
     PoolDemand,
     PoolSizer,
     Sizing,
@@ -62,7 +62,7 @@
     "OrderTick",
     "SendOrder",
     "WriteBook",
-    "EndpointSight",
+    "ObservedEndpoint",
     "PoolDemand",
     "PoolSizer",
     "Sizing",
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -9,7 +9,7 @@
 import dataclasses
 import math
 
-__all__ = ["EndpointSight", "PoolDemand", "PoolSizer", "Sizing"]
+__all__ = ["ObservedEndpoint", "PoolDemand", "PoolSizer", "Sizing"]
 
 ORDERS_IN_FLIGHT = 4
 SHRINK_AFTER_S = 60.0
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointSight:
+class ObservedEndpoint:
     """One endpoint as the holder sees it."""
 
     endpoint_id: str
@@ -43,7 +43,7 @@
     """
 
     pool: str
-    endpoints: tuple[EndpointSight, ...]
+    endpoints: tuple[ObservedEndpoint, ...]
     least: int
     budget: int
     target_load: float
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -20,8 +20,8 @@
     BookLoaded,
     BookRefused,
     BookWritten,
-    EndpointSight,
     LoadBook,
+    ObservedEndpoint,
     OrderAnswered,
     OrderBook,
     OrderCore,
@@ -60,7 +60,7 @@
 
     def sights(self):
         return tuple(
-            EndpointSight(
+            ObservedEndpoint(
                 endpoint_id=endpoint_id,
                 cheap=cheap,
                 is_leaving=endpoint_id in self.leaving,
