--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -18,7 +18,7 @@
     LotState,
     LotTick,
     PullRequested,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
     StateWritten,
@@ -68,7 +68,7 @@
     )
     for action in actions:
         if isinstance(action, Generate):
-            core.handle(SampleReady(action.attempt, answer), 0.0)
+            core.handle(SampleReceived(action.attempt, answer), 0.0)
     return core
 
 
--- a/benchmarks/lot_stragglers.py
+++ b/benchmarks/lot_stragglers.py
@@ -19,7 +19,7 @@
     LotState,
     LotTick,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
 )
@@ -91,7 +91,7 @@
                 self.feed(SampleFailed(attempt), now_s)
                 continue
             self.done += 1
-            self.feed(SampleReady(attempt, _ANSWER), now_s)
+            self.feed(SampleReceived(attempt, _ANSWER), now_s)
         return Outcome(now_s, self.cancelled)
 
     def feed(self, event: object, now_s: float) -> None:
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -22,7 +22,7 @@
     ReadState,
     RefuseCall,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
     StateWritten,
@@ -280,7 +280,7 @@
             self._close(attempt.number, failed=False)
             last = attempt.engine.versions[self.number]
             answer = _answer(attempt.first_version, last)
-            self.feed(SampleReady(attempt.number, answer))
+            self.feed(SampleReceived(attempt.number, answer))
 
     def _fail(self, attempt: _Attempt) -> None:
         if attempt.number in self._open:
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -32,7 +32,7 @@
     LotTick,
     PullRequested,
     ReadState,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
     StateWritten,
@@ -102,7 +102,7 @@
                 case ReadState():
                     waiting += self.feed(StateRead(LotState(), 0))
                 case Generate():
-                    ready = SampleReady(action.attempt, _answer())
+                    ready = SampleReceived(action.attempt, _answer())
                     waiting += self.feed(ready)
                 case WriteState():
                     waiting += self._commit(action)
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -47,7 +47,7 @@
     RefusalReason,
     RefuseCall,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     SendProgress,
     StateRead,
     StateReadFailed,
@@ -268,7 +268,7 @@
         answer = await self._engines.generate(action)
         event = SampleFailed(action.attempt)
         if answer is not None:
-            event = SampleReady(action.attempt, answer)
+            event = SampleReceived(action.attempt, answer)
         self._feed(event)
         self._wakeup.set()
 
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -26,7 +26,7 @@
     RefusalReason,
     RefuseCall,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     SendProgress,
     StateRead,
     StateReadFailed,
@@ -122,7 +122,7 @@
         match event:
             case LotTick():
                 pass
-            case SampleReady():
+            case SampleReceived():
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
                 self._slots.fail(event.attempt, now_s)
@@ -203,7 +203,7 @@
         self._unread.add(call.call)
         self._must_read = True
 
-    def _on_ready(self, event: SampleReady, now_s: float) -> list[object]:
+    def _on_ready(self, event: SampleReceived, now_s: float) -> list[object]:
         place = self._slots.place_of(event.attempt)
         if place is None:
             return []
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -21,7 +21,7 @@
     "RefuseCall",
     "RefusalReason",
     "SampleFailed",
-    "SampleReady",
+    "SampleReceived",
     "StateRead",
     "StateReadFailed",
     "SendProgress",
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SampleReady:
+class SampleReceived:
     """An engine answered attempt `attempt`; the core checks the answer."""
 
     attempt: int
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -33,7 +33,7 @@
     RefuseCall,
     Sample,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
     StateReadFailed,
@@ -311,7 +311,7 @@
             versions = (self.engines - 1, self.engines)
         answer = engine_answer(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
-            self.feed(holder, SampleReady(action.attempt, answer))
+            self.feed(holder, SampleReceived(action.attempt, answer))
         return True
 
     def apply(self, write):
