--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -2,8 +2,8 @@
 
 from daisyhub.hosting._client import (
     EndpointRecord,
-    OrderReply,
     OrderRequest,
+    OrderResponse,
     PlatformClient,
     PlatformObject,
     UsageReport,
@@ -47,7 +47,7 @@
 )
 
 __all__ = [
-    "OrderReply",
+    "OrderResponse",
     "OrderRequest",
     "BookFailed",
     "BookLoaded",
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -6,8 +6,8 @@
 
 from daisyhub.hosting import (
     EndpointRecord,
-    OrderReply,
     OrderRequest,
+    OrderResponse,
     PlatformObject,
     UsageReport,
 )
@@ -110,7 +110,7 @@
         order = request.order
         name = order.endpoint_id or f"ordered-{order.order_id}"
         if order.order_id in self._orders:
-            return Reply(value=OrderReply(endpoint_id=name))
+            return Reply(value=OrderResponse(endpoint_id=name))
         if request.fencing < self._highest_fencing.get(domain, 0):
             return Reply(status=409, value={})
         self._highest_fencing[domain] = request.fencing
@@ -133,7 +133,7 @@
                 else r
                 for r in records
             ]
-        return Reply(value=OrderReply(endpoint_id=name))
+        return Reply(value=OrderResponse(endpoint_id=name))
 
     def _on_report(self, report: UsageReport) -> Reply:
         self._reports.append(report)
