--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -17,7 +17,7 @@
 from daisyhub.hosting import (
     BookFailed,
     BookLoaded,
-    BookRefused,
+    BookWriteRefused,
     BookWritten,
     LeaseKeeper,
     LoadBook,
@@ -165,7 +165,7 @@
                 write_id=uuid.uuid4().hex,
             )
         except PlatformConflictError:
-            return BookRefused()
+            return BookWriteRefused()
         except PlatformUnavailableError:
             return BookFailed()
         return BookWritten(version)
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -27,7 +27,7 @@
 from daisyhub.hosting._orders import (
     BookFailed,
     BookLoaded,
-    BookRefused,
+    BookWriteRefused,
     BookWritten,
     EndpointOrder,
     LoadBook,
@@ -51,7 +51,7 @@
     "OrderRequest",
     "BookFailed",
     "BookLoaded",
-    "BookRefused",
+    "BookWriteRefused",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -19,7 +19,7 @@
 __all__ = [
     "BookFailed",
     "BookLoaded",
-    "BookRefused",
+    "BookWriteRefused",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
@@ -93,7 +93,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BookRefused:
+class BookWriteRefused:
     """Another holder has written the book."""
 
 
@@ -181,7 +181,7 @@
                 return self._on_loaded(event)
             case BookWritten():
                 return self._on_written(event, now_s)
-            case BookRefused() | BookFailed():
+            case BookWriteRefused() | BookFailed():
                 self._forget()
                 return []
             case OrderAnswered():
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -18,7 +18,7 @@
 from daisyhub.hosting import (
     BookFailed,
     BookLoaded,
-    BookRefused,
+    BookWriteRefused,
     BookWritten,
     LoadBook,
     ObservedEndpoint,
@@ -150,7 +150,7 @@
 
     def write(self, action):
         if action.expected_version != self.version:
-            return BookRefused()
+            return BookWriteRefused()
         self.version += 1
         self.book = action.book
         return BookWritten(self.version)
