--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -12,7 +12,7 @@
 from daisyhub.connections import HttpClient
 from daisyhub.controllers._weights import WeightOrder
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
     OrderDone,
     RolloutRule,
@@ -39,7 +39,7 @@
     start_s = time.process_time()
     core.handle(VersionPublished("model", 1), 0.0)
     rules = {"model": RolloutRule(loads_at_once, True)}
-    core.handle(EnginesSeen(engines, rules), 0.0)
+    core.handle(EnginesListed(engines, rules), 0.0)
     orders = core.handle(WeightTick(True), 0.0)
     sent = 0
     while orders:
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -12,7 +12,7 @@
 from daisyhub.hosting import LeaseKeeper, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
     OrderDone,
     OrderFailed,
@@ -128,7 +128,7 @@
         left_s = wakeup_s - time.monotonic()
         return min(pause_s, max(_SHORTEST_STEP_S, left_s))
 
-    def _engines_seen(self) -> EnginesSeen:
+    def _engines_seen(self) -> EnginesListed:
         now_s = time.monotonic()
         rules = {
             name: RolloutRule(pool.weight_loads_at_once, pool.checks_fencing)
@@ -142,7 +142,7 @@
             for name in rules
             for state in self._table.candidates(name, now_s)
         )
-        return EnginesSeen(engines, rules)
+        return EnginesListed(engines, rules)
 
     async def _load(self, order: SendOrder) -> None:
         self._feed(await self._send(order))
--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -17,7 +17,7 @@
 from daisyhub.lots._run_types import (
     CancelRun,
     Engine,
-    EnginesSeen,
+    EnginesListed,
     EventArrived,
     FinishItem,
     Item,
@@ -134,7 +134,7 @@
         match event:
             case EventArrived():
                 return self._on_event(event, now_s)
-            case EnginesSeen():
+            case EnginesListed():
                 self._on_engines(event)
             case LotOpened():
                 self._on_opened(event)
@@ -194,7 +194,7 @@
             self._drop_run(run)
         return [CancelRun(run, "the lot was ended") for run in runs]
 
-    def _on_engines(self, event: EnginesSeen) -> None:
+    def _on_engines(self, event: EnginesListed) -> None:
         """Takes the engines over; runs at those left out go on."""
         seen = {engine.endpoint_id: engine for engine in event.engines}
         for endpoint_id in [e for e in self._engines if e not in seen]:
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -36,7 +36,7 @@
 from daisyhub.lots._run_types import (
     CancelRun,
     EngineSeen,
-    EnginesSeen,
+    EnginesListed,
     FinishItem,
     LotClosed,
     LotOpened,
@@ -260,7 +260,7 @@
             for endpoint in tools.directory.all()
             if endpoint.entry.versions and not endpoint.entry.is_leaving
         )
-        self._handle(EnginesSeen(engines))
+        self._handle(EnginesListed(engines))
         for held in list(self._held.values()):
             self._list(held, ListingTick())
 
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -10,7 +10,7 @@
     "CancelRun",
     "Engine",
     "EngineSeen",
-    "EnginesSeen",
+    "EnginesListed",
     "EventArrived",
     "FinishItem",
     "Item",
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EnginesSeen:
+class EnginesListed:
     """All engines that may get work; those left out get none."""
 
     engines: tuple[EngineSeen, ...]
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -8,7 +8,7 @@
 from daisyhub.lots._run_types import (
     CancelRun,
     EngineSeen,
-    EnginesSeen,
+    EnginesListed,
     EventArrived,
     FinishItem,
     LotClosed,
@@ -59,7 +59,7 @@
 
 
 def engines(*ids, slots=2, version=1, loading=()):
-    return EnginesSeen(
+    return EnginesListed(
         tuple(
             EngineSeen(i, "pool", slots, {"m": version}, i in loading)
             for i in ids
@@ -74,11 +74,11 @@
         self.core = DispatchCore()
         self.now_s = 0.0
         self.actions = []
-        self.seen = EnginesSeen(())
+        self.seen = EnginesListed(())
 
     def feed(self, event, after_s=0.0):
         self.now_s += after_s
-        if isinstance(event, EnginesSeen):
+        if isinstance(event, EnginesListed):
             self.seen = event
         actions = self.core.handle(event, self.now_s)
         self.actions += actions
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -43,7 +43,7 @@
     check_spans,
 )
 from daisyhub.rollouts._weight_core import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
     OrderDone,
     OrderFailed,
@@ -57,7 +57,7 @@
 
 __all__ = [
     "EngineView",
-    "EnginesSeen",
+    "EnginesListed",
     "OrderDone",
     "OrderFailed",
     "OrderNotSent",
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -12,7 +12,7 @@
 
 __all__ = [
     "EngineView",
-    "EnginesSeen",
+    "EnginesListed",
     "OrderDone",
     "OrderFailed",
     "OrderNotSent",
@@ -67,7 +67,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EnginesSeen:
+class EnginesListed:
     """All usable engines, and the rules of their pools."""
 
     engines: tuple[EngineView, ...]
@@ -173,7 +173,7 @@
                 known = self._wanted.get(event.pool, 0)
                 self._wanted[event.pool] = max(known, event.version)
                 self._queue_due(now_s)
-            case EnginesSeen():
+            case EnginesListed():
                 self._on_seen(event)
                 self._queue_due(now_s)
             case OrderDone():
@@ -187,7 +187,7 @@
                 raise TypeError(f"not a weight event: {event!r}")
         return self._start() if self._is_in_charge else []
 
-    def _on_seen(self, event: EnginesSeen) -> None:
+    def _on_seen(self, event: EnginesListed) -> None:
         self._engines = {e.endpoint_id: e for e in event.engines}
         self._rules = event.rules
         present = {(e.endpoint_id, e.incarnation) for e in event.engines}
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -12,7 +12,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
     OrderDone,
     OrderFailed,
@@ -66,7 +66,7 @@
             EngineView(name, name[0], engine[2], engine[0])
             for name, engine in self.engines.items()
         )
-        self.feed(holder, EnginesSeen(views, RULES))
+        self.feed(holder, EnginesListed(views, RULES))
         self.feed(holder, VersionPublished("a", self.newest))
         self.feed(holder, VersionPublished("b", self.newest))
 
