--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -15,7 +15,7 @@
     PlatformUnavailableError,
 )
 from daisyhub.hosting import (
-    BookFailed,
+    BookAccessFailed,
     BookLoaded,
     BookWriteRefused,
     BookWritten,
@@ -150,7 +150,7 @@
         try:
             found = await self._client.get(self._book_key)
         except PlatformUnavailableError:
-            return BookFailed()
+            return BookAccessFailed()
         if found is None:
             return BookLoaded(OrderBook(), 0)
         book = msgspec.convert(found.value, OrderBook)
@@ -167,7 +167,7 @@
         except PlatformConflictError:
             return BookWriteRefused()
         except PlatformUnavailableError:
-            return BookFailed()
+            return BookAccessFailed()
         return BookWritten(version)
 
     async def _send(self, action: SendOrder) -> object:
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -25,7 +25,7 @@
     rank_candidates,
 )
 from daisyhub.hosting._orders import (
-    BookFailed,
+    BookAccessFailed,
     BookLoaded,
     BookWriteRefused,
     BookWritten,
@@ -49,7 +49,7 @@
 __all__ = [
     "OrderResponse",
     "OrderRequest",
-    "BookFailed",
+    "BookAccessFailed",
     "BookLoaded",
     "BookWriteRefused",
     "BookWritten",
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -17,7 +17,7 @@
 from daisyhub.hosting._pool_sizing import PoolDemand, PoolSizer
 
 __all__ = [
-    "BookFailed",
+    "BookAccessFailed",
     "BookLoaded",
     "BookWriteRefused",
     "BookWritten",
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BookFailed:
+class BookAccessFailed:
     """A read failed, or the effect of a write is unknown."""
 
 
@@ -181,7 +181,7 @@
                 return self._on_loaded(event)
             case BookWritten():
                 return self._on_written(event, now_s)
-            case BookWriteRefused() | BookFailed():
+            case BookWriteRefused() | BookAccessFailed():
                 self._forget()
                 return []
             case OrderAnswered():
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -16,7 +16,7 @@
 )
 
 from daisyhub.hosting import (
-    BookFailed,
+    BookAccessFailed,
     BookLoaded,
     BookWriteRefused,
     BookWritten,
@@ -139,10 +139,10 @@
         match action:
             case LoadBook():
                 event = BookLoaded(self.book, self.version)
-                self.feed(number, BookFailed() if lost else event)
+                self.feed(number, BookAccessFailed() if lost else event)
             case WriteBook():
                 event = self.write(action)
-                self.feed(number, BookFailed() if lost else event)
+                self.feed(number, BookAccessFailed() if lost else event)
             case SendOrder():
                 event = self.order(action)
                 failed = OrderFailed(action.order.order_id)
