--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -14,7 +14,7 @@
 from daisyhub.rollouts import (
     EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     RolloutRule,
     VersionPublished,
     WeightCore,
@@ -45,7 +45,7 @@
     while orders:
         order = orders.pop()
         sent += 1
-        orders += core.handle(OrderDone(order.attempt), 0.0)
+        orders += core.handle(OrderCompleted(order.attempt), 0.0)
     assert sent == ENGINES
     return (time.process_time() - start_s) * _US / sent
 
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -14,7 +14,7 @@
 from daisyhub.rollouts import (
     EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     OrderFailed,
     OrderNotSent,
     RolloutRule,
@@ -179,7 +179,7 @@
             )
             return OrderFailed(order.attempt)
         state.weight_version = max(state.weight_version, order.version)
-        return OrderDone(order.attempt)
+        return OrderCompleted(order.attempt)
 
 
 def _extra_margin_s(timing: TimingSettings) -> float:
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -45,7 +45,7 @@
 from daisyhub.rollouts._weight_core import (
     EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     OrderFailed,
     OrderNotSent,
     RolloutRule,
@@ -58,7 +58,7 @@
 __all__ = [
     "EngineView",
     "EnginesListed",
-    "OrderDone",
+    "OrderCompleted",
     "OrderFailed",
     "OrderNotSent",
     "RolloutRule",
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -13,7 +13,7 @@
 __all__ = [
     "EngineView",
     "EnginesListed",
-    "OrderDone",
+    "OrderCompleted",
     "OrderFailed",
     "OrderNotSent",
     "RolloutRule",
@@ -75,7 +75,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderDone:
+class OrderCompleted:
     """The engine of this attempt has loaded its version."""
 
     attempt: int
@@ -176,7 +176,7 @@
             case EnginesListed():
                 self._on_seen(event)
                 self._queue_due(now_s)
-            case OrderDone():
+            case OrderCompleted():
                 self._on_done(event)
             case OrderFailed():
                 self._on_failed(event, now_s)
@@ -196,7 +196,7 @@
         for endpoint_id in self._troubles.keys() - self._engines.keys():
             del self._troubles[endpoint_id]
 
-    def _on_done(self, event: OrderDone) -> None:
+    def _on_done(self, event: OrderCompleted) -> None:
         order = self._end(event.attempt)
         engine = self._engines.get(order.endpoint_id) if order else None
         if engine is None:
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -14,7 +14,7 @@
 from daisyhub.rollouts import (
     EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     OrderFailed,
     OrderNotSent,
     RolloutRule,
@@ -118,7 +118,7 @@
             self.take_turn(1 - holder)
         is_done = self.reach(order, number, freeze_s, outcome != "failed")
         if is_done and outcome == "done":
-            self.feed(holder, OrderDone(order.attempt))
+            self.feed(holder, OrderCompleted(order.attempt))
         else:
             self.feed(holder, OrderFailed(order.attempt))
 
