--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -17,8 +17,8 @@
     LeaseCore,
     LeaseRead,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     rank_candidates,
 )
@@ -221,7 +221,7 @@
             return LeaseWriteRefused(action.write_id)
         self.version += 1
         self.record = action.record
-        return LeaseWriteDone(action.write_id, self.version)
+        return LeaseWritten(action.write_id, self.version)
 
 
 def _lease_calls(daemons: int) -> _LeaseStore:
--- a/daisyhub/hosting/_lease_keeper.py
+++ b/daisyhub/hosting/_lease_keeper.py
@@ -18,9 +18,9 @@
     LeaseRead,
     LeaseRecord,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteFailed,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     WriteLease,
 )
@@ -115,7 +115,7 @@
             )
         except PlatformConflictError:
             return LeaseWriteRefused(action.write_id)
-        return LeaseWriteDone(action.write_id, version)
+        return LeaseWritten(action.write_id, version)
 
 
 class LeaseKeeper:
