--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -15,7 +15,7 @@
     EnginesListed,
     EngineView,
     OrderCompleted,
-    RolloutRule,
+    RolloutPolicy,
     VersionPublished,
     WeightCore,
     WeightTick,
@@ -38,7 +38,7 @@
     )
     start_s = time.process_time()
     core.handle(VersionPublished("model", 1), 0.0)
-    rules = {"model": RolloutRule(loads_at_once, True)}
+    rules = {"model": RolloutPolicy(loads_at_once, True)}
     core.handle(EnginesListed(engines, rules), 0.0)
     orders = core.handle(WeightTick(True), 0.0)
     sent = 0
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -17,7 +17,7 @@
     OrderCompleted,
     OrderFailed,
     OrderNotSent,
-    RolloutRule,
+    RolloutPolicy,
     SendOrder,
     VersionPublished,
     WeightCore,
@@ -131,7 +131,7 @@
     def _engines_seen(self) -> EnginesListed:
         now_s = time.monotonic()
         rules = {
-            name: RolloutRule(pool.weight_loads_at_once, pool.checks_fencing)
+            name: RolloutPolicy(pool.weight_loads_at_once, pool.checks_fencing)
             for name, pool in self._config.document.endpoint_pools.items()
             if pool.kind == "engine"
         }
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -16,7 +16,7 @@
     "OrderCompleted",
     "OrderFailed",
     "OrderNotSent",
-    "RolloutRule",
+    "RolloutPolicy",
     "SendOrder",
     "VersionPublished",
     "WeightCore",
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RolloutRule:
+class RolloutPolicy:
     """How a pool's engines take orders.
 
     Attributes:
@@ -71,7 +71,7 @@
     """All usable engines, and the rules of their pools."""
 
     engines: tuple[EngineView, ...]
-    rules: dict[str, RolloutRule]
+    rules: dict[str, RolloutPolicy]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -134,7 +134,7 @@
         self.extra_margin_s = extra_margin_s
         self._wanted: dict[str, int] = {}
         self._engines: dict[str, EngineView] = {}
-        self._rules: dict[str, RolloutRule] = {}
+        self._rules: dict[str, RolloutPolicy] = {}
         self._running: dict[int, SendOrder] = {}
         self._loaded: dict[tuple[str, int], int] = {}
         self._troubles: dict[str, _Trouble] = {}
@@ -256,7 +256,7 @@
                     orders.append(self._order(engine, rule))
         return orders
 
-    def _order(self, engine: EngineView, rule: RolloutRule) -> SendOrder:
+    def _order(self, engine: EngineView, rule: RolloutPolicy) -> SendOrder:
         self._attempts += 1
         order = SendOrder(
             self._attempts,
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -17,7 +17,7 @@
     OrderCompleted,
     OrderFailed,
     OrderNotSent,
-    RolloutRule,
+    RolloutPolicy,
     VersionPublished,
     WeightCore,
     WeightTick,
@@ -30,7 +30,7 @@
 AT_ONCE = 2
 # Pool "b" ignores fencing numbers.
 ENGINES = ("a0", "a1", "a2", "b0", "b1")
-RULES = {"a": RolloutRule(AT_ONCE, True), "b": RolloutRule(AT_ONCE, False)}
+RULES = {"a": RolloutPolicy(AT_ONCE, True), "b": RolloutPolicy(AT_ONCE, False)}
 
 
 class WeightMachine(RuleBasedStateMachine):
