--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -210,7 +210,7 @@
                 await anyio.sleep(_LEASE_STEP_S)
         if not self._lease.fencing or self._is_over:
             return False
-        self._own_id = self._lease.seen_holder
+        self._own_id = self._lease.observed_holder
         holder = f"{self._own_id}.{time.monotonic_ns()}"
         self._core = LotCore(self.spec, holder)
         self.ready.set()
@@ -219,7 +219,7 @@
     @property
     def _is_deposed(self) -> bool:
         """Whether another holder was seen; a lapse alone changes nothing."""
-        return self._lease.seen_holder not in ("", self._own_id)
+        return self._lease.observed_holder not in ("", self._own_id)
 
     async def _drive(self) -> None:
         """Ticks the core at its wake-up times until the seat is over."""
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -74,7 +74,7 @@
         """Tells who is in charge and which orders are pending."""
         return {
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
             "pending": [
                 f"{order.order_id}:{order.kind}:{order.pool}"
                 for order in self._core.pending
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -104,7 +104,7 @@
         """Tells who is in charge and which window was sealed last."""
         return {
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
             "last_sealed": self._seal_core.last_sealed,
             "unsealed_parts": self._counters.unsealed,
             "unkept_requests": self._counters.unkept_requests,
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -87,7 +87,7 @@
             "wanted": self._core.wanted,
             "behind": self._core.behind,
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
         }
 
     async def on_weights(self, found: PlatformObject) -> None:
--- a/daisyhub/hosting/_lease.py
+++ b/daisyhub/hosting/_lease.py
@@ -135,7 +135,7 @@
         return 0
 
     @property
-    def seen_holder(self) -> str:
+    def observed_holder(self) -> str:
         """The holder that the last read or write told."""
         return self._seen_record.holder if self._seen_record else ""
 
--- a/daisyhub/hosting/_lease_keeper.py
+++ b/daisyhub/hosting/_lease_keeper.py
@@ -60,9 +60,9 @@
         return self._core.fencing_if_held(boot_time_s(), extra_margin_s)
 
     @property
-    def seen_holder(self) -> str:
+    def observed_holder(self) -> str:
         """Id of the holder last seen; empty if none is known."""
-        return self._core.seen_holder
+        return self._core.observed_holder
 
     async def run(self) -> None:
         """Acquires and renews the lease until cancelled or released."""
