--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -15,8 +15,8 @@
 )
 from benchmarks.measure.workloads import Site
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointTable,
+    EndpointUpdate,
     LeastLoaded,
     RoundRobin,
 )
@@ -227,7 +227,7 @@
         if server.is_gone() or server.is_in("hang"):
             return  # Lost with the server; the deadline will tell.
         self._note(attempt, failed=False)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=server.record.endpoint_id,
             incarnation=1,
             load=server.load(),
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -11,7 +11,7 @@
     points,
     processor_us,
 )
-from daisyhub.balancing import EndpointNews, EndpointTable, LeastLoaded
+from daisyhub.balancing import EndpointTable, EndpointUpdate, LeastLoaded
 from daisyhub.config import (
     ActivateSnapshot,
     AdoptionCore,
@@ -250,7 +250,7 @@
 
 def _news_bytes(count: int) -> float:
     news = tuple(
-        EndpointNews(
+        EndpointUpdate(
             endpoint_id=record.endpoint_id,
             incarnation=3,
             load=17,
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -17,7 +17,7 @@
 __all__ = [
     "DRAIN_PREFIX",
     "DrainOrder",
-    "EndpointNews",
+    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
 ]
@@ -43,7 +43,7 @@
     author: str = ""
 
 
-class EndpointNews(msgspec.Struct, frozen=True, kw_only=True):
+class EndpointUpdate(msgspec.Struct, frozen=True, kw_only=True):
     """One party's news of one endpoint.
 
     Attributes:
@@ -113,12 +113,12 @@
         # Endpoints that may get work, by pool and id.
         self._usable: dict[str, list[EndpointState]] = {}
         self._suspects: set[str] = set()
-        self._listeners: list[Callable[[EndpointNews], None]] = []
+        self._listeners: list[Callable[[EndpointUpdate], None]] = []
 
     def __len__(self) -> int:
         return len(self._endpoints)
 
-    def add_listener(self, listener: Callable[[EndpointNews], None]) -> None:
+    def add_listener(self, listener: Callable[[EndpointUpdate], None]) -> None:
         """Calls `listener` with news that others must hear: one is leaving."""
         self._listeners.append(listener)
 
@@ -176,7 +176,7 @@
         if len(self._left) > _MOST_LEFT:
             del self._left[next(iter(self._left))]
 
-    def adopt_news(self, news: EndpointNews) -> bool:
+    def adopt_news(self, news: EndpointUpdate) -> bool:
         """Takes one news; returns whether it changed what others must know.
 
         News of a newer incarnation than the known one tells that the known
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from daisyhub.balancing import EndpointNews, EndpointTable
+from daisyhub.balancing import EndpointTable, EndpointUpdate
 from daisyhub.hosting import EndpointRecord
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -105,7 +105,7 @@
         """A peer notes news of what an endpoint answered, now or before."""
         state = self.lists[max(0, len(self.lists) - 1 - lag)][endpoint_id]
         self.news.append(
-            EndpointNews(
+            EndpointUpdate(
                 endpoint_id=endpoint_id,
                 incarnation=state[0],
                 is_leaving=state[1],
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -8,9 +8,9 @@
 
 from daisyhub.balancing import (
     DrainOrder,
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Controller
 from daisyhub.connections import HttpClient, RequestFailedError
@@ -100,7 +100,7 @@
     async def on_drain(self, found: PlatformObject) -> None:
         """Takes an operator's order from the platform's watch."""
         order = msgspec.convert(found.value, DrainOrder)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=order.endpoint_id,
             incarnation=order.incarnation,
             is_leaving=True,
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -13,7 +13,7 @@
     SendLoanRequest,
     UsageCounters,
 )
-from daisyhub.balancing import EndpointNews, EndpointTable
+from daisyhub.balancing import EndpointTable, EndpointUpdate
 from daisyhub.base import Controller
 from daisyhub.clocks import boot_time_s
 from daisyhub.config import PeerSummaryReceived
@@ -82,8 +82,8 @@
         self._core = MembershipCore(cfg, incarnation)
         self._incarnations: dict[str, int] = {}
         self._versions: dict[str, int] = {}
-        self._news: dict[str, EndpointNews] = {}
-        self._leaving: dict[str, tuple[EndpointNews, int]] = {}
+        self._news: dict[str, EndpointUpdate] = {}
+        self._leaving: dict[str, tuple[EndpointUpdate, int]] = {}
         self._ticks_to_news = 0
         self._is_leaving = False
         self._wakeup = anyio.Event()
@@ -108,7 +108,7 @@
             if daemon_id in self._incarnations
         }
 
-    def add_news(self, news: EndpointNews) -> None:
+    def add_news(self, news: EndpointUpdate) -> None:
         """Notes endpoint news for a later tick; leaving goes at once."""
         if news.is_leaving:
             self._leaving[news.endpoint_id] = (news, _NEWS_REPEATS)
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -5,9 +5,9 @@
 import anyio
 
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
@@ -227,9 +227,9 @@
 
 def news_from_headers(
     state: EndpointState, headers: tuple[Header, ...]
-) -> EndpointNews:
+) -> EndpointUpdate:
     """Reads the news that an endpoint's answer carries in its headers."""
-    return EndpointNews(
+    return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
         is_leaving=(b"endpoint-state", b"leaving") in headers,
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -3,7 +3,7 @@
 import msgspec
 
 from daisyhub.accounting import UsagePart
-from daisyhub.balancing import EndpointNews
+from daisyhub.balancing import EndpointUpdate
 from daisyhub.config import ConfigHead
 from daisyhub.hosting import EndpointRecord
 
@@ -68,7 +68,7 @@
 class EndpointNewsBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
     """News of endpoints since the last tick."""
 
-    news: tuple[EndpointNews, ...]
+    news: tuple[EndpointUpdate, ...]
 
 
 class UsageCopy(msgspec.Struct, frozen=True, kw_only=True, tag="uc"):
