--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -29,7 +29,7 @@
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -227,7 +227,7 @@
         if not isinstance(action, WriteStore):
             raise TypeError(f"not a usage action: {action!r}")
         if not is_current:
-            return StoreRefused()
+            return StoreWriteRejected()
         self.stores[key] = (action.store, version + 1)
         return StoreWritten(version + 1)
 
--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -6,7 +6,7 @@
     FlushTick,
     ReadStore,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     WriteStore,
 )
@@ -85,7 +85,7 @@
     "ShareTick",
     "StoreEmptied",
     "StoreRead",
-    "StoreRefused",
+    "StoreWriteRejected",
     "StoreWritten",
     "StoredReport",
     "UsageCount",
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -20,7 +20,7 @@
     "FlushTick",
     "ReadStore",
     "StoreRead",
-    "StoreRefused",
+    "StoreWriteRejected",
     "StoreWritten",
     "WriteStore",
 ]
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreRefused:
+class StoreWriteRejected:
     """The object is at another version."""
 
 
@@ -121,7 +121,7 @@
                 return self._write(now_s)
             case StoreWritten():
                 return self._on_written(event, now_s)
-            case StoreRefused():
+            case StoreWriteRejected():
                 self._version = None
                 return [ReadStore()]
             case CallFailed():
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -36,7 +36,7 @@
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -299,7 +299,7 @@
     def write_store(self, name, action):
         version = self.stores[name][1]
         if action.expected_version not in (version, None):
-            return StoreRefused()
+            return StoreWriteRejected()
         self.stores[name] = (action.store, version + 1)
         return StoreWritten(version + 1)
 
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -32,7 +32,7 @@
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -210,7 +210,7 @@
                 self._store_key, action.store, action.expected_version
             )
             return StoreWritten(version)
-        return StoreRefused()
+        return StoreWriteRejected()
 
     async def _write_ledger(self, action: WriteLedger) -> object:
         if self._lease.fencing != action.fencing:
