--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -20,7 +20,7 @@
     PlatformUnavailableError,
     Refusal,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient
+from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
 from daisyhub.peers import LotAnswer, LotCall
@@ -85,7 +85,7 @@
 
     cfg: DaemonSettings
     client: PlatformClient
-    keeper: LeaseKeeper
+    keeper: LeaseFactory
     http: HttpClient
     table: EndpointTable
     balancer: Balancer
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -19,7 +19,7 @@
     BookLoaded,
     BookWriteRefused,
     BookWritten,
-    LeaseKeeper,
+    LeaseFactory,
     LoadBook,
     ObservedEndpoint,
     OrderAnswered,
@@ -59,7 +59,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         table: EndpointTable,
         config: ConfigController,
     ):
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -45,7 +45,7 @@
     PlatformConflictError,
     PlatformUnavailableError,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient, UsageReport
+from daisyhub.hosting import LeaseFactory, PlatformClient, UsageReport
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
 from daisyhub.settings import DaemonSettings
@@ -76,7 +76,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         counters: UsageCounters,
         peers: PeerController,
         metrics: Metrics,
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -9,7 +9,7 @@
 from daisyhub.base import Controller
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.controllers._config import ConfigController
-from daisyhub.hosting import LeaseKeeper, PlatformObject
+from daisyhub.hosting import LeaseFactory, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import (
     EnginesListed,
@@ -67,7 +67,7 @@
     def __init__(
         self,
         cfg: DaemonSettings,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         http: HttpClient,
         table: EndpointTable,
         config: ConfigController,
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -39,7 +39,7 @@
     build_chain,
     places_for,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient, rank_candidates
+from daisyhub.hosting import LeaseFactory, PlatformClient, rank_candidates
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger, set_up_logs
 from daisyhub.metrics import Metrics
@@ -96,7 +96,7 @@
         self.platform = PlatformClient(
             self.cfg.platform_address, self.http, timing.platform_timeout_s
         )
-        self.keeper = LeaseKeeper(self.platform, self.process_id, timing)
+        self.keeper = LeaseFactory(self.platform, self.process_id, timing)
         self.network = PeerNetwork(self.cfg, self.incarnation)
         self.counters = UsageCounters(
             self.cfg.daemon_id, self.incarnation, timing.usage_window_s
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -21,7 +21,7 @@
 )
 from daisyhub.hosting._lease_keeper import (
     Lease,
-    LeaseKeeper,
+    LeaseFactory,
     rank_candidates,
 )
 from daisyhub.hosting._orders import (
@@ -69,7 +69,7 @@
     "EndpointRecord",
     "Lease",
     "LeaseCore",
-    "LeaseKeeper",
+    "LeaseFactory",
     "LeaseRead",
     "LeaseRecord",
     "LeaseTick",
--- a/daisyhub/hosting/_lease_keeper.py
+++ b/daisyhub/hosting/_lease_keeper.py
@@ -26,7 +26,7 @@
 )
 from daisyhub.settings import TimingSettings
 
-__all__ = ["Lease", "LeaseKeeper", "rank_candidates"]
+__all__ = ["Lease", "LeaseFactory", "rank_candidates"]
 
 _LEASE_PREFIX = "leases/"
 _RELEASE_TIMEOUT_S = 2.0
@@ -118,7 +118,7 @@
         return LeaseWritten(action.write_id, version)
 
 
-class LeaseKeeper:
+class LeaseFactory:
     """Makes leases for one process."""
 
     def __init__(
