--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -233,7 +233,7 @@
             load=server.load(),
             capacity=self.run.site.service_slots,
         )
-        self.daemon.table.adopt_news(news)
+        self.daemon.table.apply_update(news)
         self.feed(AttemptAnswered(attempt))
 
     def _fail(self, attempt: int, ran: Ran) -> None:
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -176,7 +176,7 @@
         if len(self._left) > _MOST_LEFT:
             del self._left[next(iter(self._left))]
 
-    def adopt_news(self, news: EndpointUpdate) -> bool:
+    def apply_update(self, news: EndpointUpdate) -> bool:
         """Takes one news; returns whether it changed what others must know.
 
         News of a newer incarnation than the known one tells that the known
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -122,7 +122,7 @@
         gone = news.incarnation - (not news.is_leaving)
         heard = self.heard[number]
         heard[news.endpoint_id] = max(heard.get(news.endpoint_id, 0), gone)
-        self.tables[number].adopt_news(news)
+        self.tables[number].apply_update(news)
 
     @rule(
         number=st.sampled_from(TABLES),
@@ -176,11 +176,11 @@
 class IgnoresUnknown(EndpointTable):
     """Broken: news of an incarnation that isn't known yet is dropped."""
 
-    def adopt_news(self, news):
+    def apply_update(self, news):
         known = self.get(news.endpoint_id)
         if known is None or known.incarnation != news.incarnation:
             return False
-        return super().adopt_news(news)
+        return super().apply_update(news)
 
 
 class TrustsList(EndpointTable):
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -105,7 +105,7 @@
             incarnation=order.incarnation,
             is_leaving=True,
         )
-        if self._table.adopt_news(news):
+        if self._table.apply_update(news):
             log.info("{} is drained by {}", order.endpoint_id, order.author)
 
     async def _read_list(self) -> None:
@@ -183,7 +183,7 @@
         news = news_from_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
-        self._table.adopt_news(news)
+        self._table.apply_update(news)
 
 
 def _record_of(state: EndpointState) -> EndpointRecord:
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -116,7 +116,7 @@
             self._table.note_done(
                 state.endpoint_id, failed=has_failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
+        self._table.apply_update(news_from_headers(state, answer.headers))
         return None if has_failed else _decode(answer)
 
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -192,7 +192,7 @@
 
     def _on_news(self, batch: EndpointNewsBatch) -> None:
         for news in batch.news:
-            self._table.adopt_news(news)
+            self._table.apply_update(news)
 
     def _send_leaving(self) -> None:
         """Sends news of leaving endpoints, some times in case it is lost."""
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -125,7 +125,7 @@
             self._table.note_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
+        self._table.apply_update(news_from_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
