--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -17,7 +17,7 @@
     "CallFailed",
     "EmptyStore",
     "LedgerRead",
-    "LedgerRefused",
+    "LedgerWriteRejected",
     "LedgerWritten",
     "ListParts",
     "PartsListed",
@@ -69,7 +69,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LedgerRefused:
+class LedgerWriteRejected:
     """The ledger is at another version."""
 
 
@@ -183,7 +183,7 @@
             case ReportDone():
                 self._reported |= {event.window}
                 return self._step(now_s)
-            case LedgerRefused() | CallFailed():
+            case LedgerWriteRejected() | CallFailed():
                 return self._on_failed(now_s)
         raise TypeError(f"not a seal event: {event!r}")
 
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -20,7 +20,7 @@
     FlushTick,
     Ledger,
     LedgerRead,
-    LedgerRefused,
+    LedgerWriteRejected,
     LedgerWritten,
     ListedStore,
     ListParts,
@@ -305,7 +305,7 @@
 
     def write_ledger(self, action):
         if action.expected_version not in (self.ledger_version, None):
-            return LedgerRefused()
+            return LedgerWriteRejected()
         self.ledger_version += 1
         self.ledger = action.ledger
         self.oracle.on_sealed(self.ledger)
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -17,7 +17,7 @@
     FlushTick,
     Ledger,
     LedgerRead,
-    LedgerRefused,
+    LedgerWriteRejected,
     LedgerWritten,
     ListedStore,
     ListParts,
@@ -222,7 +222,7 @@
             log.info("window {} is sealed", action.ledger.window)
             self._count_sealed(action.ledger)
             return LedgerWritten(version)
-        return LedgerRefused()
+        return LedgerWriteRejected()
 
     def _count_sealed(self, ledger: Ledger) -> None:
         for report in ledger.unreported:
