--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -67,7 +67,7 @@
         self._client = client
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty(f"orders/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"orders/{cfg.failure_domain}")
         self._core = OrderCore(cfg.failure_domain)
 
     def status(self) -> dict[str, object]:
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -87,7 +87,7 @@
         self._peers = peers
         self._metrics = metrics
         self._counted_window = -1
-        self._lease = keeper.new_duty(f"usage/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"usage/{cfg.failure_domain}")
         timing = cfg.timing
         self._step_s = min(_STEP_S, timing.usage_grace_s / 2)
         self._flush_core = FlushCore(counters, self._step_s)
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -76,7 +76,7 @@
         self._http = http
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty(f"weights/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"weights/{cfg.failure_domain}")
         self._core = WeightCore(_extra_margin_s(cfg.timing))
         self._published: dict[str, int] = {}
         self._wakeup = anyio.Event()
--- a/daisyhub/hosting/_lease_keeper.py
+++ b/daisyhub/hosting/_lease_keeper.py
@@ -137,7 +137,7 @@
         """Returns a lease that this process tries to take, not held yet."""
         return Lease(name, self._new_core(), self._client, _always)
 
-    def new_duty(self, name: str) -> Lease:
+    def new_duty_lease(self, name: str) -> Lease:
         """Returns the lease of a duty that only candidates try to take."""
 
         def is_candidate(duty: str) -> bool:
