--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -109,7 +109,7 @@
         self.run = run
         self.domain = domain
         self.table = EndpointTable()
-        self.table.adopt_list(run.records_of(domain))
+        self.table.apply_list(run.records_of(domain))
         kind = LeastLoaded if policy.is_least_loaded else RoundRobin
         self.balancer = kind(seed)
         core = AdmissionCore if policy.is_fair else FirstComeFirstServed
@@ -350,7 +350,7 @@
         reclaim = next(f for f in self.faults if f.kind == "reclaim")
         if self.clock.now_s >= reclaim.start_s + _LIST_LAG_S:
             for daemon in self.daemons:
-                daemon.table.adopt_list(
+                daemon.table.apply_list(
                     [
                         record
                         for record in self.records_of(daemon.domain)
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -183,7 +183,7 @@
         kind = LotCore if policy.keeps_samples else _GroupRestartingCore
         self.core = kind(spec, "holder")
         self.table = EndpointTable()
-        self.table.adopt_list(run.records_of(number))
+        self.table.apply_list(run.records_of(number))
         balancer = LeastLoaded if policy.is_least_loaded else RoundRobin
         self.balancer = balancer(run.seed + number)
         self.version = 0
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -67,7 +67,7 @@
 
 def _table(count: int) -> EndpointTable:
     table = EndpointTable()
-    table.adopt_list(endpoint_records(count))
+    table.apply_list(endpoint_records(count))
     return table
 
 
@@ -94,7 +94,7 @@
 def _adopt_list_us(count: int) -> float:
     table = _table(count)
     records = endpoint_records(count)
-    return processor_us(lambda: table.adopt_list(records))
+    return processor_us(lambda: table.apply_list(records))
 
 
 def _list_bytes(count: int) -> float:
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -130,7 +130,7 @@
         """Returns every endpoint, by id."""
         return [self._endpoints[key] for key in sorted(self._endpoints)]
 
-    def adopt_list(self, records, now_s: float = 0.0) -> None:
+    def apply_list(self, records, now_s: float = 0.0) -> None:
         """Takes over the platform's list of `EndpointRecord`.
 
         The list may lag behind an earlier one, and may lack entries for a
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -84,7 +84,7 @@
             self.missing_s.pop((number, record.endpoint_id), None)
         if missing and not is_empty:
             self.missing_s.setdefault((number, missing), self.now_s)
-        self.tables[number].adopt_list(records, self.now_s)
+        self.tables[number].apply_list(records, self.now_s)
         since_s = self.missing_s.get((number, missing), self.now_s)
         if missing in before and self.now_s - since_s <= MOMENT_S:
             assert missing in self.ids(number), "dropped after a moment"
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -118,7 +118,7 @@
             if not self._table.all():
                 await self._catch_up()
             return
-        self._table.adopt_list(records, time.monotonic())
+        self._table.apply_list(records, time.monotonic())
 
     async def _catch_up(self) -> None:
         """Takes a peer's endpoints: a daemon that starts without the platform.
@@ -133,7 +133,7 @@
                 )
             except PeerUnreachableError:
                 continue
-            self._table.adopt_list(parts.records, time.monotonic())
+            self._table.apply_list(parts.records, time.monotonic())
             return
 
     async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
