--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -22,7 +22,7 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
@@ -204,7 +204,7 @@
                 return LedgerWritten(self.ledger[1])
             case SendReport():
                 self.reports.setdefault(action.window, action.body)
-                return ReportDone(action.window)
+                return ReportAccepted(action.window)
             case ListParts():
                 return PartsListed(
                     tuple(
--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -22,7 +22,7 @@
     "ListParts",
     "PartsListed",
     "ReadLedger",
-    "ReportDone",
+    "ReportAccepted",
     "SealCore",
     "SealTick",
     "SendReport",
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReportDone:
+class ReportAccepted:
     """The platform took the report of a window."""
 
     window: int
@@ -180,7 +180,7 @@
                 return self._on_written(event, now_s)
             case StoreEmptied():
                 return self._step(now_s)
-            case ReportDone():
+            case ReportAccepted():
                 self._reported |= {event.window}
                 return self._step(now_s)
             case LedgerWriteRejected() | CallFailed():
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -29,7 +29,7 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
@@ -287,7 +287,7 @@
                 return self.write_ledger(action)
             case SendReport():
                 self.oracle.on_report(action)
-                return ReportDone(action.window)
+                return ReportAccepted(action.window)
         raise AssertionError(action)
 
     def listed(self):
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -25,7 +25,7 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
@@ -257,4 +257,4 @@
         if self._lease.fencing_with_margin(margin_s) != action.fencing:
             return CallFailed()
         await self._client.report_usage(report)
-        return ReportDone(action.window)
+        return ReportAccepted(action.window)
