--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -28,7 +28,7 @@
     OrderFailed,
     OrderTick,
     PlatformClient,
-    PoolDemand,
+    PoolState,
     SendOrder,
     WriteBook,
 )
@@ -94,7 +94,7 @@
         """Gives the duty up at shutdown."""
         await self._lease.release()
 
-    def _demands(self) -> tuple[PoolDemand, ...]:
+    def _demands(self) -> tuple[PoolState, ...]:
         """Returns the pools that daisyhub orders endpoints for."""
         if not self._lease.fencing:
             return ()
@@ -105,7 +105,7 @@
             if pool.orders == "automatic"
         )
 
-    def _demand(self, name: str, pool: EndpointPool) -> PoolDemand:
+    def _demand(self, name: str, pool: EndpointPool) -> PoolState:
         sights = tuple(
             ObservedEndpoint(
                 endpoint_id=state.endpoint_id,
@@ -117,7 +117,7 @@
             for state in self._table.all()
             if state.pool == name
         )
-        return PoolDemand(
+        return PoolState(
             pool=name,
             endpoints=sights,
             least=pool.least,
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -41,8 +41,8 @@
 )
 from daisyhub.hosting._pool_sizing import (
     ObservedEndpoint,
-    PoolDemand,
     PoolSizer,
+    PoolState,
     Sizing,
 )
 
@@ -63,7 +63,7 @@
     "SendOrder",
     "WriteBook",
     "ObservedEndpoint",
-    "PoolDemand",
+    "PoolState",
     "PoolSizer",
     "Sizing",
     "EndpointRecord",
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -14,7 +14,7 @@
 import msgspec
 
 from daisyhub.base import Core
-from daisyhub.hosting._pool_sizing import PoolDemand, PoolSizer
+from daisyhub.hosting._pool_sizing import PoolSizer, PoolState
 
 __all__ = [
     "BookAccessFailed",
@@ -74,7 +74,7 @@
     """Time has passed; `fencing` is 0 unless the lease is surely held."""
 
     fencing: int
-    demands: tuple[PoolDemand, ...] = ()
+    demands: tuple[PoolState, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -9,7 +9,7 @@
 import dataclasses
 import math
 
-__all__ = ["ObservedEndpoint", "PoolDemand", "PoolSizer", "Sizing"]
+__all__ = ["ObservedEndpoint", "PoolState", "PoolSizer", "Sizing"]
 
 ORDERS_IN_FLIGHT = 4
 SHRINK_AFTER_S = 60.0
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class PoolDemand:
+class PoolState:
     """What a pool has and may have.
 
     Attributes:
@@ -73,7 +73,7 @@
         self._cheap_seen: frozenset[str] = frozenset()
         self._cheap_paused_until_s = 0.0
 
-    def observe(self, demand: PoolDemand, now_s: float) -> None:
+    def observe(self, demand: PoolState, now_s: float) -> None:
         """Notes a mass loss of cheap endpoints."""
         cheap = frozenset(
             sight.endpoint_id
@@ -87,7 +87,7 @@
 
     def decide(
         self,
-        demand: PoolDemand,
+        demand: PoolState,
         *,
         starting: tuple[bool, ...],
         stopping: frozenset[str],
@@ -145,7 +145,7 @@
         return Sizing(stop=(idle.endpoint_id,))
 
 
-def _wanted_count(demand: PoolDemand, count: int) -> int:
+def _wanted_count(demand: PoolState, count: int) -> int:
     """Returns how many endpoints the load calls for, within the budget."""
     load = sum(sight.load for sight in demand.endpoints)
     capacity = max((sight.capacity for sight in demand.endpoints), default=1)
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -27,7 +27,7 @@
     OrderCore,
     OrderFailed,
     OrderTick,
-    PoolDemand,
+    PoolState,
     SendOrder,
     WriteBook,
 )
@@ -70,7 +70,7 @@
         )
 
     def demand(self):
-        return PoolDemand(
+        return PoolState(
             pool="p",
             endpoints=self.lists[0],
             least=2,
