--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -176,7 +176,7 @@
         """Returns every endpoint."""
         return list(self._endpoints.values())
 
-    def adopt(self, entry: EndpointEntry) -> None:
+    def upsert(self, entry: EndpointEntry) -> None:
         """Takes over a new or changed entry."""
         known = self._endpoints.get(entry.endpoint_id)
         is_same = (
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -22,7 +22,7 @@
     def setUp(self):
         self.directory = EndpointDirectory(lambda: 0.5)
         for name in "abc":
-            self.directory.adopt(entry(name))
+            self.directory.upsert(entry(name))
 
     def answer(self, name, took_s, at_s, route="r"):
         token = self.directory.note_sent(name, route, at_s - took_s)
@@ -76,8 +76,8 @@
         self.assertIn(self.choose(1.1, frozenset("c")), "ab")
 
     def test_a_leaving_endpoint_gets_nothing(self):
-        self.directory.adopt(entry("a", is_leaving=True))
-        self.directory.adopt(entry("b", is_leaving=True))
+        self.directory.upsert(entry("a", is_leaving=True))
+        self.directory.upsert(entry("b", is_leaving=True))
         self.assertEqual(self.choose(1.0), "c")
 
     def test_entries_that_lapse_while_the_store_is_away_are_kept_a_while(self):
@@ -85,14 +85,14 @@
         self.assertEqual(self.directory.expire(2.9), [])
         self.assertEqual(self.directory.expire(3.1), ["a"])
         self.directory.remove("b", 1.0, is_store_stable=False)
-        self.directory.adopt(entry("b"))
+        self.directory.upsert(entry("b"))
         self.assertEqual(self.directory.expire(9.0), [])
         self.directory.remove("b", 9.0, is_store_stable=True)
         self.assertIsNone(self.directory.get("b"))
 
     def test_endpoints_of_a_domain_out_of_reach_come_last(self):
         """A cut-off daemon tried two endpoints it couldn't reach."""
-        self.directory.adopt(entry("c", domain="near"))
+        self.directory.upsert(entry("c", domain="near"))
         self.directory.set_cut_domains(frozenset({"d"}))
         self.assertEqual({self.choose(1.0) for _ in range(5)}, {"c"})
         self.assertIn(self.choose(1.0, frozenset("c")), "ab")
@@ -100,7 +100,7 @@
     def test_a_restart_forgets_what_was_known(self):
         token = self.directory.note_sent("a", "r", 1.0)
         self.directory.note_failed("a", token, 1.0)
-        self.directory.adopt(entry("a", incarnation=7))
+        self.directory.upsert(entry("a", incarnation=7))
         self.assertEqual(self.directory.get("a").failures, 0)
 
     def test_a_kept_connection_breaks_ties(self):
@@ -108,5 +108,5 @@
             lambda: 0.5, lambda address: address.port == ord("b")
         )
         for name in "abc":
-            directory.adopt(entry(name))
+            directory.upsert(entry(name))
         self.assertEqual(directory.choose(POOL, NONE, 1.0), "b")
