--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -150,7 +150,7 @@
                 news = told.get(peer.daemon_id)
                 if news is None:
                     continue
-                peer.counters.hold(daemon.daemon_id, news.parts)
+                peer.counters.keep_copies(daemon.daemon_id, news.parts)
                 if news.held_number:
                     peer.counters.on_held(
                         daemon.daemon_id,
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -110,7 +110,7 @@
                 usage[peer] = PeerUsage(parts, epoch, number)
         return usage
 
-    def hold(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
+    def keep_copies(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
         """Keeps a peer's parts until they are sealed."""
         for part in parts:
             self._held[part.part_id] = part
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -85,7 +85,7 @@
         a.add("yard", 5, 61.0)
         told = a.tick(live)
         self.assertEqual(list(told), ["b", "c"])
-        b.hold("a", told["b"].parts)
+        b.keep_copies("a", told["b"].parts)
         back = b.tick({"a": 1})["a"]
         a.on_held("b", 1, back.held_epoch, back.held_number)
         self.assertEqual(a.unkept_requests, 0)
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -177,7 +177,7 @@
     def hear(self, peer, sender, incarnation, usage):
         counters = self.daemons[peer].counters
         if usage.parts:
-            counters.hold(sender, usage.parts)
+            counters.keep_copies(sender, usage.parts)
         if usage.held_number:
             counters.on_held(
                 sender, incarnation, usage.held_epoch, usage.held_number
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -137,7 +137,7 @@
             case EndpointNewsBatch():
                 self._on_news(message)
             case UsageCopy():
-                self._counters.hold(envelope.sender, message.parts)
+                self._counters.keep_copies(envelope.sender, message.parts)
             case RateAsk() | RateGrant():
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
