--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -43,7 +43,7 @@
     ObservedEndpoint,
     PoolSizer,
     PoolState,
-    Sizing,
+    SizingDecision,
 )
 
 __all__ = [
@@ -65,7 +65,7 @@
     "ObservedEndpoint",
     "PoolState",
     "PoolSizer",
-    "Sizing",
+    "SizingDecision",
     "EndpointRecord",
     "Lease",
     "LeaseCore",
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -9,7 +9,7 @@
 import dataclasses
 import math
 
-__all__ = ["ObservedEndpoint", "PoolState", "PoolSizer", "Sizing"]
+__all__ = ["ObservedEndpoint", "PoolState", "PoolSizer", "SizingDecision"]
 
 ORDERS_IN_FLIGHT = 4
 SHRINK_AFTER_S = 60.0
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Sizing:
+class SizingDecision:
     """What to order for a pool now.
 
     Attributes:
@@ -92,7 +92,7 @@
         starting: tuple[bool, ...],
         stopping: frozenset[str],
         now_s: float,
-    ) -> Sizing:
+    ) -> SizingDecision:
         """Returns the orders that the pool needs beyond the pending ones.
 
         Args:
@@ -122,27 +122,27 @@
             )
         if count == wanted or not free or not staying:
             self._low_since_s = None
-            return Sizing()
+            return SizingDecision()
         return self._shrink(staying, now_s)
 
-    def _grow(self, demand, count, cheap_count, new, now_s) -> Sizing:
+    def _grow(self, demand, count, cheap_count, new, now_s) -> SizingDecision:
         may_be_cheap = now_s >= self._cheap_paused_until_s
         cheap = 0
         for total in range(count + 1, count + new + 1):
             is_within = cheap_count + cheap + 1 <= demand.cheap_share * total
             cheap += may_be_cheap and is_within
         regular = max(0, new) - cheap
-        return Sizing(start_regular=regular, start_cheap=cheap)
+        return SizingDecision(start_regular=regular, start_cheap=cheap)
 
-    def _shrink(self, staying, now_s: float) -> Sizing:
+    def _shrink(self, staying, now_s: float) -> SizingDecision:
         """Stops one endpoint, the least loaded, after a while of low load."""
         if self._low_since_s is None:
             self._low_since_s = now_s
         if now_s - self._low_since_s < SHRINK_AFTER_S:
-            return Sizing()
+            return SizingDecision()
         self._low_since_s = None
         idle = min(staying, key=lambda s: (s.load, s.endpoint_id))
-        return Sizing(stop=(idle.endpoint_id,))
+        return SizingDecision(stop=(idle.endpoint_id,))
 
 
 def _wanted_count(demand: PoolState, count: int) -> int:
