--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -205,7 +205,7 @@
         run = self.run
         server = run.servers[action.endpoint_id]
         self._open[action.attempt] = server
-        self.daemon.table.note_sent(action.endpoint_id)
+        self.daemon.table.record_sent(action.endpoint_id)
         hop_s = run.hop_s(self.daemon.domain, server)
         if server.is_in("refuse") or server.is_gone():
             run.clock.after(
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -257,7 +257,7 @@
         version = engine.versions[self.number]
         attempt = _Attempt(action.attempt, engine, clock.now_s, version)
         self._open[attempt.number] = attempt
-        self.table.note_sent(engine.name)
+        self.table.record_sent(engine.name)
         failed = functools.partial(self._fail, attempt)
         if engine.is_in("refuse", clock.now_s):
             clock.after(_DETECT_S, failed)
--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -265,7 +265,7 @@
         answers = self._answers.get(route)
         return statistics.median_low(answers) if answers else _FIRST_USUAL_S
 
-    def note_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
+    def record_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
         """Counts a request that is sent; returns its token."""
         self._tokens += 1
         endpoint = self._endpoints.get(endpoint_id)
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -261,7 +261,7 @@
             return None
         return sum(state.capacity for state in states)
 
-    def note_sent(self, endpoint_id: str) -> None:
+    def record_sent(self, endpoint_id: str) -> None:
         """Counts a request that was sent."""
         state = self._endpoints.get(endpoint_id)
         if state is not None:
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -25,7 +25,7 @@
             self.directory.upsert(entry(name))
 
     def answer(self, name, took_s, at_s, route="r"):
-        token = self.directory.note_sent(name, route, at_s - took_s)
+        token = self.directory.record_sent(name, route, at_s - took_s)
         self.directory.note_answered(name, token, at_s)
 
     def warm_up(self):
@@ -47,7 +47,7 @@
 
     def test_a_silent_endpoint_is_passed_over_at_once(self):
         self.warm_up()
-        self.directory.note_sent("a", "r", 2.0)
+        self.directory.record_sent("a", "r", 2.0)
         chosen = self.choose(2.2, frozenset("b"))
         self.assertEqual(chosen, "c")
 
@@ -56,7 +56,7 @@
         self.warm_up()
         for _ in range(20):
             self.answer("a", 1.1, 3.0, route="long")
-            token = self.directory.note_sent("b", "never", 1.9)
+            token = self.directory.record_sent("b", "never", 1.9)
             self.directory.note_overdue("b", token, 3.0)
         self.assertAlmostEqual(self.directory.usual_s("r"), 0.03)
         self.assertLess(self.directory.get("a").expected_pace(3.0), 1.5)
@@ -70,7 +70,7 @@
 
     def test_failures_rest_an_endpoint_for_a_while(self):
         for name in "ab":
-            token = self.directory.note_sent(name, "r", 1.0)
+            token = self.directory.record_sent(name, "r", 1.0)
             self.directory.note_failed(name, token, 1.0)
         self.assertEqual(self.choose(1.1), "c")
         self.assertIn(self.choose(1.1, frozenset("c")), "ab")
@@ -98,7 +98,7 @@
         self.assertIn(self.choose(1.0, frozenset("c")), "ab")
 
     def test_a_restart_forgets_what_was_known(self):
-        token = self.directory.note_sent("a", "r", 1.0)
+        token = self.directory.record_sent("a", "r", 1.0)
         self.directory.note_failed("a", token, 1.0)
         self.directory.upsert(entry("a", incarnation=7))
         self.assertEqual(self.directory.get("a").failures, 0)
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -134,7 +134,7 @@
             self.now_s += MOMENT_S
         elif step == "send":
             for state in table.candidates("p", self.now_s)[:1]:
-                table.note_sent(state.endpoint_id)
+                table.record_sent(state.endpoint_id)
                 open_ids.append(state.endpoint_id)
         elif open_ids:
             failed = step == "fail"
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -96,7 +96,7 @@
             sample=action.index,
         )
         has_failed = False
-        self._table.note_sent(state.endpoint_id)
+        self._table.record_sent(state.endpoint_id)
         try:
             answer = await self._http.request(
                 "POST",
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -104,7 +104,7 @@
         state = self._table.get(action.endpoint_id)
         if state is None:
             return _failed(action, Ran.NOT_RUN)
-        self._table.note_sent(state.endpoint_id)
+        self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
         try:
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -187,7 +187,7 @@
         sent_s = time.monotonic()
         endpoint_id = action.endpoint_id
         load = endpoint.load(sent_s)
-        token = self._directory.note_sent(
+        token = self._directory.record_sent(
             endpoint_id, way.task.route.name, sent_s
         )
         self._metrics.count("attempts", pool=endpoint.entry.pool)
--- a/daisyhub/testing/soak/_callers.py
+++ b/daisyhub/testing/soak/_callers.py
@@ -92,7 +92,7 @@
         self, request_id: str, prefix: str, is_safe: bool, has_key: bool
     ) -> None:
         path = f"{prefix}{request_id}"
-        self._ledger.note_sent(
+        self._ledger.record_sent(
             request_id, path, is_repeatable=is_safe, has_key=has_key
         )
         key = KEY if has_key else "key-that-nobody-holds"
--- a/daisyhub/testing/soak/_ledger.py
+++ b/daisyhub/testing/soak/_ledger.py
@@ -43,7 +43,7 @@
         """Number of items of each accepted lot."""
         return self._lots
 
-    def note_sent(
+    def record_sent(
         self,
         request_id: str,
         path: str,
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -280,7 +280,7 @@
             while True:
                 request_id = self.callers.next_id("r")
                 path = f"/records/{request_id}"
-                self.ledger.note_sent(request_id, path, is_repeatable=True)
+                self.ledger.record_sent(request_id, path, is_repeatable=True)
                 status, _, _ = await self.callers.call(
                     daemon, "POST", path, request_id
                 )
--- a/daisyhub/testing/soak/tests/test_ledger.py
+++ b/daisyhub/testing/soak/tests/test_ledger.py
@@ -17,8 +17,8 @@
 class LedgerTest(unittest.TestCase):
     def setUp(self):
         self.ledger = Ledger("t")
-        self.ledger.note_sent("r1", "/records/1", is_repeatable=True)
-        self.ledger.note_sent("w1", "/writes/1", is_repeatable=False)
+        self.ledger.record_sent("r1", "/records/1", is_repeatable=True)
+        self.ledger.record_sent("w1", "/writes/1", is_repeatable=False)
         self.ledger.note_lot("L", ["a", "b"])
         self.ledger.note_accepted("L")
 
@@ -65,7 +65,7 @@
         self.assertEqual(self.broken(), ["REFUSED"])
 
     def test_runs_that_nobody_asked_for_are_seen(self):
-        self.ledger.note_sent("r2", "/r", is_repeatable=True, has_key=False)
+        self.ledger.record_sent("r2", "/r", is_repeatable=True, has_key=False)
         self.ledger.check_runs(
             [
                 ran("x"),
