--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -152,7 +152,7 @@
                     continue
                 peer.counters.keep_copies(daemon.daemon_id, news.parts)
                 if news.held_number:
-                    peer.counters.on_held(
+                    peer.counters.on_copies_acknowledged(
                         daemon.daemon_id,
                         daemon.epoch,
                         news.held_epoch,
--- a/benchmarks/slope_usage.py
+++ b/benchmarks/slope_usage.py
@@ -93,7 +93,7 @@
         used_s += time.process_time() - started_s
         for peer, usage in told.items():
             newest = max(part.number for part in usage.parts)
-            counters.on_held(peer, _EPOCH, _EPOCH, newest)
+            counters.on_copies_acknowledged(peer, _EPOCH, _EPOCH, newest)
     return used_s / _TICKS * _US_PER_S
 
 
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -118,7 +118,9 @@
                 newest = self._to_tell.get(sender, (0, 0))
                 self._to_tell[sender] = max(newest, (part.epoch, part.number))
 
-    def on_held(self, peer: str, incarnation: int, epoch: int, number: int):
+    def on_copies_acknowledged(
+        self, peer: str, incarnation: int, epoch: int, number: int
+    ):
         """Notes that a peer keeps this daemon's parts up to `number`."""
         if epoch != self.epoch:
             return
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -179,7 +179,7 @@
         if usage.parts:
             counters.keep_copies(sender, usage.parts)
         if usage.held_number:
-            counters.on_held(
+            counters.on_copies_acknowledged(
                 sender, incarnation, usage.held_epoch, usage.held_number
             )
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -142,7 +142,7 @@
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
             case UsageHeld():
-                self._counters.on_held(
+                self._counters.on_copies_acknowledged(
                     envelope.sender,
                     envelope.incarnation,
                     message.epoch,
