--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -218,7 +218,7 @@
         account="yard", secret_hash=hash_secret(key.secret, HASH_KEY)
     )
     table.replace_keys({**table._keys, key.key_id: entry})
-    return processor_us(lambda: table.account_of(key))
+    return processor_us(lambda: table.authenticate(key))
 
 
 def _metrics(count: int) -> Metrics:
