--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -276,7 +276,9 @@
             endpoint.open[self._tokens] = _OpenRequest(route, now_s, patience_s)
         return self._tokens
 
-    def note_answered(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_answered(
+        self, endpoint_id: str, token: int, now_s: float
+    ) -> None:
         """Counts a whole answer; its time tells the endpoint's pace."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -26,7 +26,7 @@
 
     def answer(self, name, took_s, at_s, route="r"):
         token = self.directory.record_sent(name, route, at_s - took_s)
-        self.directory.note_answered(name, token, at_s)
+        self.directory.record_answered(name, token, at_s)
 
     def warm_up(self):
         for n in range(12):
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -252,7 +252,7 @@
         self._learn(endpoint_id, read, now_s)
         if not read.is_not_run:
             if answer.status < _FIRST_FAULT_STATUS:
-                self._directory.note_answered(endpoint_id, token, now_s)
+                self._directory.record_answered(endpoint_id, token, now_s)
             else:
                 self._directory.note_cancelled(endpoint_id, token)
             return Outcome(AttemptAnswered(action.attempt), answer)
