--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -155,7 +155,7 @@
                     peer.counters.on_copies_acknowledged(
                         daemon.daemon_id,
                         daemon.epoch,
-                        news.held_epoch,
+                        news.acked_epoch,
                         news.held_number,
                     )
 
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -24,12 +24,12 @@
 
     Attributes:
         parts: Parts for it to keep until they are sealed.
-        held_epoch: Its epoch that `held_number` belongs to.
+        acked_epoch: Its epoch that `held_number` belongs to.
         held_number: Newest of its parts kept here; 0 for nothing to tell.
     """
 
     parts: tuple[UsagePart, ...] = ()
-    held_epoch: int = 0
+    acked_epoch: int = 0
     held_number: int = 0
 
 
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -180,7 +180,7 @@
             counters.keep_copies(sender, usage.parts)
         if usage.held_number:
             counters.on_copies_acknowledged(
-                sender, incarnation, usage.held_epoch, usage.held_number
+                sender, incarnation, usage.acked_epoch, usage.held_number
             )
 
     @rule(seconds=st.sampled_from([1.1, 4.0, 13.0, 25.0]))
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -239,7 +239,7 @@
         messages.append(UsageCopy(parts=told.parts))
     if told.held_number:
         messages.append(
-            UsageHeld(epoch=told.held_epoch, number=told.held_number)
+            UsageHeld(epoch=told.acked_epoch, number=told.held_number)
         )
     return messages
 
