--- a/daisyhub/lots/__init__.py
+++ b/daisyhub/lots/__init__.py
@@ -2,7 +2,7 @@
 
 from daisyhub.lots._calls import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.lots._dispatch_core import DispatchCore
-from daisyhub.lots._filter import HandedInLotsFilter
+from daisyhub.lots._filter import SubmittedLotsFilter
 from daisyhub.lots._holder import HolderTools, LotHolder
 from daisyhub.lots._listing_core import ListingCore
 from daisyhub.lots._lot_store import LotStore
@@ -23,7 +23,7 @@
     "DispatchCore",
     "EndLot",
     "EventReader",
-    "HandedInLotsFilter",
+    "SubmittedLotsFilter",
     "HolderTools",
     "ItemResult",
     "ItemRunner",
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -13,7 +13,7 @@
 from daisyhub.messages import Request, Response
 from daisyhub.objects import ObjectStoreError
 
-__all__ = ["HandedInLotsFilter"]
+__all__ = ["SubmittedLotsFilter"]
 
 _ACCEPTED = 202
 _OK = 200
@@ -24,7 +24,7 @@
 _JSON = (b"content-type", b"application/json")
 
 
-class HandedInLotsFilter(Filter):
+class SubmittedLotsFilter(Filter):
     """Accepts lots and serves their results.
 
     Args:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -45,13 +45,13 @@
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
-    HandedInLotsFilter,
     HolderTools,
     ItemRunner,
     LotHolder,
     LotReader,
     LotStore,
     RewardCaller,
+    SubmittedLotsFilter,
 )
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
@@ -288,7 +288,7 @@
                 FindRouteFilter(self.manifests),
                 KeyFilter(self.manifests),
                 BodyFilter(self.manifests),
-                HandedInLotsFilter(
+                SubmittedLotsFilter(
                     self.lots,
                     self.reader,
                     self._lot_wire,
