--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -154,7 +154,7 @@
         return self.snapshot.head.version if self.snapshot else 0
 
     @property
-    def known_contents(self) -> dict[str, str]:
+    def active_parts(self) -> dict[str, str]:
         """Part digest to text of the version in force."""
         return self.snapshot.contents if self.snapshot else {}
 
@@ -209,14 +209,14 @@
             for digest, text in event.contents.items()
             if digest_of(text) == digest
         }
-        contents = {**self.known_contents, **self._fetched}
+        contents = {**self.active_parts, **self._fetched}
         return self._adopt(PLATFORM, self._platform_head, contents, now_s)
 
     def _on_peer_parts(
         self, event: PeerStateFetched, now_s: float
     ) -> list[object]:
         withdrawn = self._withdraw(event.withdrawn)
-        contents = {**self.known_contents, **event.contents}
+        contents = {**self.active_parts, **event.contents}
         return withdrawn + self._adopt(
             event.daemon_id, event.head, contents, now_s
         )
@@ -297,7 +297,7 @@
 
     def _fetch(self, name: str) -> object:
         if name != PLATFORM:
-            return FetchFromPeer(name, tuple(sorted(self.known_contents)))
-        known = self.known_contents.keys() | self._fetched.keys()
+            return FetchFromPeer(name, tuple(sorted(self.active_parts)))
+        known = self.active_parts.keys() | self._fetched.keys()
         missing = self._platform_head.digests - known
         return FetchParts(tuple(sorted(missing)))
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -300,7 +300,7 @@
         head = core.snapshot.head if core.snapshot else ConfigHead()
         texts = {
             digest: text
-            for digest, text in core.known_contents.items()
+            for digest, text in core.active_parts.items()
             if digest not in action.known_digests
         }
         texts = self.damage(texts, how)
@@ -350,7 +350,7 @@
             daemon.seen_withdrawn = core.withdrawn
             if core.snapshot is None:
                 continue
-            own = join_sections(core.snapshot.head, core.known_contents)
+            own = join_sections(core.snapshot.head, core.active_parts)
             assert own == self.truth[core.version], "mixed sections"
 
     def teardown(self):
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -145,7 +145,7 @@
         known = set(fetch.known_digests)
         contents = {
             digest: text
-            for digest, text in self._core.known_contents.items()
+            for digest, text in self._core.active_parts.items()
             if digest not in known
         }
         return ConfigParts(
