--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -304,7 +304,9 @@
         endpoint.pace = known + _PACE_SHARE * (ratio - known)
         endpoint.paced_at_s = now_s
 
-    def note_overdue(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_abandoned(
+        self, endpoint_id: str, token: int, now_s: float
+    ) -> None:
         """Counts a request that was given up before its answer came.
 
         One that waited longer than usual tells that the endpoint is slow.
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -57,7 +57,7 @@
         for _ in range(20):
             self.answer("a", 1.1, 3.0, route="long")
             token = self.directory.record_sent("b", "never", 1.9)
-            self.directory.note_overdue("b", token, 3.0)
+            self.directory.record_abandoned("b", token, 3.0)
         self.assertAlmostEqual(self.directory.usual_s("r"), 0.03)
         self.assertLess(self.directory.get("a").expected_pace(3.0), 1.5)
         self.assertLess(self.directory.get("b").expected_pace(3.0), 1.5)
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -208,7 +208,7 @@
             )
         except anyio.get_cancelled_exc_class():
             now_s = time.monotonic()
-            self._directory.note_overdue(endpoint_id, token, now_s)
+            self._directory.record_abandoned(endpoint_id, token, now_s)
             raise
         finally:
             took_s = time.monotonic() - sent_s
