--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -151,12 +151,12 @@
                 if news is None:
                     continue
                 peer.counters.keep_copies(daemon.daemon_id, news.parts)
-                if news.held_number:
+                if news.acked_number:
                     peer.counters.on_copies_acknowledged(
                         daemon.daemon_id,
                         daemon.epoch,
                         news.acked_epoch,
-                        news.held_number,
+                        news.acked_number,
                     )
 
     def _step(self) -> None:
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -24,13 +24,13 @@
 
     Attributes:
         parts: Parts for it to keep until they are sealed.
-        acked_epoch: Its epoch that `held_number` belongs to.
-        held_number: Newest of its parts kept here; 0 for nothing to tell.
+        acked_epoch: Its epoch that `acked_number` belongs to.
+        acked_number: Newest of its parts kept here; 0 for nothing to tell.
     """
 
     parts: tuple[UsagePart, ...] = ()
     acked_epoch: int = 0
-    held_number: int = 0
+    acked_number: int = 0
 
 
 class UsageCounters:
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -87,7 +87,7 @@
         self.assertEqual(list(told), ["b", "c"])
         b.keep_copies("a", told["b"].parts)
         back = b.tick({"a": 1})["a"]
-        a.on_copies_acknowledged("b", 1, back.acked_epoch, back.held_number)
+        a.on_copies_acknowledged("b", 1, back.acked_epoch, back.acked_number)
         self.assertEqual(a.unkept_requests, 0)
         self.assertEqual(list(a.tick(live)), ["c"])
         self.assertFalse(b.orphans({"a": 1}))
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -178,9 +178,9 @@
         counters = self.daemons[peer].counters
         if usage.parts:
             counters.keep_copies(sender, usage.parts)
-        if usage.held_number:
+        if usage.acked_number:
             counters.on_copies_acknowledged(
-                sender, incarnation, usage.acked_epoch, usage.held_number
+                sender, incarnation, usage.acked_epoch, usage.acked_number
             )
 
     @rule(seconds=st.sampled_from([1.1, 4.0, 13.0, 25.0]))
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -237,9 +237,9 @@
     messages = []
     if told.parts:
         messages.append(UsageCopy(parts=told.parts))
-    if told.held_number:
+    if told.acked_number:
         messages.append(
-            UsageHeld(epoch=told.acked_epoch, number=told.held_number)
+            UsageHeld(epoch=told.acked_epoch, number=told.acked_number)
         )
     return messages
 
