--- a/daisyhub/lots/__init__.py
+++ b/daisyhub/lots/__init__.py
@@ -3,7 +3,7 @@
 from daisyhub.lots._calls import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.lots._dispatch_core import DispatchCore
 from daisyhub.lots._filter import SubmittedLotsFilter
-from daisyhub.lots._holder import HolderTools, LotHolder
+from daisyhub.lots._holder import LotHolder, LotHolderDependencies
 from daisyhub.lots._listing_core import ListingCore
 from daisyhub.lots._lot_store import LotStore
 from daisyhub.lots._reader import LotReader
@@ -24,7 +24,7 @@
     "EndLot",
     "EventReader",
     "SubmittedLotsFilter",
-    "HolderTools",
+    "LotHolderDependencies",
     "ItemResult",
     "ItemRunner",
     "ItemSpec",
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -54,7 +54,7 @@
     ObjectStoreError,
 )
 
-__all__ = ["HolderTools", "LotHolder"]
+__all__ = ["LotHolderDependencies", "LotHolder"]
 
 # Seconds between looks at silent runs and free slots; a few events' time.
 _TICK_S = 0.1
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HolderTools:
+class LotHolderDependencies:
     """What a holder works with.
 
     Attributes:
@@ -153,7 +153,7 @@
 
     name = "lot_holder"
 
-    def __init__(self, duty: DutyController, tools: HolderTools):
+    def __init__(self, duty: DutyController, tools: LotHolderDependencies):
         super().__init__(duty)
         self._tools = tools
         self._core = DispatchCore()
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -45,9 +45,9 @@
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
-    HolderTools,
     ItemRunner,
     LotHolder,
+    LotHolderDependencies,
     LotReader,
     LotStore,
     RewardCaller,
@@ -233,7 +233,7 @@
 
     def _build_lots(self) -> None:
         self.lots = LotStore(self.store)
-        tools = HolderTools(
+        tools = LotHolderDependencies(
             store=self.store,
             lots=self.lots,
             directory=self.directory,
