--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -22,10 +22,10 @@
     LeaseFactory,
     LoadBook,
     ObservedEndpoint,
-    OrderAnswered,
     OrderBook,
     OrderCore,
     OrderFailed,
+    OrderResponseReceived,
     OrderTick,
     PlatformClient,
     PoolState,
@@ -186,4 +186,4 @@
             log.warning("order {} is in doubt: {}", order.order_id, exc)
             return OrderFailed(order.order_id)
         log.info("order {} {}: {}", order.order_id, order.kind, endpoint_id)
-        return OrderAnswered(order.order_id, endpoint_id)
+        return OrderResponseReceived(order.order_id, endpoint_id)
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -23,7 +23,7 @@
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
-    "OrderAnswered",
+    "OrderResponseReceived",
     "OrderBook",
     "OrderCore",
     "OrderFailed",
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderAnswered:
+class OrderResponseReceived:
     """The platform has taken the order, or refused it for good.
 
     Attributes:
@@ -184,7 +184,7 @@
             case BookWriteRefused() | BookAccessFailed():
                 self._forget()
                 return []
-            case OrderAnswered():
+            case OrderResponseReceived():
                 self._answers[event.order_id] = event.endpoint_id
                 return []
             case OrderFailed():
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -22,10 +22,10 @@
     BookWritten,
     LoadBook,
     ObservedEndpoint,
-    OrderAnswered,
     OrderBook,
     OrderCore,
     OrderFailed,
+    OrderResponseReceived,
     OrderTick,
     PoolState,
     SendOrder,
@@ -161,18 +161,20 @@
         if known is not None:
             assert known == (order.kind, order.pool, order.cheap), known
             started = f"e-{order.order_id}"
-            return OrderAnswered(order.order_id, order.endpoint_id or started)
+            return OrderResponseReceived(
+                order.order_id, order.endpoint_id or started
+            )
         if self.checks_fencing and action.fencing < self.highest_fencing:
-            return OrderAnswered(order.order_id, "")
+            return OrderResponseReceived(order.order_id, "")
         self.highest_fencing = max(self.highest_fencing, action.fencing)
         self.taken[order.order_id] = (order.kind, order.pool, order.cheap)
         if order.kind == "stop":
             if order.endpoint_id in self.live:
                 self.leaving.add(order.endpoint_id)
-            return OrderAnswered(order.order_id, order.endpoint_id)
+            return OrderResponseReceived(order.order_id, order.endpoint_id)
         started = f"e-{order.order_id}"
         self.live[started] = order.cheap
-        return OrderAnswered(order.order_id, started)
+        return OrderResponseReceived(order.order_id, started)
 
     @invariant()
     def the_budget_holds(self):
