--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -330,7 +330,7 @@
         rest_s = _FIRST_REST_S * 2 ** (endpoint.failures - 1)
         endpoint.resting_until_s = now_s + min(rest_s, _LONGEST_REST_S)
 
-    def note_cancelled(self, endpoint_id: str, token: int) -> None:
+    def record_closed(self, endpoint_id: str, token: int) -> None:
         """Counts a request that its caller gave up."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -254,14 +254,14 @@
             if answer.status < _FIRST_FAULT_STATUS:
                 self._directory.record_answered(endpoint_id, token, now_s)
             else:
-                self._directory.note_cancelled(endpoint_id, token)
+                self._directory.record_closed(endpoint_id, token)
             return Outcome(AttemptAnswered(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
             self._directory.note_failed(endpoint_id, token, now_s)
         else:
-            self._directory.note_cancelled(endpoint_id, token)
+            self._directory.record_closed(endpoint_id, token)
         return _failed(action, Ran.NOT_RUN)
 
     def _learn(
