--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -18,12 +18,12 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
     ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
+    ClaimRequested,
     ClaimSettled,
     ClaimStored,
     ClaimTick,
@@ -69,7 +69,7 @@
     "AttemptAnswered",
     "AttemptFailed",
     "Begin",
-    "ClaimAsked",
+    "ClaimRequested",
     "ClaimConflict",
     "ClaimController",
     "ClaimCore",
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -14,12 +14,12 @@
 )
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
     ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
+    ClaimRequested,
     ClaimStored,
     ClaimTick,
     ClaimWriteLost,
@@ -49,7 +49,7 @@
         self._write_ids = itertools.count(1)
         self._changed = anyio.Event()
 
-    async def claim(self, event: ClaimAsked, deadline_s: float) -> object:
+    async def claim(self, event: ClaimRequested, deadline_s: float) -> object:
         """Asks for a key; returns what to do with its request."""
         return await self._decide(event, deadline_s)
 
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -17,12 +17,12 @@
 from daisyhub.base import Core
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
     ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
+    ClaimRequested,
     ClaimSettled,
     ClaimStored,
     ClaimTick,
@@ -94,7 +94,7 @@
         match event:
             case ClaimTick():
                 return self._on_tick(now_s)
-            case ClaimAsked():
+            case ClaimRequested():
                 return self._on_asked(event)
             case ClaimDropped():
                 return self._on_dropped(event, now_s)
@@ -106,7 +106,7 @@
                 return self._on_read(event)
         raise TypeError(f"not a claim event: {event!r}")
 
-    def _on_asked(self, event: ClaimAsked) -> list[object]:
+    def _on_asked(self, event: ClaimRequested) -> list[object]:
         known = self._find_known(event.name)
         if known is not None:
             if known.record.request_digest != event.request_digest:
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -8,7 +8,7 @@
 from daisyhub.exceptions import ErrorCode, Ran
 
 __all__ = [
-    "ClaimAsked",
+    "ClaimRequested",
     "ClaimConflict",
     "ClaimDropped",
     "ClaimFound",
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimAsked:
+class ClaimRequested:
     """A request with an idempotency key came.
 
     Attributes:
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -11,7 +11,7 @@
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
+    ClaimRequested,
     KeptAnswer,
     RefuseRepeat,
     ReplayAnswer,
@@ -55,7 +55,7 @@
         keys = req.header_values(b"idempotency-key")
         if not keys or req.route is None or req.route.idempotent:
             return await call_next(req)
-        event = ClaimAsked(
+        event = ClaimRequested(
             attempt=req.request_id,
             name=_claim_name(req.account, keys[0]),
             request_digest=_request_digest(req),
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -13,12 +13,12 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
-    ClaimAsked,
     ClaimConflict,
     ClaimCore,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
+    ClaimRequested,
     ClaimSettled,
     ClaimStored,
     ClaimTick,
@@ -87,7 +87,7 @@
         """A caller sends or repeats a request; it gets as far as faults."""
         self.count += 1
         attempt = f"a{self.count}"
-        self.feed(process, key, ClaimAsked(attempt, key, "digest"))
+        self.feed(process, key, ClaimRequested(attempt, key, "digest"))
         for fault in faults:
             self.go_on(attempt, fault, ending)
 
@@ -259,21 +259,21 @@
 
     def test_a_concurrent_repeat_and_another_body_are_refused(self):
         core = ClaimCore()
-        core.handle(ClaimAsked("a1", "k", "digest"), 0.0)
+        core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         for digest, error in (
             ("digest", ErrorCode.CLAIM_IN_PROGRESS),
             ("other", ErrorCode.CLAIM_MISMATCH),
         ):
-            (action,) = core.handle(ClaimAsked("a2", "k", digest), 0.0)
+            (action,) = core.handle(ClaimRequested("a2", "k", digest), 0.0)
             self.assertEqual(action.error, error)
 
     def test_an_answer_is_replayed_while_the_store_is_down(self):
         core = ClaimCore()
         answer = KeptAnswer(status=201, body=b"one")
-        core.handle(ClaimAsked("a1", "k", "digest"), 0.0)
+        core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
         core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
         settled = core.handle(ClaimWriteLost("a1"), 0.0)
         self.assertEqual(settled, [ClaimSettled("a1")])
-        (action,) = core.handle(ClaimAsked("a2", "k", "digest"), 1.0)
+        (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
         self.assertEqual(action, ReplayAnswer("a2", answer))
