--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -176,7 +176,7 @@
         return unkept
 
     @property
-    def held(self) -> int:
+    def copy_count(self) -> int:
         """How many parts of peers are kept here."""
         return len(self._held)
 
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -95,7 +95,7 @@
         ledger = seal("busan", Ledger(), told["b"].parts, 60, WINDOW_S)
         for counters in (a, b):
             counters.forget(Marks(ledger))
-        self.assertEqual((a.unsealed, b.held), (0, 0))
+        self.assertEqual((a.unsealed, b.copy_count), (0, 0))
 
     def test_a_long_backlog_is_cut_more_rarely(self):
         counters = UsageCounters("a", 1, WINDOW_S)
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -108,7 +108,7 @@
             "last_sealed": self._seal_core.last_sealed,
             "unsealed_parts": self._counters.unsealed,
             "unkept_requests": self._counters.unkept_requests,
-            "held_parts": self._counters.held,
+            "held_parts": self._counters.copy_count,
         }
 
     async def run(self) -> None:
