--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -217,7 +217,7 @@
             self._held.clear()
             self._scopes.clear()
 
-    async def keep_texts(self) -> None:
+    async def save_unfinished_texts(self) -> None:
         """Keeps the text of unfinished items in the store."""
         with anyio.move_on_after(_KEEPING_S):
             async with anyio.create_task_group() as tasks:
@@ -245,7 +245,7 @@
         """Keeps texts now and then, for the case that this daemon dies."""
         while True:
             await anyio.sleep(_KEEP_S)
-            await self.keep_texts()
+            await self.save_unfinished_texts()
 
     def _tick(self) -> None:
         tools = self._tools
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -502,7 +502,7 @@
         self.log.note("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
-        await self.holder.keep_texts()
+        await self.holder.save_unfinished_texts()
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
