--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -24,7 +24,7 @@
     ObservedEndpoint,
     OrderBook,
     OrderCore,
-    OrderFailed,
+    OrderOutcomeUnknown,
     OrderResponseReceived,
     OrderTick,
     PlatformClient,
@@ -177,13 +177,13 @@
         if self._cfg.orders_check_fencing:
             extra_s = 0.0
         if self._lease.fencing_with_margin(extra_s) != action.fencing:
-            return OrderFailed(order.order_id)
+            return OrderOutcomeUnknown(order.order_id)
         try:
             endpoint_id = await self._client.send_order(
                 self._cfg.failure_domain, order, action.fencing
             )
         except PlatformUnavailableError as exc:
             log.warning("order {} is in doubt: {}", order.order_id, exc)
-            return OrderFailed(order.order_id)
+            return OrderOutcomeUnknown(order.order_id)
         log.info("order {} {}: {}", order.order_id, order.kind, endpoint_id)
         return OrderResponseReceived(order.order_id, endpoint_id)
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -26,7 +26,7 @@
     "OrderResponseReceived",
     "OrderBook",
     "OrderCore",
-    "OrderFailed",
+    "OrderOutcomeUnknown",
     "OrderTick",
     "SendOrder",
     "WriteBook",
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderFailed:
+class OrderOutcomeUnknown:
     """Whether the order took effect is unknown."""
 
     order_id: str
@@ -187,7 +187,7 @@
             case OrderResponseReceived():
                 self._answers[event.order_id] = event.endpoint_id
                 return []
-            case OrderFailed():
+            case OrderOutcomeUnknown():
                 return []
         raise TypeError(f"not an order event: {event!r}")
 
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -24,7 +24,7 @@
     ObservedEndpoint,
     OrderBook,
     OrderCore,
-    OrderFailed,
+    OrderOutcomeUnknown,
     OrderResponseReceived,
     OrderTick,
     PoolState,
@@ -145,7 +145,7 @@
                 self.feed(number, BookAccessFailed() if lost else event)
             case SendOrder():
                 event = self.order(action)
-                failed = OrderFailed(action.order.order_id)
+                failed = OrderOutcomeUnknown(action.order.order_id)
                 self.feed(number, failed if lost else event)
 
     def write(self, action):
