--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -320,7 +320,7 @@
             endpoint.pace = min(_SLOWEST_PACE, ratio)
             endpoint.paced_at_s = now_s
 
-    def note_failed(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_failed(self, endpoint_id: str, token: int, now_s: float) -> None:
         """Counts a failure; the endpoint rests for a time."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -71,7 +71,7 @@
     def test_failures_rest_an_endpoint_for_a_while(self):
         for name in "ab":
             token = self.directory.record_sent(name, "r", 1.0)
-            self.directory.note_failed(name, token, 1.0)
+            self.directory.record_failed(name, token, 1.0)
         self.assertEqual(self.choose(1.1), "c")
         self.assertIn(self.choose(1.1, frozenset("c")), "ab")
 
@@ -99,7 +99,7 @@
 
     def test_a_restart_forgets_what_was_known(self):
         token = self.directory.record_sent("a", "r", 1.0)
-        self.directory.note_failed("a", token, 1.0)
+        self.directory.record_failed("a", token, 1.0)
         self.directory.upsert(entry("a", incarnation=7))
         self.assertEqual(self.directory.get("a").failures, 0)
 
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -198,7 +198,7 @@
             verdict = f"status {answer.status}"
         except RequestFailedError as exc:
             verdict = str(exc)
-            self._directory.note_failed(endpoint_id, token, time.monotonic())
+            self._directory.record_failed(endpoint_id, token, time.monotonic())
             return _failed(
                 action,
                 exc.ran,
@@ -259,7 +259,7 @@
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
-            self._directory.note_failed(endpoint_id, token, now_s)
+            self._directory.record_failed(endpoint_id, token, now_s)
         else:
             self._directory.record_closed(endpoint_id, token)
         return _failed(action, Ran.NOT_RUN)
