--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -18,7 +18,6 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
@@ -28,6 +27,7 @@
     ClaimStored,
     ClaimTick,
     ClaimWriteLost,
+    ClaimWriteRejected,
     ForwardRequest,
     KeptAnswer,
     ReadClaim,
@@ -70,7 +70,7 @@
     "AttemptFailed",
     "Begin",
     "ClaimRequested",
-    "ClaimConflict",
+    "ClaimWriteRejected",
     "ClaimController",
     "ClaimCore",
     "ClaimDropped",
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -14,7 +14,6 @@
 )
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
@@ -23,6 +22,7 @@
     ClaimStored,
     ClaimTick,
     ClaimWriteLost,
+    ClaimWriteRejected,
     ReadClaim,
     RequestEnded,
     WriteClaim,
@@ -116,7 +116,7 @@
                 write_id=f"{action.attempt}-{next(self._write_ids)}",
             )
         except PlatformConflictError:
-            return ClaimConflict(action.attempt)
+            return ClaimWriteRejected(action.attempt)
         except PlatformUnavailableError:
             return ClaimWriteLost(action.attempt)
         return ClaimStored(action.attempt, version)
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -17,7 +17,6 @@
 from daisyhub.base import Core
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters._claim_types import (
-    ClaimConflict,
     ClaimDropped,
     ClaimFound,
     ClaimReadLost,
@@ -27,6 +26,7 @@
     ClaimStored,
     ClaimTick,
     ClaimWriteLost,
+    ClaimWriteRejected,
     ForwardRequest,
     ReadClaim,
     RefuseRepeat,
@@ -100,7 +100,7 @@
                 return self._on_dropped(event, now_s)
             case RequestEnded():
                 return self._on_ended(event)
-            case ClaimStored() | ClaimConflict() | ClaimWriteLost():
+            case ClaimStored() | ClaimWriteRejected() | ClaimWriteLost():
                 return self._on_written(event, now_s)
             case ClaimFound() | ClaimReadLost():
                 return self._on_read(event)
@@ -167,7 +167,7 @@
                 claim.expected_version = event.version
                 self._running[event.attempt] = claim
                 return [ForwardRequest(event.attempt)]
-            case ClaimConflict():
+            case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
         # The write may take effect later: this process alone knows that the
         # attempt never runs.
@@ -264,7 +264,7 @@
             case ClaimStored():
                 self._drop_pending(event.attempt)
                 return []
-            case ClaimConflict():
+            case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
         self._postpone(event.attempt)
         return []
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "ClaimRequested",
-    "ClaimConflict",
+    "ClaimWriteRejected",
     "ClaimDropped",
     "ClaimFound",
     "ClaimReadLost",
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimConflict:
+class ClaimWriteRejected:
     """The attempt's last write met another version: it had no effect."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -13,7 +13,6 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
-    ClaimConflict,
     ClaimCore,
     ClaimDropped,
     ClaimFound,
@@ -23,6 +22,7 @@
     ClaimStored,
     ClaimTick,
     ClaimWriteLost,
+    ClaimWriteRejected,
     ForwardRequest,
     KeptAnswer,
     ReadClaim,
@@ -125,7 +125,7 @@
         if fault == "landed":
             return lost
         if not version:
-            return ClaimConflict(action.attempt)
+            return ClaimWriteRejected(action.attempt)
         return ClaimStored(action.attempt, version)
 
     def land(self, action):
