--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -161,7 +161,7 @@
         }
 
     @property
-    def unsealed(self) -> int:
+    def unsealed_count(self) -> int:
         """How many own parts aren't known to be sealed."""
         return len(self._own) + bool(self._open)
 
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -95,11 +95,11 @@
         ledger = seal("busan", Ledger(), told["b"].parts, 60, WINDOW_S)
         for counters in (a, b):
             counters.forget(Marks(ledger))
-        self.assertEqual((a.unsealed, b.copy_count), (0, 0))
+        self.assertEqual((a.unsealed_count, b.copy_count), (0, 0))
 
     def test_a_long_backlog_is_cut_more_rarely(self):
         counters = UsageCounters("a", 1, WINDOW_S)
         for second in range(3600):
             counters.add("yard", 5, float(second))
             counters.tick({})
-        self.assertLess(counters.unsealed, 800)
+        self.assertLess(counters.unsealed_count, 800)
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -106,7 +106,7 @@
             "fencing": self._lease.fencing,
             "holder": self._lease.observed_holder,
             "last_sealed": self._seal_core.last_sealed,
-            "unsealed_parts": self._counters.unsealed,
+            "unsealed_parts": self._counters.unsealed_count,
             "unkept_requests": self._counters.unkept_requests,
             "held_parts": self._counters.copy_count,
         }
