--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -105,7 +105,7 @@
         """Runs that are open."""
         return len(self._runs)
 
-    def runs_at(self, endpoint_id: str) -> int:
+    def open_run_count(self, endpoint_id: str) -> int:
         """Returns the number of open runs at an engine."""
         engine = self._engines.get(endpoint_id)
         return len(engine.runs) if engine else 0
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -174,9 +174,9 @@
         """Items that run."""
         return self._core.running_items
 
-    def runs_at(self, endpoint_id: str) -> int:
+    def open_run_count(self, endpoint_id: str) -> int:
         """Returns the number of runs open at an engine."""
-        return self._core.runs_at(endpoint_id)
+        return self._core.open_run_count(endpoint_id)
 
     def demand(self) -> dict[str, float]:
         """Returns the tokens asked for by the last lot of each model."""
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -260,7 +260,7 @@
             PlatformEnginePort(self.http, self.log),
             self.directory,
             self.manifests,
-            self.holder.runs_at,
+            self.holder.open_run_count,
             self.holder.demand,
             self.cfg.loads_share,
             self.log,
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -65,7 +65,7 @@
         port: Talks to engines.
         directory: Endpoints.
         manifests: Tells which routes want samples of a single version.
-        runs_at: Tells how many runs are open at an engine.
+        open_run_count: Tells how many runs are open at an engine.
         demand: Tells the work asked for by model.
         loads_share: Share of a model's engines that load at one time.
         log: Where decisions are noted.
@@ -82,7 +82,7 @@
         port: EnginePort,
         directory: EndpointDirectory,
         manifests: ManifestController,
-        runs_at: Callable[[str], int],
+        open_run_count: Callable[[str], int],
         demand: Callable[[], dict[str, float]],
         loads_share: float,
         log: DecisionLog,
@@ -94,7 +94,7 @@
         self._port = port
         self._directory = directory
         self._manifests = manifests
-        self._runs_at = runs_at
+        self._runs_at = open_run_count
         self._demand = demand
         self._loads_share = loads_share
         self._log = log
