--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -284,7 +284,7 @@
     """Returns when to send a second attempt, so that it meets the target."""
     if task.is_streamed or not task.route.idempotent:
         return 0.0
-    latest_s = task.route.target_s - _HEDGE_LEAVES * usual_s
+    latest_s = task.route.target_latency_s - _HEDGE_LEAVES * usual_s
     return max(latest_s, _HEDGE_LEAST * usual_s)
 
 
--- a/daisyhub/platform/_manifest.py
+++ b/daisyhub/platform/_manifest.py
@@ -143,7 +143,7 @@
         kind=RouteKind(found.route_type),
         shares=shares,
         timeout_s=found.timeout_ms / _MS_PER_S,
-        target_s=found.target_latency_ms / _MS_PER_S,
+        target_latency_s=found.target_latency_ms / _MS_PER_S,
         priority=found.priority,
         max_attempts=max(1, found.max_attempts),
         is_open=found.public,
