--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -336,7 +336,7 @@
         if endpoint is not None:
             endpoint.open.pop(token, None)
 
-    def note_load(self, endpoint_id: str, load: int, now_s: float) -> None:
+    def record_load(self, endpoint_id: str, load: int, now_s: float) -> None:
         """Takes the load that an endpoint told."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -63,8 +63,8 @@
         self.assertLess(self.directory.get("b").expected_pace(3.0), 1.5)
 
     def test_load_told_by_others_counts_while_it_is_fresh(self):
-        self.directory.note_load("a", 9, 1.0)
-        self.directory.note_load("b", 9, 1.0)
+        self.directory.record_load("a", 9, 1.0)
+        self.directory.record_load("b", 9, 1.0)
         self.assertEqual(self.choose(1.5), "c")
         self.assertEqual(self.directory.get("a").load(5.0), 0)
 
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -268,7 +268,7 @@
         self, endpoint_id: str, read: EndpointAnswer, now_s: float
     ) -> None:
         if read.load is not None:
-            self._directory.note_load(endpoint_id, read.load, now_s)
+            self._directory.record_load(endpoint_id, read.load, now_s)
 
 
 def _choose_pools(route: Route) -> tuple[str, ...]:
