--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -18,7 +18,7 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimDropped,
+    ClaimCancelled,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
@@ -73,7 +73,7 @@
     "ClaimWriteRejected",
     "ClaimController",
     "ClaimCore",
-    "ClaimDropped",
+    "ClaimCancelled",
     "ClaimFound",
     "ClaimReadLost",
     "ClaimRecord",
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -14,7 +14,7 @@
 )
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimDropped,
+    ClaimCancelled,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
@@ -59,7 +59,7 @@
 
     def drop(self, attempt: str) -> None:
         """Notes that an attempt was cancelled."""
-        self._core.handle(ClaimDropped(attempt), time.monotonic())
+        self._core.handle(ClaimCancelled(attempt), time.monotonic())
         self._wake()
 
     async def run(self) -> None:
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -17,7 +17,7 @@
 from daisyhub.base import Core
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters._claim_types import (
-    ClaimDropped,
+    ClaimCancelled,
     ClaimFound,
     ClaimReadLost,
     ClaimRecord,
@@ -96,7 +96,7 @@
                 return self._on_tick(now_s)
             case ClaimRequested():
                 return self._on_asked(event)
-            case ClaimDropped():
+            case ClaimCancelled():
                 return self._on_dropped(event, now_s)
             case RequestEnded():
                 return self._on_ended(event)
@@ -213,7 +213,7 @@
             self._add_pending(event.attempt, claim, now_s)
         return [ClaimSettled(event.attempt)]
 
-    def _on_dropped(self, event: ClaimDropped, now_s: float) -> list[object]:
+    def _on_dropped(self, event: ClaimCancelled, now_s: float) -> list[object]:
         if event.attempt in self._claiming:
             self._on_claim_written(ClaimWriteLost(event.attempt), now_s)
         if event.attempt in self._running:
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -10,7 +10,7 @@
 __all__ = [
     "ClaimRequested",
     "ClaimWriteRejected",
-    "ClaimDropped",
+    "ClaimCancelled",
     "ClaimFound",
     "ClaimReadLost",
     "ClaimRecord",
@@ -129,7 +129,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimDropped:
+class ClaimCancelled:
     """The attempt was cancelled in the midst of whatever it was doing."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -13,8 +13,8 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
+    ClaimCancelled,
     ClaimCore,
-    ClaimDropped,
     ClaimFound,
     ClaimReadLost,
     ClaimRequested,
@@ -149,7 +149,7 @@
         if ending == "large":
             return RequestEnded(attempt, Ran.RAN)
         if ending == "cut":
-            return ClaimDropped(attempt)
+            return ClaimCancelled(attempt)
         self.answers[key] = KeptAnswer(status=201, body=attempt.encode())
         return RequestEnded(attempt, Ran.RAN, self.answers[key])
 
