--- a/benchmarks/slope_usage.py
+++ b/benchmarks/slope_usage.py
@@ -62,7 +62,7 @@
     counters = _counters(number)
     for _ in range(_TICKS):
         _count(counters, accounts)
-        counters.cut()
+        counters.cut_parts()
     return counters
 
 
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -62,7 +62,7 @@
         sums[0] += 1
         sums[1] += tokens
 
-    def cut(self) -> None:
+    def cut_parts(self) -> None:
         """Makes parts of all that was counted since the last cut."""
         by_window: dict[int, list[PartCount]] = {}
         for (window, account), (requests, tokens) in sorted(self._open.items()):
@@ -92,7 +92,7 @@
         self._ticks += 1
         unflushed = len(self._own) - len(self._flushed)
         if self._ticks > unflushed // _PARTS_PER_CUT_TICK:
-            self.cut()
+            self.cut_parts()
         self._acknowledged = {
             peer: number
             for peer, number in self._acknowledged.items()
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -136,7 +136,7 @@
         window = window_of(event.wall_s, self._counters.window_s)
         end_wall_s = window + self._counters.window_s
         self._window_end_s = now_s + end_wall_s - event.wall_s
-        self._counters.cut()
+        self._counters.cut_parts()
         self._orphans = self._counters.orphans(event.live)
         self._is_waiting = True
         self._is_done = False
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -333,7 +333,7 @@
         if self.starts[name] >= MOST_STARTS:
             return
         counters = self.daemons[name].counters
-        counters.cut()
+        counters.cut_parts()
         gone = counters.own_parts() + counters.orphans({})
         self.stalled.pop((name, "flush"), None)
         self.stalled.pop((name, "seal"), None)
