--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -94,7 +94,7 @@
         self._port = port
         self._directory = directory
         self._manifests = manifests
-        self._runs_at = open_run_count
+        self._open_run_count = open_run_count
         self._demand = demand
         self._loads_share = loads_share
         self._log = log
@@ -200,7 +200,7 @@
             endpoint_id=entry.endpoint_id,
             incarnation=entry.incarnation,
             versions=entry.versions,
-            runs=self._runs_at(entry.endpoint_id),
+            runs=self._open_run_count(entry.endpoint_id),
             model=self._serves.get(entry.endpoint_id, ""),
         )
 
