--- a/daisyhub/catalog/_types.py
+++ b/daisyhub/catalog/_types.py
@@ -102,7 +102,7 @@
     """
 
     least: int
-    most: int
+    max_endpoints: int
     boot_s: float
     cheap_price: float
     domain_prices: dict[str, float]
--- a/daisyhub/platform/_manifest.py
+++ b/daisyhub/platform/_manifest.py
@@ -166,7 +166,7 @@
         if scaling is None
         else PoolScaling(
             least=scaling.min,
-            most=scaling.max,
+            max_endpoints=scaling.max,
             boot_s=scaling.boot_time_s,
             cheap_price=scaling.spot_price,
             domain_prices=scaling.zone_prices,
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -87,7 +87,7 @@
         self.assertEqual(manifest.find_account("k2").name, "t")
         self.assertIsNone(manifest.find_account("k3"))
         self.assertEqual(manifest.pools["s1"].models, ("m",))
-        self.assertEqual(manifest.pools["s1"].scaling.most, 3)
+        self.assertEqual(manifest.pools["s1"].scaling.max_endpoints, 3)
 
     def test_what_can_not_be_read_leaves_the_one_in_force(self):
         lines = []
