--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -344,7 +344,9 @@
             endpoint.told_at_s = now_s
             endpoint.heard_at_s = now_s
 
-    def note_versions(self, endpoint_id: str, versions: dict[str, int]) -> None:
+    def record_versions(
+        self, endpoint_id: str, versions: dict[str, int]
+    ) -> None:
         """Takes the weights that an engine reports, newer than its entry."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -249,5 +249,5 @@
         if report is None:
             self._handle(core, ReportFailed(action.endpoint_id))
             return
-        self._directory.note_versions(action.endpoint_id, report.versions)
+        self._directory.record_versions(action.endpoint_id, report.versions)
         self._handle(core, ReportRead(action.endpoint_id, report))
