--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -19,7 +19,7 @@
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
-    ClaimFound,
+    ClaimReadCompleted,
     ClaimReadLost,
     ClaimRecord,
     ClaimRequested,
@@ -74,7 +74,7 @@
     "ClaimController",
     "ClaimCore",
     "ClaimCancelled",
-    "ClaimFound",
+    "ClaimReadCompleted",
     "ClaimReadLost",
     "ClaimRecord",
     "ClaimSettled",
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -15,7 +15,7 @@
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
-    ClaimFound,
+    ClaimReadCompleted,
     ClaimReadLost,
     ClaimRecord,
     ClaimRequested,
@@ -127,9 +127,9 @@
         ):
             found = await self._client.get(action.name)
             if found is None:
-                return ClaimFound(action.attempt, None, 0)
+                return ClaimReadCompleted(action.attempt, None, 0)
             record = msgspec.convert(found.value, ClaimRecord)
-            return ClaimFound(action.attempt, record, found.version)
+            return ClaimReadCompleted(action.attempt, record, found.version)
         return ClaimReadLost(action.attempt)
 
 
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -18,7 +18,7 @@
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
-    ClaimFound,
+    ClaimReadCompleted,
     ClaimReadLost,
     ClaimRecord,
     ClaimRequested,
@@ -102,7 +102,7 @@
                 return self._on_ended(event)
             case ClaimStored() | ClaimWriteRejected() | ClaimWriteLost():
                 return self._on_written(event, now_s)
-            case ClaimFound() | ClaimReadLost():
+            case ClaimReadCompleted() | ClaimReadLost():
                 return self._on_read(event)
         raise TypeError(f"not a claim event: {event!r}")
 
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -11,7 +11,7 @@
     "ClaimRequested",
     "ClaimWriteRejected",
     "ClaimCancelled",
-    "ClaimFound",
+    "ClaimReadCompleted",
     "ClaimReadLost",
     "ClaimRecord",
     "ClaimSettled",
@@ -98,7 +98,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimFound:
+class ClaimReadCompleted:
     """A read was answered; `record` is None if there is no object."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -15,7 +15,7 @@
 from daisyhub.filters import (
     ClaimCancelled,
     ClaimCore,
-    ClaimFound,
+    ClaimReadCompleted,
     ClaimReadLost,
     ClaimRequested,
     ClaimSettled,
@@ -115,7 +115,7 @@
             if fault:
                 return ClaimReadLost(action.attempt)
             version, record = self.store.get(action.name, (0, None))
-            return ClaimFound(action.attempt, record, version)
+            return ClaimReadCompleted(action.attempt, record, version)
         if fault == "late":
             self.late.append(action)
             return lost
