--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -29,7 +29,7 @@
 _US = 1_000_000
 
 
-def measure_core_us(loads_at_once: int) -> float:
+def measure_core_us(max_concurrent_loads: int) -> float:
     """Returns the core's microseconds for each order of one roll-out."""
     core = WeightCore(2.0)
     engines = tuple(
@@ -38,7 +38,7 @@
     )
     start_s = time.process_time()
     core.handle(VersionPublished("model", 1), 0.0)
-    rules = {"model": RolloutPolicy(loads_at_once, True)}
+    rules = {"model": RolloutPolicy(max_concurrent_loads, True)}
     core.handle(EnginesListed(engines, rules), 0.0)
     orders = core.handle(WeightTick(True), 0.0)
     sent = 0
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -33,11 +33,11 @@
     """How a pool's engines take orders.
 
     Attributes:
-        loads_at_once: Engines that may load at the same time.
+        max_concurrent_loads: Engines that may load at the same time.
         checks_fencing: Whether they refuse old fencing numbers.
     """
 
-    loads_at_once: int
+    max_concurrent_loads: int
     checks_fencing: bool
 
 
@@ -249,7 +249,7 @@
         for pool, due in self._due.items():
             rule = self._rules[pool]
             loading = self._loading.setdefault(pool, set())
-            while due and len(loading) < rule.loads_at_once:
+            while due and len(loading) < rule.max_concurrent_loads:
                 engine = self._engines[due.pop()]
                 if engine.endpoint_id not in loading:
                     loading.add(engine.endpoint_id)
