--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -132,7 +132,7 @@
         return DutyTick(
             is_first=self._is_first(live),
             is_holder_live=is_live,
-            is_alone=len(live) < len(self._peers.all()),
+            has_lost_peers=len(live) < len(self._peers.all()),
             seen_fencing=max(numbers, default=0),
         )
 
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -95,7 +95,7 @@
         runner: Runs items at engines.
         rewards: Makes reward calls.
         is_loading: Whether an engine is loading weights.
-        is_alone: Whether daemons that were heard before are silent now.
+        has_lost_peers: Whether daemons that were heard before are silent now.
         clock: The true time.
         metrics: Counts runs.
         log: Where decisions are noted.
@@ -109,7 +109,7 @@
     runner: ItemRunner
     rewards: RewardCaller
     is_loading: Callable[[str], bool]
-    is_alone: Callable[[], bool]
+    has_lost_peers: Callable[[], bool]
     clock: TrueClock
     metrics: Metrics
     log: DecisionLog
@@ -495,7 +495,7 @@
 
     async def _look_up_end(self, held: _Held) -> bool:
         """Reads what another holder may have listed; False if it can't."""
-        is_own = not held.is_inherited and not self._tools.is_alone()
+        is_own = not held.is_inherited and not self._tools.has_lost_peers()
         if is_own or held.listing.is_whole:
             return True
         now_s = time.monotonic()
