--- a/daisyhub/catalog/_types.py
+++ b/daisyhub/catalog/_types.py
@@ -101,7 +101,7 @@
         domain_prices: Price of a regular endpoint by failure domain.
     """
 
-    least: int
+    min_endpoints: int
     max_endpoints: int
     boot_s: float
     cheap_price: float
--- a/daisyhub/platform/_manifest.py
+++ b/daisyhub/platform/_manifest.py
@@ -165,7 +165,7 @@
         scaling=None
         if scaling is None
         else PoolScaling(
-            least=scaling.min,
+            min_endpoints=scaling.min,
             max_endpoints=scaling.max,
             boot_s=scaling.boot_time_s,
             cheap_price=scaling.spot_price,
