--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -245,7 +245,7 @@
         self.feed(AttemptFailed(attempt=attempt, ran=ran, timed_out=timed_out))
 
     def _note(self, attempt: int, *, failed: bool) -> None:
-        self.daemon.table.note_done(
+        self.daemon.table.record_done(
             self._open[attempt].record.endpoint_id,
             failed=failed,
             now_s=self.run.clock.now_s,
@@ -257,7 +257,7 @@
         took_s = now_s - self.started_s + 2 * self.run.site.caller_s
         self.run.outcomes.append((self.account, kind, took_s, server))
         for other in self._open.values():
-            self.daemon.table.note_done(
+            self.daemon.table.record_done(
                 other.record.endpoint_id, failed=False, now_s=now_s
             )
         if self.admitted_s is not None:
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -294,7 +294,7 @@
     def _close(self, number: int, *, failed: bool) -> None:
         now_s = self.run.clock.now_s
         attempt = self._open.pop(number)
-        self.table.note_done(attempt.engine.name, failed=failed, now_s=now_s)
+        self.table.record_done(attempt.engine.name, failed=failed, now_s=now_s)
         if attempt.slot >= 0 and now_s < attempt.ends_s:
             attempt.engine.free(attempt)
 
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -85,7 +85,7 @@
     balancer = LeastLoaded(1)
     suspect = endpoint_records(count)[0].endpoint_id
     for _ in range(_SUSPECT_FAILURES):
-        table.note_done(suspect, failed=True, now_s=1.0)
+        table.record_done(suspect, failed=True, now_s=1.0)
     return processor_us(
         lambda: balancer.choose(table.candidates(_POOL, 1.0, frozenset()))
     )
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -267,7 +267,7 @@
         if state is not None:
             state.own_requests += 1
 
-    def note_done(self, endpoint_id: str, *, failed: bool, now_s: float):
+    def record_done(self, endpoint_id: str, *, failed: bool, now_s: float):
         """Counts a request that ended; failures in a row make it suspect."""
         state = self._endpoints.get(endpoint_id)
         if state is None:
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -138,7 +138,7 @@
                 open_ids.append(state.endpoint_id)
         elif open_ids:
             failed = step == "fail"
-            table.note_done(open_ids.pop(), failed=failed, now_s=self.now_s)
+            table.record_done(open_ids.pop(), failed=failed, now_s=self.now_s)
 
     @invariant()
     def gives_no_work_to_the_leaving(self):
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -113,7 +113,7 @@
             self._http.forget(state.address)
             return None
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=has_failed, now_s=time.monotonic()
             )
         self._table.apply_update(news_from_headers(state, answer.headers))
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -122,7 +122,7 @@
             failed = False
             raise
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
         self._table.apply_update(news_from_headers(state, answer.headers))
