--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -20,7 +20,7 @@
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
     ClaimReadCompleted,
-    ClaimReadLost,
+    ClaimReadFailed,
     ClaimRecord,
     ClaimRequested,
     ClaimSettled,
@@ -75,7 +75,7 @@
     "ClaimCore",
     "ClaimCancelled",
     "ClaimReadCompleted",
-    "ClaimReadLost",
+    "ClaimReadFailed",
     "ClaimRecord",
     "ClaimSettled",
     "ClaimStored",
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -16,7 +16,7 @@
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
     ClaimReadCompleted,
-    ClaimReadLost,
+    ClaimReadFailed,
     ClaimRecord,
     ClaimRequested,
     ClaimStored,
@@ -130,10 +130,10 @@
                 return ClaimReadCompleted(action.attempt, None, 0)
             record = msgspec.convert(found.value, ClaimRecord)
             return ClaimReadCompleted(action.attempt, record, found.version)
-        return ClaimReadLost(action.attempt)
+        return ClaimReadFailed(action.attempt)
 
 
 def _lost(action: ReadClaim | WriteClaim) -> object:
     if isinstance(action, ReadClaim):
-        return ClaimReadLost(action.attempt)
+        return ClaimReadFailed(action.attempt)
     return ClaimWriteLost(action.attempt)
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -19,7 +19,7 @@
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
     ClaimReadCompleted,
-    ClaimReadLost,
+    ClaimReadFailed,
     ClaimRecord,
     ClaimRequested,
     ClaimSettled,
@@ -102,7 +102,7 @@
                 return self._on_ended(event)
             case ClaimStored() | ClaimWriteRejected() | ClaimWriteLost():
                 return self._on_written(event, now_s)
-            case ClaimReadCompleted() | ClaimReadLost():
+            case ClaimReadCompleted() | ClaimReadFailed():
                 return self._on_read(event)
         raise TypeError(f"not a claim event: {event!r}")
 
@@ -181,7 +181,7 @@
             return self._on_pending_read(event)
         if event.attempt not in self._claiming:
             return []
-        if isinstance(event, ClaimReadLost):
+        if isinstance(event, ClaimReadFailed):
             return [self._leave(event.attempt, _unavailable(event.attempt))]
         if event.record is None:
             return self._write_claim(event.attempt, 0)
@@ -271,7 +271,7 @@
 
     def _on_pending_read(self, event) -> list[object]:
         claim = self._pending[event.attempt]
-        if isinstance(event, ClaimReadLost):
+        if isinstance(event, ClaimReadFailed):
             self._postpone(event.attempt)
             return []
         if event.version == claim.expected_version:
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -12,7 +12,7 @@
     "ClaimWriteRejected",
     "ClaimCancelled",
     "ClaimReadCompleted",
-    "ClaimReadLost",
+    "ClaimReadFailed",
     "ClaimRecord",
     "ClaimSettled",
     "ClaimStored",
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimReadLost:
+class ClaimReadFailed:
     """A read was not answered."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -16,7 +16,7 @@
     ClaimCancelled,
     ClaimCore,
     ClaimReadCompleted,
-    ClaimReadLost,
+    ClaimReadFailed,
     ClaimRequested,
     ClaimSettled,
     ClaimStored,
@@ -113,7 +113,7 @@
         lost = ClaimWriteLost(action.attempt)
         if isinstance(action, ReadClaim):
             if fault:
-                return ClaimReadLost(action.attempt)
+                return ClaimReadFailed(action.attempt)
             version, record = self.store.get(action.name, (0, None))
             return ClaimReadCompleted(action.attempt, record, version)
         if fault == "late":
