--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -516,7 +516,7 @@
         held = self._held.get(lot_id)
         return held.head if held and self._duty.fencing else None
 
-    async def answer_head(self, asked: LotHeadAsked) -> LotAnswer:
+    async def handle_head_request(self, asked: LotHeadAsked) -> LotAnswer:
         """Answers a peer whose caller asks for a lot unknown there."""
         head = self.head(asked.lot_id)
         if head is None:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -273,7 +273,7 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.answer_head)
+        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
         self.network.add_callee(LotResultsAsked, self.holder.answer_results)
         self.network.add_callee(LotBodyAsked, self.holder.answer_body)
         self.network.add_receiver(self.holder.receive)
