--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -207,7 +207,7 @@
 
     async def answer_manifest(self, _: ManifestAsked) -> ManifestAnswer:
         """Hands the manifest in force to a peer."""
-        return ManifestAnswer(found=self._manifests.stored)
+        return ManifestAnswer(found=self._manifests.active_object)
 
     def _needs_manifest(self) -> bool:
         if self._is_fetching:
