--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -161,7 +161,7 @@
         self._tokens = 0
         self._cut_domains: frozenset[str] = frozenset()
 
-    def set_cut_domains(self, domains: frozenset[str]) -> None:
+    def set_unreachable_domains(self, domains: frozenset[str]) -> None:
         """Takes the failure domains that seem to be out of reach.
 
         Their endpoints get work only if no other is left.
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -93,7 +93,7 @@
     def test_endpoints_of_a_domain_out_of_reach_come_last(self):
         """A cut-off daemon tried two endpoints it couldn't reach."""
         self.directory.upsert(entry("c", domain="near"))
-        self.directory.set_cut_domains(frozenset({"d"}))
+        self.directory.set_unreachable_domains(frozenset({"d"}))
         self.assertEqual({self.choose(1.0) for _ in range(5)}, {"c"})
         self.assertIn(self.choose(1.0, frozenset("c")), "ab")
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -494,7 +494,9 @@
     def _note_cut_domains(self) -> None:
         """Tells the directory which failure domains seem to be cut off."""
         own = frozenset((self.cfg.failure_domain,))
-        self.directory.set_cut_domains(self.peers.silent_domains() - own)
+        self.directory.set_unreachable_domains(
+            self.peers.silent_domains() - own
+        )
 
     async def _shut_down(self) -> None:
         """Takes no new callers, ends what is open, and goes."""
