--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -21,8 +21,8 @@
     ClaimRequested,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
     ClaimWriteRejected,
+    ClaimWriteUncertain,
     ReadClaim,
     RequestEnded,
     WriteClaim,
@@ -118,7 +118,7 @@
         except PlatformConflictError:
             return ClaimWriteRejected(action.attempt)
         except PlatformUnavailableError:
-            return ClaimWriteLost(action.attempt)
+            return ClaimWriteUncertain(action.attempt)
         return ClaimStored(action.attempt, version)
 
     async def _read(self, action: ReadClaim) -> object:
@@ -136,4 +136,4 @@
 def _lost(action: ReadClaim | WriteClaim) -> object:
     if isinstance(action, ReadClaim):
         return ClaimReadFailed(action.attempt)
-    return ClaimWriteLost(action.attempt)
+    return ClaimWriteUncertain(action.attempt)
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -25,8 +25,8 @@
     ClaimSettled,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
     ClaimWriteRejected,
+    ClaimWriteUncertain,
     ForwardRequest,
     ReadClaim,
     RefuseRepeat,
@@ -100,7 +100,7 @@
                 return self._on_dropped(event, now_s)
             case RequestEnded():
                 return self._on_ended(event)
-            case ClaimStored() | ClaimWriteRejected() | ClaimWriteLost():
+            case ClaimStored() | ClaimWriteRejected() | ClaimWriteUncertain():
                 return self._on_written(event, now_s)
             case ClaimReadCompleted() | ClaimReadFailed():
                 return self._on_read(event)
@@ -215,11 +215,11 @@
 
     def _on_dropped(self, event: ClaimCancelled, now_s: float) -> list[object]:
         if event.attempt in self._claiming:
-            self._on_claim_written(ClaimWriteLost(event.attempt), now_s)
+            self._on_claim_written(ClaimWriteUncertain(event.attempt), now_s)
         if event.attempt in self._running:
             self._on_ended(RequestEnded(event.attempt, Ran.UNKNOWN))
         if event.attempt in self._storing:
-            self._on_final_written(ClaimWriteLost(event.attempt), now_s)
+            self._on_final_written(ClaimWriteUncertain(event.attempt), now_s)
         return []
 
     def _add_pending(self, attempt: str, claim: _Claim, now_s: float) -> None:
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -17,7 +17,7 @@
     "ClaimSettled",
     "ClaimStored",
     "ClaimTick",
-    "ClaimWriteLost",
+    "ClaimWriteUncertain",
     "ForwardRequest",
     "KeptAnswer",
     "ReadClaim",
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimWriteLost:
+class ClaimWriteUncertain:
     """The attempt's last write may or may not take effect, even later."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -21,8 +21,8 @@
     ClaimSettled,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
     ClaimWriteRejected,
+    ClaimWriteUncertain,
     ForwardRequest,
     KeptAnswer,
     ReadClaim,
@@ -110,7 +110,7 @@
         self.feed(process, key, event)
 
     def reach_store(self, action, fault):
-        lost = ClaimWriteLost(action.attempt)
+        lost = ClaimWriteUncertain(action.attempt)
         if isinstance(action, ReadClaim):
             if fault:
                 return ClaimReadFailed(action.attempt)
@@ -217,7 +217,7 @@
     """Broken: sends although the claim's effect is unknown."""
 
     def _on_claim_written(self, event, now_s):
-        if isinstance(event, ClaimWriteLost):
+        if isinstance(event, ClaimWriteUncertain):
             event = ClaimStored(event.attempt, 1)
         return super()._on_claim_written(event, now_s)
 
@@ -273,7 +273,7 @@
         core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
         core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
-        settled = core.handle(ClaimWriteLost("a1"), 0.0)
+        settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
         self.assertEqual(settled, [ClaimSettled("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
         self.assertEqual(action, ReplayAnswer("a2", answer))
