--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -523,7 +523,7 @@
             return LotAnswer(is_held=False)
         return LotAnswer(is_held=True, content=msgspec.json.encode(head))
 
-    async def answer_results(self, asked: LotResultsAsked) -> LotAnswer:
+    async def handle_results_request(self, asked: LotResultsAsked) -> LotAnswer:
         """Answers a peer that reads results for its caller."""
         found = await self.results(asked.lot_id, asked.after, asked.wait_s)
         if found is None:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -274,7 +274,9 @@
             self.log,
         )
         self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
-        self.network.add_callee(LotResultsAsked, self.holder.answer_results)
+        self.network.add_callee(
+            LotResultsAsked, self.holder.handle_results_request
+        )
         self.network.add_callee(LotBodyAsked, self.holder.answer_body)
         self.network.add_receiver(self.holder.receive)
 
