--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -19,7 +19,7 @@
     ReadLease,
     WriteLease,
 )
-from daisyhub.hosting._lease_keeper import (
+from daisyhub.hosting._lease_runner import (
     Lease,
     LeaseFactory,
     rank_candidates,
