--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -260,7 +260,7 @@
         )
         return best.entry.endpoint_id
 
-    def usual_s(self, route: str) -> float:
+    def median_latency_s(self, route: str) -> float:
         """Returns the usual time of an answer of a route."""
         answers = self._answers.get(route)
         return statistics.median_low(answers) if answers else _FIRST_USUAL_S
@@ -272,7 +272,7 @@
         if endpoint is not None:
             patience_s = math.inf
             if len(self._answers.get(route, ())) >= _FEWEST_ANSWERS:
-                patience_s = _SILENT_FACTOR * self.usual_s(route)
+                patience_s = _SILENT_FACTOR * self.median_latency_s(route)
             endpoint.open[self._tokens] = _OpenRequest(route, now_s, patience_s)
         return self._tokens
 
@@ -299,7 +299,7 @@
     def _learn_pace(
         self, endpoint: Endpoint, route: str, took_s: float, now_s: float
     ) -> None:
-        ratio = min(_SLOWEST_PACE, took_s / self.usual_s(route))
+        ratio = min(_SLOWEST_PACE, took_s / self.median_latency_s(route))
         known = endpoint.expected_pace(now_s)
         endpoint.pace = known + _PACE_SHARE * (ratio - known)
         endpoint.paced_at_s = now_s
@@ -315,7 +315,7 @@
         req = endpoint.open.pop(token, None) if endpoint else None
         if req is None or req.patience_s == math.inf:
             return
-        ratio = (now_s - req.sent_s) / self.usual_s(req.route)
+        ratio = (now_s - req.sent_s) / self.median_latency_s(req.route)
         if ratio > endpoint.expected_pace(now_s):
             endpoint.pace = min(_SLOWEST_PACE, ratio)
             endpoint.paced_at_s = now_s
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -58,7 +58,7 @@
             self.answer("a", 1.1, 3.0, route="long")
             token = self.directory.record_sent("b", "never", 1.9)
             self.directory.record_abandoned("b", token, 3.0)
-        self.assertAlmostEqual(self.directory.usual_s("r"), 0.03)
+        self.assertAlmostEqual(self.directory.median_latency_s("r"), 0.03)
         self.assertLess(self.directory.get("a").expected_pace(3.0), 1.5)
         self.assertLess(self.directory.get("b").expected_pace(3.0), 1.5)
 
