--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -23,7 +23,6 @@
     ClaimReadFailed,
     ClaimRecord,
     ClaimRequested,
-    ClaimSettled,
     ClaimStored,
     ClaimTick,
     ClaimWriteRejected,
@@ -34,6 +33,7 @@
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
+    ReturnOutcome,
     WriteClaim,
 )
 from daisyhub.filters._forward import ForwardFilter
@@ -77,7 +77,7 @@
     "ClaimReadCompleted",
     "ClaimReadFailed",
     "ClaimRecord",
-    "ClaimSettled",
+    "ReturnOutcome",
     "ClaimStored",
     "ClaimTick",
     "ClaimWriteUncertain",
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -22,7 +22,6 @@
     ClaimReadFailed,
     ClaimRecord,
     ClaimRequested,
-    ClaimSettled,
     ClaimStored,
     ClaimTick,
     ClaimWriteRejected,
@@ -32,6 +31,7 @@
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
+    ReturnOutcome,
     WriteClaim,
 )
 
@@ -211,7 +211,7 @@
         del self._open_names[claim.name]
         if not isinstance(event, ClaimStored):
             self._add_pending(event.attempt, claim, now_s)
-        return [ClaimSettled(event.attempt)]
+        return [ReturnOutcome(event.attempt)]
 
     def _on_dropped(self, event: ClaimCancelled, now_s: float) -> list[object]:
         if event.attempt in self._claiming:
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -14,7 +14,7 @@
     "ClaimReadCompleted",
     "ClaimReadFailed",
     "ClaimRecord",
-    "ClaimSettled",
+    "ReturnOutcome",
     "ClaimStored",
     "ClaimTick",
     "ClaimWriteUncertain",
@@ -184,7 +184,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimSettled:
+class ReturnOutcome:
     """Action: nothing is left to do; hand over the request's outcome."""
 
     attempt: str
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -18,7 +18,6 @@
     ClaimReadCompleted,
     ClaimReadFailed,
     ClaimRequested,
-    ClaimSettled,
     ClaimStored,
     ClaimTick,
     ClaimWriteRejected,
@@ -29,6 +28,7 @@
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
+    ReturnOutcome,
     WriteClaim,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -274,6 +274,6 @@
         core.handle(ClaimStored("a1", 1), 0.0)
         core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
         settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
-        self.assertEqual(settled, [ClaimSettled("a1")])
+        self.assertEqual(settled, [ReturnOutcome("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
         self.assertEqual(action, ReplayAnswer("a2", answer))
