--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -532,7 +532,7 @@
             return LotAnswer(is_held=False, is_ended=is_ended)
         return LotAnswer(is_held=True, content=msgspec.json.encode(found))
 
-    async def answer_body(self, asked: LotBodyAsked) -> LotAnswer:
+    async def handle_body_request(self, asked: LotBodyAsked) -> LotAnswer:
         """Answers a peer that reads an item's body for its caller."""
         held = self._held.get(asked.lot_id)
         if held is None or held.spec is None or not self._duty.fencing:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -277,7 +277,7 @@
         self.network.add_callee(
             LotResultsAsked, self.holder.handle_results_request
         )
-        self.network.add_callee(LotBodyAsked, self.holder.answer_body)
+        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
