--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -104,7 +104,7 @@
         told_load: Requests that it last told to have in hand.
         told_at_s: When it told.
         failures: Failures in a row.
-        resting_until_s: Until when it gets no new work.
+        backoff_until_s: Until when it gets no new work.
         heard_at_s: When it last sent anything.
         lapsed_at_s: When its entry went while the store was away.
     """
@@ -116,7 +116,7 @@
     told_load: int = 0
     told_at_s: float = -math.inf
     failures: int = 0
-    resting_until_s: float = -math.inf
+    backoff_until_s: float = -math.inf
     heard_at_s: float = -math.inf
     lapsed_at_s: float | None = None
 
@@ -286,7 +286,7 @@
         req = endpoint.open.pop(token, None)
         endpoint.heard_at_s = now_s
         endpoint.failures = 0
-        endpoint.resting_until_s = -math.inf
+        endpoint.backoff_until_s = -math.inf
         if req is None:
             return
         took_s = now_s - req.sent_s
@@ -328,7 +328,7 @@
         endpoint.open.pop(token, None)
         endpoint.failures += 1
         rest_s = _FIRST_REST_S * 2 ** (endpoint.failures - 1)
-        endpoint.resting_until_s = now_s + min(rest_s, _LONGEST_REST_S)
+        endpoint.backoff_until_s = now_s + min(rest_s, _LONGEST_REST_S)
 
     def record_closed(self, endpoint_id: str, token: int) -> None:
         """Counts a request that its caller gave up."""
@@ -365,6 +365,6 @@
 
 
 def _is_doubtful(endpoint: Endpoint, now_s: float) -> bool:
-    if now_s < endpoint.resting_until_s or endpoint.lapsed_at_s is not None:
+    if now_s < endpoint.backoff_until_s or endpoint.lapsed_at_s is not None:
         return True
     return endpoint.is_silent(now_s)
--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -222,7 +222,7 @@
         engine = self._engines.get(run.endpoint_id)
         if engine is not None:
             engine.failures = 0
-            engine.resting_until_s = min(engine.resting_until_s, now_s)
+            engine.backoff_until_s = min(engine.backoff_until_s, now_s)
             if run.events:
                 self._learn_pace(engine, now_s - run.heard_at_s)
         run.texts.append(event.data)
@@ -413,7 +413,7 @@
             for engine in self._engines.values()
             if engine.seen.pool == lot.opened.pool
             and not engine.seen.is_loading
-            and now_s >= engine.resting_until_s
+            and now_s >= engine.backoff_until_s
             and len(engine.runs) < engine.seen.slots
             and engine.seen.versions.get(head.model, 0) >= head.oldest_version
         ]
@@ -504,4 +504,4 @@
 
 def _rest(engine: Engine | None, now_s: float, rest_s: float) -> None:
     if engine is not None:
-        engine.resting_until_s = max(engine.resting_until_s, now_s + rest_s)
+        engine.backoff_until_s = max(engine.backoff_until_s, now_s + rest_s)
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -204,14 +204,14 @@
         runs: Open runs there.
         pace_s: Running mean of the time between events; 0 if not known.
         failures: Failures in a row.
-        resting_until_s: Until when it gets no new work.
+        backoff_until_s: Until when it gets no new work.
     """
 
     seen: EngineSeen
     runs: set[int] = dataclasses.field(default_factory=set)
     pace_s: float = 0.0
     failures: int = 0
-    resting_until_s: float = -math.inf
+    backoff_until_s: float = -math.inf
 
 
 @dataclasses.dataclass(slots=True)
