--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -28,12 +28,12 @@
     ClaimWriteRejected,
     ClaimWriteUncertain,
     ForwardRequest,
-    KeptAnswer,
     ReadClaim,
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
     ReturnOutcome,
+    StoredResponse,
     WriteClaim,
 )
 from daisyhub.filters._forward import ForwardFilter
@@ -91,7 +91,7 @@
     "GiveUp",
     "IdempotencyFilter",
     "IdentifyFilter",
-    "KeptAnswer",
+    "StoredResponse",
     "Leave",
     "LotsFilter",
     "MeasureFilter",
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -19,7 +19,7 @@
     "ClaimTick",
     "ClaimWriteUncertain",
     "ForwardRequest",
-    "KeptAnswer",
+    "StoredResponse",
     "ReadClaim",
     "RefuseRepeat",
     "ReplayAnswer",
@@ -28,7 +28,7 @@
 ]
 
 
-class KeptAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class StoredResponse(msgspec.Struct, frozen=True, kw_only=True):
     """An answer as it is kept for repeats.
 
     Attributes:
@@ -57,7 +57,7 @@
     request_digest: str
     state: Literal["claimed", "free", "done", "ran", "unknown"]
     attempt: str
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,7 +125,7 @@
 
     attempt: str
     ran: Ran
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -170,7 +170,7 @@
     """Action: give the first attempt's answer."""
 
     attempt: str
-    answer: KeptAnswer
+    answer: StoredResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -12,10 +12,10 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
     ClaimRequested,
-    KeptAnswer,
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
+    StoredResponse,
 )
 from daisyhub.messages import Request, Response
 
@@ -96,19 +96,19 @@
     return hashlib.sha256(text).hexdigest()
 
 
-def _kept_answer(resp: Response) -> KeptAnswer | None:
+def _kept_answer(resp: Response) -> StoredResponse | None:
     """Returns what repeats get; None for streams and large answers."""
     if resp.stream is not None or len(resp.body) > _KEPT_ANSWER_BYTES:
         return None
     types = resp.header_values(b"content-type")
-    return KeptAnswer(
+    return StoredResponse(
         status=resp.status,
         content_type=types[0].decode("latin-1") if types else "",
         body=resp.body,
     )
 
 
-def _replay(answer: KeptAnswer) -> Response:
+def _replay(answer: StoredResponse) -> Response:
     headers = [(b"idempotency-replayed", b"true")]
     if answer.content_type:
         headers.append((b"content-type", answer.content_type.encode("latin-1")))
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -23,12 +23,12 @@
     ClaimWriteRejected,
     ClaimWriteUncertain,
     ForwardRequest,
-    KeptAnswer,
     ReadClaim,
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
     ReturnOutcome,
+    StoredResponse,
     WriteClaim,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -150,7 +150,7 @@
             return RequestEnded(attempt, Ran.RAN)
         if ending == "cut":
             return ClaimCancelled(attempt)
-        self.answers[key] = KeptAnswer(status=201, body=attempt.encode())
+        self.answers[key] = StoredResponse(status=201, body=attempt.encode())
         return RequestEnded(attempt, Ran.RAN, self.answers[key])
 
     @rule(data=st.data())
@@ -269,7 +269,7 @@
 
     def test_an_answer_is_replayed_while_the_store_is_down(self):
         core = ClaimCore()
-        answer = KeptAnswer(status=201, body=b"one")
+        answer = StoredResponse(status=201, body=b"one")
         core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
         core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
