--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -17,7 +17,7 @@
 __all__ = [
     "DRAIN_PREFIX",
     "DrainOrder",
-    "EndpointNews",
+    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
 ]
@@ -43,7 +43,7 @@
     author: str = ""
 
 
-class EndpointNews(msgspec.Struct, frozen=True, kw_only=True):
+class EndpointUpdate(msgspec.Struct, frozen=True, kw_only=True):
     """One party's news of one endpoint.
 
     Attributes:
@@ -113,12 +113,12 @@
         # Endpoints that may get work, by pool and id.
         self._usable: dict[str, list[EndpointState]] = {}
         self._suspects: set[str] = set()
-        self._listeners: list[Callable[[EndpointNews], None]] = []
+        self._listeners: list[Callable[[EndpointUpdate], None]] = []
 
     def __len__(self) -> int:
         return len(self._endpoints)
 
-    def add_listener(self, listener: Callable[[EndpointNews], None]) -> None:
+    def add_listener(self, listener: Callable[[EndpointUpdate], None]) -> None:
         """Calls `listener` with news that others must hear: one is leaving."""
         self._listeners.append(listener)
 
@@ -130,7 +130,7 @@
         """Returns every endpoint, by id."""
         return [self._endpoints[key] for key in sorted(self._endpoints)]
 
-    def adopt_list(self, records, now_s: float = 0.0) -> None:
+    def apply_list(self, records, now_s: float = 0.0) -> None:
         """Takes over the platform's list of `EndpointRecord`.
 
         The list may lag behind an earlier one, and may lack entries for a
@@ -176,7 +176,7 @@
         if len(self._left) > _MOST_LEFT:
             del self._left[next(iter(self._left))]
 
-    def adopt_news(self, news: EndpointNews) -> bool:
+    def apply_update(self, news: EndpointUpdate) -> bool:
         """Takes one news; returns whether it changed what others must know.
 
         News of a newer incarnation than the known one tells that the known
@@ -261,13 +261,13 @@
             return None
         return sum(state.capacity for state in states)
 
-    def note_sent(self, endpoint_id: str) -> None:
+    def record_sent(self, endpoint_id: str) -> None:
         """Counts a request that was sent."""
         state = self._endpoints.get(endpoint_id)
         if state is not None:
             state.own_requests += 1
 
-    def note_done(self, endpoint_id: str, *, failed: bool, now_s: float):
+    def record_done(self, endpoint_id: str, *, failed: bool, now_s: float):
         """Counts a request that ended; failures in a row make it suspect."""
         state = self._endpoints.get(endpoint_id)
         if state is None:
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -20,41 +20,41 @@
     PlatformUnavailableError,
     Refusal,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient
+from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
 from daisyhub.peers import LotAnswer, LotCall
 from daisyhub.rollouts import (
-    AckAsked,
     AckBody,
+    AckRequested,
     CancelSample,
-    CloseAsked,
+    CloseRequested,
     CountUsage,
+    DeliverGroups,
     Generate,
-    GiveUp,
-    HandOver,
     LotCore,
     LotReleased,
     LotSpec,
     LotState,
     LotTick,
-    OpenAsked,
     OpenBody,
+    OpenRequested,
     ProgressAnswer,
     PullAnswer,
-    PullAsked,
     PullBody,
+    PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
+    SendProgress,
     StateRead,
     StateReadFailed,
-    TellProgress,
-    WriteDone,
-    WriteInDoubt,
-    WriteRefused,
+    StateWriteRejected,
+    StateWriteUncertain,
+    StateWritten,
+    StopServing,
     WriteState,
 )
 from daisyhub.settings import DaemonSettings
@@ -69,11 +69,11 @@
 _LEASE_STEP_S = 0.02
 _OK = 200
 _REASONS = {
-    RefusedBecause.RELEASED: ErrorCode.LOT_ELSEWHERE,
-    RefusedBecause.PLATFORM: ErrorCode.PLATFORM_UNAVAILABLE,
-    RefusedBecause.CLOSED: ErrorCode.LOT_CONFLICT,
-    RefusedBecause.ACKED: ErrorCode.LOT_CONFLICT,
-    RefusedBecause.UNKNOWN_PULL: ErrorCode.LOT_CONFLICT,
+    RefusalReason.RELEASED: ErrorCode.LOT_ELSEWHERE,
+    RefusalReason.PLATFORM: ErrorCode.PLATFORM_UNAVAILABLE,
+    RefusalReason.CLOSED: ErrorCode.LOT_CONFLICT,
+    RefusalReason.ACKED: ErrorCode.LOT_CONFLICT,
+    RefusalReason.UNKNOWN_PULL: ErrorCode.LOT_CONFLICT,
 }
 
 log = get_logger("lots")
@@ -85,7 +85,7 @@
 
     cfg: DaemonSettings
     client: PlatformClient
-    keeper: LeaseKeeper
+    keeper: LeaseFactory
     http: HttpClient
     table: EndpointTable
     balancer: Balancer
@@ -140,7 +140,7 @@
             "remaining": core.remaining if core else None,
             "open_pulls": len(core.open_pulls) if core else None,
             "dropped_stale": core.dropped_samples if core else None,
-            "dropped_spans": core.bad_answers if core else None,
+            "dropped_spans": core.invalid_answers if core else None,
             "fencing": self._lease.fencing,
         }
 
@@ -210,7 +210,7 @@
                 await anyio.sleep(_LEASE_STEP_S)
         if not self._lease.fencing or self._is_over:
             return False
-        self._own_id = self._lease.seen_holder
+        self._own_id = self._lease.observed_holder
         holder = f"{self._own_id}.{time.monotonic_ns()}"
         self._core = LotCore(self.spec, holder)
         self.ready.set()
@@ -219,7 +219,7 @@
     @property
     def _is_deposed(self) -> bool:
         """Whether another holder was seen; a lapse alone changes nothing."""
-        return self._lease.seen_holder not in ("", self._own_id)
+        return self._lease.observed_holder not in ("", self._own_id)
 
     async def _drive(self) -> None:
         """Ticks the core at its wake-up times until the seat is over."""
@@ -245,14 +245,16 @@
                     self._tasks.start_soon(self._call_store, action)
                 case CountUsage():
                     self._count(action)
-                case HandOver() | TellProgress() | RefuseCall():
+                case DeliverGroups() | SendProgress() | RefuseCall():
                     self._answer(action)
-                case GiveUp():
+                case StopServing():
                     log.info("lot {} is given up", self.spec.lot_id)
                     self._is_over = True
                     self._wakeup.set()
 
-    def _answer(self, action: HandOver | TellProgress | RefuseCall) -> None:
+    def _answer(
+        self, action: DeliverGroups | SendProgress | RefuseCall
+    ) -> None:
         waiter = self._waiters.get(action.call)
         if waiter is not None:
             waiter.answer = action
@@ -266,7 +268,7 @@
         answer = await self._engines.generate(action)
         event = SampleFailed(action.attempt)
         if answer is not None:
-            event = SampleReady(action.attempt, answer)
+            event = SampleReceived(action.attempt, answer)
         self._feed(event)
         self._wakeup.set()
 
@@ -302,25 +304,27 @@
                 write_id=action.write_id,
             )
         except PlatformConflictError:
-            return WriteRefused(action.write_id)
+            return StateWriteRejected(action.write_id)
         except PlatformUnavailableError:
-            return WriteInDoubt(action.write_id)
-        return WriteDone(action.write_id, version)
+            return StateWriteUncertain(action.write_id)
+        return StateWritten(action.write_id, version)
 
 
 def _event_of(call: LotCall, number: int) -> object:
     until_s = time.monotonic() + _CALL_WAIT_S
     match call.verb:
         case "open":
-            return OpenAsked(call=number, until_s=until_s)
+            return OpenRequested(call=number, until_s=until_s)
         case "close":
-            return CloseAsked(call=number, until_s=until_s)
+            return CloseRequested(call=number, until_s=until_s)
         case "ack":
             body = decode_body(call.body, AckBody)
-            return AckAsked(call=number, pull_id=body.pull_id, until_s=until_s)
+            return AckRequested(
+                call=number, pull_id=body.pull_id, until_s=until_s
+            )
         case "pull":
             body = decode_body(call.body, PullBody)
-            return PullAsked(
+            return PullRequested(
                 call=number,
                 pull_id=body.pull_id,
                 version=body.version,
@@ -334,7 +338,7 @@
 def _answer_of(action: object) -> LotAnswer:
     """Returns the trainer's answer; raises `Refusal` if it is one."""
     match action:
-        case HandOver():
+        case DeliverGroups():
             return _json_answer(
                 PullAnswer(
                     pull_id=action.pull_id,
@@ -342,7 +346,7 @@
                     remaining=action.remaining,
                 )
             )
-        case TellProgress():
+        case SendProgress():
             return _json_answer(
                 ProgressAnswer(
                     remaining=action.remaining,
@@ -350,7 +354,7 @@
                     closed=action.is_closed,
                 )
             )
-    reason = RefusedBecause.RELEASED
+    reason = RefusalReason.RELEASED
     if isinstance(action, RefuseCall):
         reason = action.reason
     error = _REASONS[reason]
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -11,11 +11,11 @@
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
-    KeptAnswer,
+    ClaimRequested,
     RefuseRepeat,
     ReplayAnswer,
     RequestEnded,
+    StoredResponse,
 )
 from daisyhub.messages import Request, Response
 
@@ -55,7 +55,7 @@
         keys = req.header_values(b"idempotency-key")
         if not keys or req.route is None or req.route.idempotent:
             return await call_next(req)
-        event = ClaimAsked(
+        event = ClaimRequested(
             attempt=req.request_id,
             name=_claim_name(req.account, keys[0]),
             request_digest=_request_digest(req),
@@ -96,19 +96,19 @@
     return hashlib.sha256(text).hexdigest()
 
 
-def _kept_answer(resp: Response) -> KeptAnswer | None:
+def _kept_answer(resp: Response) -> StoredResponse | None:
     """Returns what repeats get; None for streams and large answers."""
     if resp.stream is not None or len(resp.body) > _KEPT_ANSWER_BYTES:
         return None
     types = resp.header_values(b"content-type")
-    return KeptAnswer(
+    return StoredResponse(
         status=resp.status,
         content_type=types[0].decode("latin-1") if types else "",
         body=resp.body,
     )
 
 
-def _replay(answer: KeptAnswer) -> Response:
+def _replay(answer: StoredResponse) -> Response:
     headers = [(b"idempotency-replayed", b"true")]
     if answer.content_type:
         headers.append((b"content-type", answer.content_type.encode("latin-1")))
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -187,7 +187,7 @@
         sent_s = time.monotonic()
         endpoint_id = action.endpoint_id
         load = endpoint.load(sent_s)
-        token = self._directory.note_sent(
+        token = self._directory.record_sent(
             endpoint_id, way.task.route.name, sent_s
         )
         self._metrics.count("attempts", pool=endpoint.entry.pool)
@@ -198,7 +198,7 @@
             verdict = f"status {answer.status}"
         except RequestFailedError as exc:
             verdict = str(exc)
-            self._directory.note_failed(endpoint_id, token, time.monotonic())
+            self._directory.record_failed(endpoint_id, token, time.monotonic())
             return _failed(
                 action,
                 exc.ran,
@@ -208,7 +208,7 @@
             )
         except anyio.get_cancelled_exc_class():
             now_s = time.monotonic()
-            self._directory.note_overdue(endpoint_id, token, now_s)
+            self._directory.record_abandoned(endpoint_id, token, now_s)
             raise
         finally:
             took_s = time.monotonic() - sent_s
@@ -252,23 +252,23 @@
         self._learn(endpoint_id, read, now_s)
         if not read.is_not_run:
             if answer.status < _FIRST_FAULT_STATUS:
-                self._directory.note_answered(endpoint_id, token, now_s)
+                self._directory.record_answered(endpoint_id, token, now_s)
             else:
-                self._directory.note_cancelled(endpoint_id, token)
+                self._directory.record_closed(endpoint_id, token)
             return Outcome(AttemptAnswered(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
-            self._directory.note_failed(endpoint_id, token, now_s)
+            self._directory.record_failed(endpoint_id, token, now_s)
         else:
-            self._directory.note_cancelled(endpoint_id, token)
+            self._directory.record_closed(endpoint_id, token)
         return _failed(action, Ran.NOT_RUN)
 
     def _learn(
         self, endpoint_id: str, read: EndpointAnswer, now_s: float
     ) -> None:
         if read.load is not None:
-            self._directory.note_load(endpoint_id, read.load, now_s)
+            self._directory.record_load(endpoint_id, read.load, now_s)
 
 
 def _choose_pools(route: Route) -> tuple[str, ...]:
@@ -284,7 +284,7 @@
     """Returns when to send a second attempt, so that it meets the target."""
     if task.is_streamed or not task.route.idempotent:
         return 0.0
-    latest_s = task.route.target_s - _HEDGE_LEAVES * usual_s
+    latest_s = task.route.target_latency_s - _HEDGE_LEAVES * usual_s
     return max(latest_s, _HEDGE_LEAST * usual_s)
 
 
