--- a/daisyhub/lots/__init__.py
+++ b/daisyhub/lots/__init__.py
@@ -1,4 +1,10 @@
-"""Lots that are handed in whole and read by position."""
+"""Lots that trainers submit whole, and whose results are read by position.
+
+A lot is a set of items to generate. The daemon that holds the duty for lots
+runs their items on engines and lists the results: each one is written to the
+store at a position that never changes. Any daemon accepts lots and serves
+their results.
+"""
 
 from daisyhub.lots._calls import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.lots._dispatch_core import DispatchCore
--- a/daisyhub/lots/_calls.py
+++ b/daisyhub/lots/_calls.py
@@ -1,4 +1,4 @@
-"""Callers' calls about lots that are handed in whole."""
+"""Calls of callers to submitted lots."""
 
 import dataclasses
 
@@ -11,8 +11,8 @@
 
     Attributes:
         lot_id: The lot.
-        after: First position wanted, from 0.
-        wait_s: How long to wait if there is no result yet.
+        after: Position of the first result to return, from 0.
+        wait_s: How long to wait if it isn't listed yet, in seconds.
     """
 
     lot_id: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadItemBody:
-    """Reads the body of an item that isn't listed yet."""
+    """Reads the body of an item."""
 
     lot_id: str
     item_id: str
@@ -30,7 +30,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EndLot:
-    """Ends a lot: what isn't listed is no longer wanted."""
+    """Ends a lot: items that aren't listed are no longer run."""
 
     lot_id: str
 
--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -1,11 +1,13 @@
-"""Decides which item of which lot runs at which engine.
+"""Assigns the items of open lots to engines.
 
-Answers the load of trainers that wait for whole groups: lots in the order in
-which they are due, the items of a lot by their expected length, fast engines
-first: the longest text of a group decides when the group is whole, and more
-runs at an engine hardly slow each one. A run that falls silent goes on at
-another engine behind its last event; while fast engines have free slots, items
-on slow ones get a second run there.
+Trainers wait for whole groups, and the longest text of a group decides when
+the group is complete. Lots are therefore scheduled by due time, the items of a
+lot by expected length, the longest first, and engines of usual speed are
+preferred to slow ones. Adding runs to an engine hardly slows its other runs.
+
+A run without events for too long is cancelled and resumed on another engine
+after its last event. While fast engines have free slots, items that run on a
+slow engine get a backup run on a fast one.
 
 Times are seconds on a monotonic clock.
 """
@@ -18,82 +20,98 @@
     CancelRun,
     Engine,
     EnginesListed,
-    EventArrived,
     FinishItem,
     Item,
     LotClosed,
     LotOpened,
     Progress,
-    RewardFailed,
-    RewardPaid,
+    RewardCallFailed,
+    RewardCallSucceeded,
     Run,
-    RunEnded,
+    RunCompleted,
     RunFailed,
     RunFault,
-    StartReward,
+    StartRewardCall,
     StartRun,
+    StreamEventReceived,
 )
 from daisyhub.lots._types import ItemResult, ResultState
 
 __all__ = ["DispatchCore"]
 
-# Seconds without an event after which a run is taken to be lost: an event
-# takes some tens of milliseconds, on a slow engine some hundred.
-_SILENT_S = 0.6
-# Seconds until the first event: reading the prompt, and a short queue.
-_FIRST_EVENT_S = 1.2
-# Seconds more that a run may be silent while its engine loads weights.
-_LOADING_S = 3.0
-# Seconds for which an engine gets no new work after a failure; doubled with
-# each further one, up to the usual time of a crash and restart.
-_FIRST_REST_S = 0.25
-_LONGEST_REST_S = 4.0
-# Seconds for which an engine that had no free place gets no new work.
-_FULL_REST_S = 0.1
-# Seconds before an item or a reward call is tried again after a failure.
-_RETRY_S = 0.1
-# How many times the usual time between events makes an engine slow: engines
-# of one kind differ by some percent, those of unequal kinds by a third.
+# Seconds without an event after which a run is considered lost. Events are
+# some tens of milliseconds apart, on a slow engine some hundred.
+_SILENCE_TIMEOUT_S = 0.6
+# Timeout for the first event, in seconds. It covers prompt processing and a
+# short queue.
+_FIRST_EVENT_TIMEOUT_S = 1.2
+# Seconds added to both timeouts while the engine loads weights.
+_LOADING_EXTRA_TIMEOUT_S = 3.0
+# Seconds for which an engine gets no new runs after a failure. The backoff
+# doubles with each further failure, up to the usual time of a crash and
+# restart.
+_MIN_BACKOFF_S = 0.25
+_MAX_BACKOFF_S = 4.0
+# Seconds for which an engine gets no new runs after it rejected one without
+# running it, as it does when it has no free slot.
+_NO_SLOT_BACKOFF_S = 0.1
+# Seconds before a failed run or reward call of an item is retried.
+_RETRY_DELAY_S = 0.1
+# An engine is slow if its event interval is at least this many times the
+# median. Engines of one kind differ by some percent, those of different kinds
+# by a third.
 _SLOW_FACTOR = 1.2
-# Seconds that a run stays at a slow engine before it may go on at another:
-# shorter texts are nearly done by then.
-_MOVE_AFTER_S = 0.5
-# Share of a new time between events in the running mean: about ten events.
-_PACE_SHARE = 0.2
+# Seconds before an item that runs on a slow engine may get a backup run.
+# Shorter texts are nearly complete by then.
+_BACKUP_RUN_DELAY_S = 0.5
+# Weight of the latest interval between events in the moving average, which
+# thus covers about ten events.
+_EVENT_INTERVAL_WEIGHT = 0.2
 
 
 @dataclasses.dataclass(slots=True)
 class _Lot:
-    """An open lot, its items in the order in which they are to start."""
+    """An open lot.
+
+    Attributes:
+        opened: The event that opened it.
+        items: Items that weren't listed when it was opened, by id, in the
+            order in which they are to start.
+        unfinished_in_group: Number of items without a result, by group.
+    """
 
     opened: LotOpened
     items: dict[str, Item]
-    left_in_group: dict[str, int]
+    unfinished_in_group: dict[str, int]
 
 
 class DispatchCore(Core):
-    """Decides about all open lots."""
+    """Schedules the items of all open lots."""
 
     def __init__(self):
         self._lots: dict[str, _Lot] = {}
         self._engines: dict[str, Engine] = {}
         self._runs: dict[int, Run] = {}
-        self._last_run = 0
+        self._last_run_id = 0
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to look for silent runs; ticks come with each look."""
-        starts = [run.heard_at_s for run in self._runs.values()]
-        return min(starts) + _SILENT_S if starts else None
+        """Earliest time at which a run may time out; None without runs.
+
+        There is no tick event: every event but `StreamEventReceived` checks
+        for timeouts.
+        """
+        starts = [run.last_event_at_s for run in self._runs.values()]
+        return min(starts) + _SILENCE_TIMEOUT_S if starts else None
 
     @property
     def open_lots(self) -> tuple[str, ...]:
-        """Ids of the lots that are run."""
+        """Ids of the open lots."""
         return tuple(self._lots)
 
     @property
     def waiting_items(self) -> int:
-        """Items that are neither running nor done."""
+        """Number of items that wait for a run."""
         return sum(
             not item.is_done and not item.runs and not item.progress.is_whole
             for lot in self._lots.values()
@@ -102,7 +120,7 @@
 
     @property
     def running_items(self) -> int:
-        """Runs that are open."""
+        """Number of open runs."""
         return len(self._runs)
 
     def open_run_count(self, endpoint_id: str) -> int:
@@ -110,18 +128,21 @@
         engine = self._engines.get(endpoint_id)
         return len(engine.runs) if engine else 0
 
-    def run_of(self, run: int) -> Run | None:
-        """Returns an open run, or None."""
-        return self._runs.get(run)
+    def find_run(self, run_id: int) -> Run | None:
+        """Returns the open run with this id, or None."""
+        return self._runs.get(run_id)
 
     def progress_of(self, lot_id: str) -> dict[str, Progress]:
-        """Returns the text at hand of a lot's unfinished items."""
+        """Returns the text generated so far for a lot's unfinished items.
+
+        Items without text are left out.
+        """
         lot = self._lots.get(lot_id)
         if lot is None:
             return {}
         for run in self._runs.values():
             if run.lot_id == lot_id:
-                _keep(lot.items[run.item_id], run)
+                _update_progress(lot.items[run.item_id], run)
         return {
             item_id: item.progress
             for item_id, item in lot.items.items()
@@ -129,136 +150,145 @@
         }
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one dispatch event; returns actions."""
+        """Handles one dispatch event; returns actions."""
         actions: list[object] = []
         match event:
-            case EventArrived():
-                return self._on_event(event, now_s)
+            case StreamEventReceived():
+                return self._on_stream_event(event, now_s)
             case EnginesListed():
                 self._on_engines(event)
             case LotOpened():
                 self._on_opened(event)
             case LotClosed():
                 actions += self._on_closed(event)
-            case RunEnded():
-                actions += self._on_ended(event, now_s)
+            case RunCompleted():
+                actions += self._on_completed(event, now_s)
             case RunFailed():
                 actions += self._on_failed(event, now_s)
-            case RewardPaid() | RewardFailed():
+            case RewardCallSucceeded() | RewardCallFailed():
                 actions += self._on_reward(event, now_s)
             case _:
                 raise TypeError(f"not a dispatch event: {event!r}")
-        return actions + self._go_on(now_s)
+        return actions + self._schedule(now_s)
 
-    def _go_on(self, now_s: float) -> list[object]:
-        """Ends silent runs, then fills free slots.
+    def _schedule(self, now_s: float) -> list[object]:
+        """Cancels silent runs, then fills free slots.
 
-        The cost of a look follows what it starts, not what waits: once no
-        engine has a free slot for a kind of item, the others of that kind
-        are passed over.
+        Engines are searched for each started run, not for each waiting item:
+        when no engine has a free slot for a combination of pool, model and
+        version, all further items of that combination are skipped.
         """
-        actions = self._end_silent(now_s)
-        usual_s = self._usual_pace_s()
-        full: set[tuple[str, str, int]] = set()
+        actions = self._cancel_silent_runs(now_s)
+        median_interval_s = self._median_event_interval_s()
+        exhausted: set[tuple[str, str, int]] = set()
         for lot in sorted(
             self._lots.values(), key=lambda lot: lot.opened.due_at_s
         ):
             for item in lot.items.values():
-                if _needs_nothing(item, now_s):
+                if _needs_no_action(item, now_s):
                     continue
-                actions += self._start(lot, item, now_s, usual_s, full)
-        return actions + self._start_seconds(usual_s, now_s)
+                actions += self._start_next_step(
+                    lot, item, now_s, median_interval_s, exhausted
+                )
+        return actions + self._start_backup_runs(median_interval_s, now_s)
 
     def _on_opened(self, opened: LotOpened) -> None:
         items = {}
-        left: dict[str, int] = {}
-        # The longest first: a long text that starts last keeps all waiting.
+        unfinished: dict[str, int] = {}
+        # The longest first: a long text that starts last delays its whole
+        # group.
         longest_first = sorted(
             opened.spec.items, key=lambda spec: -spec.length_hint
         )
         for spec in longest_first:
             if spec.item_id in opened.listed:
                 continue
-            known = opened.known.get(spec.item_id, Progress())
-            usable = _usable(known, opened.spec.head)
-            items[spec.item_id] = Item(spec, progress=usable)
-            left[spec.group] = left.get(spec.group, 0) + 1
-        self._lots[opened.spec.head.lot_id] = _Lot(opened, items, left)
+            earlier = opened.progress.get(spec.item_id, Progress())
+            reusable = _reusable_progress(earlier, opened.spec.head)
+            items[spec.item_id] = Item(spec, progress=reusable)
+            unfinished[spec.group] = unfinished.get(spec.group, 0) + 1
+        self._lots[opened.spec.head.lot_id] = _Lot(opened, items, unfinished)
 
     def _on_closed(self, event: LotClosed) -> list[object]:
         lot = self._lots.pop(event.lot_id, None)
         if lot is None:
             return []
-        runs = [r for item in lot.items.values() for r in item.runs]
-        for run in runs:
-            self._drop_run(run)
-        return [CancelRun(run, "the lot was ended") for run in runs]
+        run_ids = [r for item in lot.items.values() for r in item.runs]
+        for run_id in run_ids:
+            self._remove_run(run_id)
+        return [CancelRun(run_id, "the lot was closed") for run_id in run_ids]
 
     def _on_engines(self, event: EnginesListed) -> None:
-        """Takes the engines over; runs at those left out go on."""
-        seen = {engine.endpoint_id: engine for engine in event.engines}
-        for endpoint_id in [e for e in self._engines if e not in seen]:
+        """Replaces the set of engines; runs on removed engines continue."""
+        views = {engine.endpoint_id: engine for engine in event.engines}
+        for endpoint_id in [e for e in self._engines if e not in views]:
             del self._engines[endpoint_id]
-        for endpoint_id, view in seen.items():
-            known = self._engines.get(endpoint_id)
-            if known is None:
-                known = self._engines[endpoint_id] = Engine(view)
-                known.runs = {
-                    number
-                    for number, run in self._runs.items()
+        for endpoint_id, view in views.items():
+            engine = self._engines.get(endpoint_id)
+            if engine is None:
+                engine = self._engines[endpoint_id] = Engine(view)
+                engine.runs = {
+                    run_id
+                    for run_id, run in self._runs.items()
                     if run.endpoint_id == endpoint_id
                 }
-            known.seen = view
+            engine.view = view
 
-    def _on_event(self, event: EventArrived, now_s: float) -> list[object]:
-        run = self._runs.get(event.run)
+    def _on_stream_event(
+        self, event: StreamEventReceived, now_s: float
+    ) -> list[object]:
+        run = self._runs.get(event.run_id)
         if run is None:
             return []
         lot = self._lots[run.lot_id]
         if event.version < lot.opened.spec.head.oldest_version:
-            return self._abandon(event.run, "its weights are too old")
-        if _mixes(lot.opened.spec.head, run.versions, event.version):
-            return self._abandon(event.run, "its weights changed")
+            return self._abandon_run(event.run_id, "its weights are too old")
+        if _violates_single_version(
+            lot.opened.spec.head, run.versions, event.version
+        ):
+            return self._abandon_run(event.run_id, "its weights changed")
         engine = self._engines.get(run.endpoint_id)
         if engine is not None:
-            engine.failures = 0
+            engine.consecutive_failures = 0
             engine.backoff_until_s = min(engine.backoff_until_s, now_s)
-            if run.events:
-                self._learn_pace(engine, now_s - run.heard_at_s)
+            if run.event_count:
+                self._update_event_interval(engine, now_s - run.last_event_at_s)
         run.texts.append(event.data)
         run.versions.append(event.version)
-        run.events += 1
-        run.heard_at_s = now_s
+        run.event_count += 1
+        run.last_event_at_s = now_s
         return []
 
-    def _learn_pace(self, engine: Engine, took_s: float) -> None:
-        known_s = engine.pace_s or took_s
-        engine.pace_s = known_s + _PACE_SHARE * (took_s - known_s)
+    def _update_event_interval(self, engine: Engine, interval_s: float) -> None:
+        mean_s = engine.event_interval_s or interval_s
+        engine.event_interval_s = mean_s + _EVENT_INTERVAL_WEIGHT * (
+            interval_s - mean_s
+        )
 
-    def _abandon(self, number: int, reason: str) -> list[object]:
-        """Ends a run whose text can't be used further."""
-        run = self._drop_run(number)
+    def _abandon_run(self, run_id: int, reason: str) -> list[object]:
+        """Cancels a run, but keeps its text as far as it can be reused."""
+        run = self._remove_run(run_id)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
-        _keep(item, run)
-        item.progress = _usable(item.progress, lot.opened.spec.head)
-        return [CancelRun(number, reason)]
+        _update_progress(item, run)
+        item.progress = _reusable_progress(item.progress, lot.opened.spec.head)
+        return [CancelRun(run_id, reason)]
 
-    def _drop_run(self, number: int) -> Run:
-        run = self._runs.pop(number)
+    def _remove_run(self, run_id: int) -> Run:
+        run = self._runs.pop(run_id)
         engine = self._engines.get(run.endpoint_id)
         if engine is not None:
-            engine.runs.discard(number)
+            engine.runs.discard(run_id)
         lot = self._lots.get(run.lot_id)
         if lot is not None:
-            lot.items[run.item_id].runs.discard(number)
+            lot.items[run.item_id].runs.discard(run_id)
         return run
 
-    def _on_ended(self, event: RunEnded, now_s: float) -> list[object]:
-        """Takes a whole text; other runs of the item are cancelled."""
-        if event.run not in self._runs:
+    def _on_completed(self, event: RunCompleted, now_s: float) -> list[object]:
+        """Takes a complete text; cancels the item's other runs."""
+        if event.run_id not in self._runs:
             return []
-        run = self._drop_run(event.run)
+        run = self._remove_run(event.run_id)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
         if not run.texts or item.progress.is_whole:
@@ -267,41 +297,42 @@
             tuple(run.texts), tuple(run.versions), is_whole=True
         )
         others = list(item.runs)
-        for number in others:
-            self._drop_run(number)
-        return [CancelRun(n, "another run ended first") for n in others]
+        for run_id in others:
+            self._remove_run(run_id)
+        return [CancelRun(r, "another run completed first") for r in others]
 
     def _on_failed(self, event: RunFailed, now_s: float) -> list[object]:
-        if event.run not in self._runs:
+        if event.run_id not in self._runs:
             return []
-        run = self._drop_run(event.run)
+        run = self._remove_run(event.run_id)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
-        _keep(item, run)
+        _update_progress(item, run)
         engine = self._engines.get(run.endpoint_id)
         match event.fault:
             case RunFault.FAILED:
                 item.failures += 1
                 if item.failures >= lot.opened.spec.head.max_attempts:
                     return self._give_up(lot, item)
-                item.retry_at_s = now_s + _RETRY_S
+                item.retry_at_s = now_s + _RETRY_DELAY_S
             case RunFault.IMPOSSIBLE:
                 return self._give_up(lot, item)
             case RunFault.NOT_RUN:
-                _rest(engine, now_s, _FULL_REST_S)
-            case RunFault.BROKEN if run.events:
-                # One stream that broke off says little about the engine.
+                _back_off(engine, now_s, _NO_SLOT_BACKOFF_S)
+            case RunFault.BROKEN if run.event_count:
+                # A stream that broke after some events says little about
+                # the engine.
                 pass
             case _:
-                self._note_failure(engine, now_s)
+                self._record_failure(engine, now_s)
         return []
 
-    def _note_failure(self, engine: Engine | None, now_s: float) -> None:
+    def _record_failure(self, engine: Engine | None, now_s: float) -> None:
         if engine is None:
             return
-        engine.failures += 1
-        rest_s = _FIRST_REST_S * 2 ** (engine.failures - 1)
-        _rest(engine, now_s, min(rest_s, _LONGEST_REST_S))
+        engine.consecutive_failures += 1
+        backoff_s = _MIN_BACKOFF_S * 2 ** (engine.consecutive_failures - 1)
+        _back_off(engine, now_s, min(backoff_s, _MAX_BACKOFF_S))
 
     def _give_up(self, lot: _Lot, item: Item) -> list[object]:
         result = ItemResult(
@@ -311,27 +342,30 @@
 
     def _finish(self, lot: _Lot, item: Item, result: ItemResult) -> FinishItem:
         item.is_done = True
-        lot.left_in_group[item.spec.group] -= 1
+        lot.unfinished_in_group[item.spec.group] -= 1
         return FinishItem(
             lot.opened.spec.head.lot_id,
             result,
-            lot.left_in_group[item.spec.group] == 0,
+            lot.unfinished_in_group[item.spec.group] == 0,
         )
 
     def _on_reward(
-        self, event: RewardPaid | RewardFailed, now_s: float
+        self, event: RewardCallSucceeded | RewardCallFailed, now_s: float
     ) -> list[object]:
         lot = self._lots.get(event.lot_id)
         item = lot.items.get(event.item_id) if lot else None
         if item is None or item.is_done:
             return []
-        item.is_rewarded = False
-        if isinstance(event, RewardPaid):
+        item.is_reward_pending = False
+        if isinstance(event, RewardCallSucceeded):
             return [self._complete(lot, item, event.score)]
-        item.reward_failures += event.is_counted
-        if event.is_counted and item.reward_failures >= event.max_attempts:
+        item.reward_failures += event.is_endpoint_failure
+        if (
+            event.is_endpoint_failure
+            and item.reward_failures >= event.max_attempts
+        ):
             return self._give_up(lot, item)
-        item.retry_at_s = now_s + _RETRY_S
+        item.retry_at_s = now_s + _RETRY_DELAY_S
         return []
 
     def _complete(self, lot: _Lot, item: Item, score: str) -> FinishItem:
@@ -345,141 +379,177 @@
         )
         return self._finish(lot, item, result)
 
-    def _start(
+    def _start_next_step(
         self,
         lot: _Lot,
         item: Item,
         now_s: float,
-        usual_s: float,
-        full: set[tuple[str, str, int]],
+        median_interval_s: float,
+        exhausted: set[tuple[str, str, int]],
     ) -> list[object]:
-        """Starts what an item needs next, if anything can be started.
+        """Starts an item's run or reward call, or finishes the item.
+
+        Returns no action while no engine has a free slot for its run.
 
         Args:
             lot: Its lot.
-            item: One that needs something.
+            item: An item that is neither done, in progress nor waiting for
+                its retry.
             now_s: The time.
-            usual_s: Usual time between events.
-            full: Pools, models and versions found to have no free slot in
-                this look; extended here.
+            median_interval_s: Median interval between events; 0 if unknown.
+            exhausted: Combinations of pool, model and oldest version for
+                which no engine has a free slot; extended here.
         """
         if item.progress.is_whole:
             if item.spec.reward is None:
                 return [self._complete(lot, item, "")]
-            item.is_rewarded = True
-            return [StartReward(lot.opened.spec.head.lot_id, item.spec)]
+            item.is_reward_pending = True
+            return [StartRewardCall(lot.opened.spec.head.lot_id, item.spec)]
         if now_s >= lot.opened.give_up_at_s:
             return self._give_up(lot, item)
         head = lot.opened.spec.head
-        wanted = (lot.opened.pool, head.model, head.oldest_version)
-        if wanted in full:
+        requirement = (lot.opened.pool, head.model, head.oldest_version)
+        if requirement in exhausted:
             return []
-        engine = self._choose(lot, now_s, usual_s)
+        engine = self._choose_engine(lot, now_s, median_interval_s)
         if engine is None:
-            full.add(wanted)
+            exhausted.add(requirement)
             return []
-        return [self._run(lot, item, engine, now_s)]
+        return [self._start_run(lot, item, engine, now_s)]
 
-    def _run(
+    def _start_run(
         self, lot: _Lot, item: Item, engine: Engine, now_s: float
     ) -> StartRun:
-        self._last_run += 1
-        number = self._last_run
+        self._last_run_id += 1
+        run_id = self._last_run_id
         lot_id = lot.opened.spec.head.lot_id
-        self._runs[number] = Run(
+        self._runs[run_id] = Run(
             lot_id=lot_id,
             item_id=item.spec.item_id,
-            endpoint_id=engine.seen.endpoint_id,
+            endpoint_id=engine.view.endpoint_id,
             texts=list(item.progress.texts),
             versions=list(item.progress.versions),
             started_at_s=now_s,
-            heard_at_s=now_s,
+            last_event_at_s=now_s,
         )
-        item.runs.add(number)
-        engine.runs.add(number)
+        item.runs.add(run_id)
+        engine.runs.add(run_id)
         return StartRun(
-            number,
+            run_id,
             lot_id,
             item.spec,
-            engine.seen.endpoint_id,
+            engine.view.endpoint_id,
             len(item.progress.texts),
         )
 
-    def _choose(self, lot: _Lot, now_s: float, usual_s: float) -> Engine | None:
-        """Returns a fast engine with the most free slots, else a slow one."""
+    def _choose_engine(
+        self, lot: _Lot, now_s: float, median_interval_s: float
+    ) -> Engine | None:
+        """Returns the best eligible engine with a free slot, or None.
+
+        Fast engines come first, the least loaded of them preferred; slow
+        engines follow by speed.
+        """
         head = lot.opened.spec.head
         found = [
             engine
             for engine in self._engines.values()
-            if engine.seen.pool == lot.opened.pool
-            and not engine.seen.is_loading
+            if engine.view.pool == lot.opened.pool
+            and not engine.view.is_loading
             and now_s >= engine.backoff_until_s
-            and len(engine.runs) < engine.seen.slots
-            and engine.seen.versions.get(head.model, 0) >= head.oldest_version
+            and len(engine.runs) < engine.view.slots
+            and engine.view.versions.get(head.model, 0) >= head.oldest_version
         ]
-        return min(found, key=lambda e: _crowding(e, usual_s), default=None)
+        return min(
+            found,
+            key=lambda e: _engine_rank(e, median_interval_s),
+            default=None,
+        )
 
-    def _usual_pace_s(self) -> float:
-        paces = [e.pace_s for e in self._engines.values() if e.pace_s]
-        return statistics.median_low(paces) if paces else 0.0
+    def _median_event_interval_s(self) -> float:
+        intervals_s = [
+            e.event_interval_s
+            for e in self._engines.values()
+            if e.event_interval_s
+        ]
+        return statistics.median_low(intervals_s) if intervals_s else 0.0
 
-    def _end_silent(self, now_s: float) -> list[object]:
-        """Ends runs whose engine has said nothing for too long."""
+    def _cancel_silent_runs(self, now_s: float) -> list[object]:
+        """Cancels runs that received no event within their timeout."""
         actions: list[object] = []
-        for number, run in list(self._runs.items()):
-            limit_s = _SILENT_S if run.events else _FIRST_EVENT_S
+        for run_id, run in list(self._runs.items()):
+            timeout_s = (
+                _SILENCE_TIMEOUT_S
+                if run.event_count
+                else _FIRST_EVENT_TIMEOUT_S
+            )
             engine = self._engines.get(run.endpoint_id)
-            if engine is not None and engine.seen.is_loading:
-                limit_s += _LOADING_S
-            if now_s - run.heard_at_s < limit_s:
+            if engine is not None and engine.view.is_loading:
+                timeout_s += _LOADING_EXTRA_TIMEOUT_S
+            if now_s - run.last_event_at_s < timeout_s:
                 continue
-            actions += self._abandon(number, "its engine fell silent")
-            self._note_failure(engine, now_s)
+            actions += self._abandon_run(
+                run_id, "its engine sent no event in time"
+            )
+            self._record_failure(engine, now_s)
         return actions
 
-    def _start_seconds(self, usual_s: float, now_s: float) -> list[object]:
-        """Gives items on slow engines a second run while slots are free."""
+    def _start_backup_runs(
+        self, median_interval_s: float, now_s: float
+    ) -> list[object]:
+        """Starts backup runs for items on slow engines.
+
+        A backup run is started only if a fast engine has a free slot.
+        """
         actions: list[object] = []
         for engine in list(self._engines.values()):
-            if not usual_s or engine.pace_s < _SLOW_FACTOR * usual_s:
+            if (
+                not median_interval_s
+                or engine.event_interval_s < _SLOW_FACTOR * median_interval_s
+            ):
                 continue
-            for number in list(engine.runs):
-                actions += self._start_second(number, usual_s, now_s)
+            for run_id in list(engine.runs):
+                actions += self._start_backup_run(
+                    run_id, median_interval_s, now_s
+                )
         return actions
 
-    def _start_second(
-        self, number: int, usual_s: float, now_s: float
+    def _start_backup_run(
+        self, run_id: int, median_interval_s: float, now_s: float
     ) -> list[object]:
-        run = self._runs[number]
+        run = self._runs[run_id]
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
-        if len(item.runs) > 1 or now_s - run.started_at_s < _MOVE_AFTER_S:
+        if len(item.runs) > 1 or now_s - run.started_at_s < _BACKUP_RUN_DELAY_S:
             return []
-        _keep(item, run)
-        engine = self._choose(lot, now_s, usual_s)
-        if engine is None or engine.pace_s >= _SLOW_FACTOR * usual_s:
+        _update_progress(item, run)
+        engine = self._choose_engine(lot, now_s, median_interval_s)
+        if (
+            engine is None
+            or engine.event_interval_s >= _SLOW_FACTOR * median_interval_s
+        ):
             return []
-        return [self._run(lot, item, engine, now_s)]
+        return [self._start_run(lot, item, engine, now_s)]
 
 
-def _needs_nothing(item: Item, now_s: float) -> bool:
-    """Whether an item is done, at work, or must not be tried again yet."""
-    is_at_work = bool(item.runs) or item.is_rewarded
-    return item.is_done or is_at_work or now_s < item.retry_at_s
+def _needs_no_action(item: Item, now_s: float) -> bool:
+    """Whether an item is done, in progress, or must not be retried yet."""
+    is_in_progress = bool(item.runs) or item.is_reward_pending
+    return item.is_done or is_in_progress or now_s < item.retry_at_s
 
 
-def _keep(item: Item, run: Run) -> None:
-    """Keeps a run's text if it is longer than the one at hand."""
+def _update_progress(item: Item, run: Run) -> None:
+    """Takes over a run's text if it is longer than the item's."""
     if item.progress.is_whole or len(run.texts) <= len(item.progress.texts):
         return
     item.progress = Progress(tuple(run.texts), tuple(run.versions))
 
 
-def _usable(progress: Progress, head) -> Progress:
-    """Returns the text if its versions fit the lot, else none.
+def _reusable_progress(progress: Progress, head) -> Progress:
+    """Returns the text if the lot accepts its versions, else no text.
 
-    A part of a text that must come from one version is not kept: the engines
-    may all have gone on to the next by the time it is taken up.
+    A partial text that must come from a single version is discarded: all
+    engines may serve the next version by the time it would be resumed.
     """
     if not progress.versions or min(progress.versions) < head.oldest_version:
         return Progress()
@@ -489,19 +559,25 @@
     return progress
 
 
-def _mixes(head, versions: list[int], version: int) -> bool:
-    """Whether an event breaks a lot's demand for a single version."""
+def _violates_single_version(head, versions: list[int], version: int) -> bool:
+    """Whether an event mixes versions in a lot that requires just one."""
     return head.is_single_version and bool(versions) and versions[-1] != version
 
 
-def _crowding(engine: Engine, usual_s: float) -> tuple[float, float, str]:
-    """Ranks engines: those of the usual pace first, then by free slots."""
-    load = (len(engine.runs) + 1) / engine.seen.slots
-    slowness = engine.pace_s / usual_s if usual_s and engine.pace_s else 1.0
-    step = 0.0 if slowness < _SLOW_FACTOR else slowness
-    return (step, load, engine.seen.endpoint_id)
+def _engine_rank(
+    engine: Engine, median_interval_s: float
+) -> tuple[float, float, str]:
+    """Returns a sort key: fast engines by load, then slow ones by speed."""
+    load = (len(engine.runs) + 1) / engine.view.slots
+    slowness = (
+        engine.event_interval_s / median_interval_s
+        if median_interval_s and engine.event_interval_s
+        else 1.0
+    )
+    penalty = 0.0 if slowness < _SLOW_FACTOR else slowness
+    return (penalty, load, engine.view.endpoint_id)
 
 
-def _rest(engine: Engine | None, now_s: float, rest_s: float) -> None:
+def _back_off(engine: Engine | None, now_s: float, backoff_s: float) -> None:
     if engine is not None:
-        engine.backoff_until_s = max(engine.backoff_until_s, now_s + rest_s)
+        engine.backoff_until_s = max(engine.backoff_until_s, now_s + backoff_s)
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -18,7 +18,7 @@
 _ACCEPTED = 202
 _OK = 200
 # Bytes of text in one answer; the platform allows a megabyte of results.
-_ANSWER_BYTES = 700_000
+_MAX_RESPONSE_CHARACTERS = 700_000
 # Seconds after which a lot that couldn't be stored may be handed in again.
 _RETRY_AFTER_S = 0.3
 _JSON = (b"content-type", b"application/json")
@@ -58,8 +58,8 @@
                 total, results = await self._reader.results(
                     lot_id, req.account, after, wait_s
                 )
-                shown = _bounded(results)
-                body = self._wire.write_results(total, after, shown)
+                page = _first_page(results)
+                body = self._wire.write_results(total, after, page)
                 return Response(status=_OK, headers=(_JSON,), body=body)
             case ReadItemBody(lot_id, item_id):
                 body = await self._reader.body(lot_id, req.account, item_id)
@@ -89,7 +89,7 @@
             raise Refusal(
                 ErrorCode.LOT_CONFLICT, "another account has a lot of this id"
             )
-        self._reader.note_accepted(head)
+        self._reader.record_accepted(head)
         self._log.note(
             "lot_accepted",
             id=req.request_id,
@@ -102,11 +102,11 @@
         return Response(status=_ACCEPTED)
 
 
-def _bounded(results: list[ItemResult]) -> list[ItemResult]:
+def _first_page(results: list[ItemResult]) -> list[ItemResult]:
     """Returns as many results as one answer may hold, one at least."""
     size = 0
     for count, result in enumerate(results):
         size += len(result.text)
-        if count and size > _ANSWER_BYTES:
+        if count and size > _MAX_RESPONSE_CHARACTERS:
             return results[:count]
     return results
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -24,24 +24,24 @@
 from daisyhub.logs import DecisionLog
 from daisyhub.lots._dispatch_core import DispatchCore
 from daisyhub.lots._listing_core import (
-    ChunkFailed,
-    ChunkStands,
+    ChunkStored,
+    ChunkWriteFailed,
     ItemFinished,
     ListingCore,
     ListingTick,
     WriteChunk,
 )
-from daisyhub.lots._lot_store import LOTS_KIND, LotStore, read_head
+from daisyhub.lots._lot_store import LOTS_KIND, LotStore, decode_head
 from daisyhub.lots._rewards import RewardCaller
 from daisyhub.lots._run_types import (
     CancelRun,
-    EngineSeen,
     EnginesListed,
+    EngineView,
     FinishItem,
     LotClosed,
     LotOpened,
     Progress,
-    StartReward,
+    StartRewardCall,
     StartRun,
 )
 from daisyhub.lots._runner import ItemRunner
@@ -57,28 +57,28 @@
 __all__ = ["LotHolderDependencies", "LotHolder"]
 
 # Seconds between looks at silent runs and free slots; a few events' time.
-_TICK_S = 0.1
+_TICK_INTERVAL_S = 0.1
 # Seconds between looks at the end of a list that another daemon may have
 # extended; what was read anywhere must be readable everywhere within a second.
-_LOOK_UP_S = 0.4
+_LISTING_POLL_INTERVAL_S = 0.4
 # Seconds before the store is asked again for a lot that couldn't be read.
-_READ_PAUSE_S = 0.2
+_READ_RETRY_DELAY_S = 0.2
 # Seconds for one round of keeping texts, also at a graceful end; a write
 # of the store takes milliseconds, and requests go on being served meanwhile.
-_KEEPING_S = 1.0
+_SAVE_TIMEOUT_S = 1.0
 # Seconds between keeping texts: what a holder's death may cost a step that is
 # due in 7.5 s, against a write of each open lot.
-_KEEP_S = 1.0
+_SAVE_INTERVAL_S = 1.0
 # Texts of unfinished items of ended lots that are kept: trainers hand in
 # again at most half of the groups of a step.
-_KEPT_TEXTS = 2000
+_MAX_CACHED_TEXTS = 2000
 # Seconds between lists of the lots beside their watch; an end that its daemon
 # could not tell must be heard within three seconds.
-_VERIFY_S = 1.5
+_VERIFY_INTERVAL_S = 1.5
 # Seconds between looks for lots that may be deleted.
-_DELETE_S = 10.0
+_DELETE_INTERVAL_S = 10.0
 # How many times longer a lot is kept that its trainer never ended.
-_FORGOTTEN = 20
+_UNENDED_RETENTION_FACTOR = 20
 # Seconds beyond the time for which a lot must stay readable.
 _DELETE_MARGIN_S = 60.0
 
@@ -117,7 +117,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Held:
+class _LotState:
     """A lot that is held here.
 
     Attributes:
@@ -125,10 +125,10 @@
         listing: Lists its results.
         spec: With its items, once they are read.
         is_ended: Whether it was ended.
-        is_read: Whether the results in the store were read.
+        is_listing_loaded: Whether the results in the store were read.
         is_inherited: Whether another daemon may have listed results of it.
-        kept_revision: Revision of the texts kept in the store, 0 for none.
-        looked_at_s: When the end of the list was last looked up.
+        progress_revision: Revision of the texts kept in the store, 0 for none.
+        refreshed_at_s: When the end of the list was last looked up.
         news: Set, and replaced, when results are listed.
     """
 
@@ -136,11 +136,11 @@
     listing: ListingCore
     spec: LotSpec | None = None
     is_ended: bool = False
-    is_read: bool = False
+    is_listing_loaded: bool = False
     is_inherited: bool = True
-    kept_revision: int = 0
-    looked_at_s: float = float("-inf")
-    news: anyio.Event = dataclasses.field(default_factory=anyio.Event)
+    progress_revision: int = 0
+    refreshed_at_s: float = float("-inf")
+    results_added: anyio.Event = dataclasses.field(default_factory=anyio.Event)
 
 
 class LotHolder(DutyBoundController):
@@ -157,12 +157,12 @@
         super().__init__(duty)
         self._tools = tools
         self._core = DispatchCore()
-        self._held: dict[str, _Held] = {}
-        self._scopes: dict[int, anyio.CancelScope] = {}
-        self._texts: dict[str, Progress] = {}
+        self._lots: dict[str, _LotState] = {}
+        self._run_scopes: dict[int, anyio.CancelScope] = {}
+        self._unfinished_texts: dict[str, Progress] = {}
         self._demand: dict[str, float] = {}
         self._tasks = None
-        self._held_since_s = 0.0
+        self._duty_since_s = 0.0
 
     @property
     def waiting_items(self) -> int:
@@ -186,9 +186,9 @@
         """Tells the lots that are held and what they wait for."""
         return {
             "lots": {
-                lot_id: f"{len(held.listing.listed)}/{held.head.total}"
-                for lot_id, held in self._held.items()
-                if not held.is_ended
+                lot_id: f"{len(lot.listing.listed)}/{lot.head.total}"
+                for lot_id, lot in self._lots.items()
+                if not lot.is_ended
             },
             "running": self._core.running_items,
             "waiting": self._core.waiting_items,
@@ -197,60 +197,60 @@
     async def hold(self) -> None:
         """Holds lots until the duty is lost."""
         watcher = KindWatcher(
-            self._tools.store, LOTS_KIND, self._tools.log, self._on_lot
+            self._tools.store, LOTS_KIND, self._tools.log, self._on_lot_changed
         )
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
-                self._held_since_s = time.monotonic()
+                self._duty_since_s = time.monotonic()
                 tasks.start_soon(watcher.run)
-                tasks.start_soon(self.verify, watcher, _VERIFY_S)
-                tasks.start_soon(self._delete_old, watcher)
-                tasks.start_soon(self._keep_progress)
+                tasks.start_soon(self.verify, watcher, _VERIFY_INTERVAL_S)
+                tasks.start_soon(self._delete_expired_lots, watcher)
+                tasks.start_soon(self._save_unfinished_texts_periodically)
                 while self._duty.fencing:
                     self._tick()
-                    await anyio.sleep(_TICK_S)
+                    await anyio.sleep(_TICK_INTERVAL_S)
                 tasks.cancel_scope.cancel()
         finally:
             self._tasks = None
             self._core = DispatchCore()
-            self._held.clear()
-            self._scopes.clear()
+            self._lots.clear()
+            self._run_scopes.clear()
 
     async def save_unfinished_texts(self) -> None:
         """Keeps the text of unfinished items in the store."""
-        with anyio.move_on_after(_KEEPING_S):
+        with anyio.move_on_after(_SAVE_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
                 for lot_id in self._core.open_lots:
                     tasks.start_soon(self._save_progress, lot_id)
 
     async def _save_progress(self, lot_id: str) -> None:
         progress = self._core.progress_of(lot_id)
-        held = self._held[lot_id]
+        lot = self._lots[lot_id]
         if not progress:
             return
         try:
-            held.kept_revision = await self._tools.lots.save_progress(
-                lot_id, progress, held.kept_revision
+            lot.progress_revision = await self._tools.lots.save_progress(
+                lot_id, progress, lot.progress_revision
             )
         except (ObjectStoreError, ObjectConflictError) as exc:
-            held.kept_revision = 0
+            lot.progress_revision = 0
             self._tools.log.note(
                 "progress_not_kept", lot=lot_id, reason=str(exc)
             )
             return
         self._tools.log.note("progress_kept", lot=lot_id, items=len(progress))
 
-    async def _keep_progress(self) -> None:
+    async def _save_unfinished_texts_periodically(self) -> None:
         """Keeps texts now and then, for the case that this daemon dies."""
         while True:
-            await anyio.sleep(_KEEP_S)
+            await anyio.sleep(_SAVE_INTERVAL_S)
             await self.save_unfinished_texts()
 
     def _tick(self) -> None:
         tools = self._tools
         engines = tuple(
-            EngineSeen(
+            EngineView(
                 endpoint_id=endpoint.entry.endpoint_id,
                 pool=endpoint.entry.pool,
                 slots=endpoint.entry.slots,
@@ -260,18 +260,18 @@
             for endpoint in tools.directory.all()
             if endpoint.entry.versions and not endpoint.entry.is_leaving
         )
-        self._handle(EnginesListed(engines))
-        for held in list(self._held.values()):
-            self._list(held, ListingTick())
+        self._feed_dispatch(EnginesListed(engines))
+        for lot in list(self._lots.values()):
+            self._feed_listing(lot, ListingTick())
 
-    def _on_lot(self, found) -> None:
+    def _on_lot_changed(self, found) -> None:
         """Takes a lot's object: a new lot, or the end of one."""
         if found.is_deleted:
-            self._close(found.name, "it was deleted")
-            self._held.pop(found.name, None)
+            self._close_lot(found.name, "it was deleted")
+            self._lots.pop(found.name, None)
             return
         try:
-            head, status = read_head(found)
+            head, status = decode_head(found)
         except msgspec.DecodeError as exc:
             self._tools.log.note(
                 "lot_unreadable", lot=found.name, reason=str(exc)
@@ -279,69 +279,69 @@
             return
         if status.is_ended:
             self.end(head.lot_id)
-        self._take(head, status.is_ended)
+        self._open_new_lot(head, status.is_ended)
 
-    def _take(self, head: LotHead, is_ended: bool) -> None:
+    def _open_new_lot(self, head: LotHead, is_ended: bool) -> None:
         """Holds a lot that isn't held yet."""
-        if head.lot_id in self._held or self._tasks is None:
+        if head.lot_id in self._lots or self._tasks is None:
             return
         age_s = self._tools.clock.now_s() - head.accepted_s
-        held = _Held(
+        lot = _LotState(
             head,
             ListingCore(head.total),
             is_ended=is_ended,
-            is_inherited=age_s > time.monotonic() - self._held_since_s,
+            is_inherited=age_s > time.monotonic() - self._duty_since_s,
         )
-        self._held[head.lot_id] = held
-        self._tasks.start_soon(self._open, held)
+        self._lots[head.lot_id] = lot
+        self._tasks.start_soon(self._load_lot, lot)
 
     def end(self, lot_id: str) -> None:
         """Ends a lot that a caller no longer wants."""
-        held = self._held.get(lot_id)
-        if held is None or held.is_ended:
+        lot = self._lots.get(lot_id)
+        if lot is None or lot.is_ended:
             return
-        held.is_ended = True
-        self._close(lot_id, "its caller ended it")
+        lot.is_ended = True
+        self._close_lot(lot_id, "its caller ended it")
 
-    def _close(self, lot_id: str, reason: str) -> None:
+    def _close_lot(self, lot_id: str, reason: str) -> None:
         """Stops running a lot; texts of unfinished items are kept."""
         if lot_id not in self._core.open_lots:
             return
-        self._texts.update(self._core.progress_of(lot_id))
-        while len(self._texts) > _KEPT_TEXTS:
-            del self._texts[next(iter(self._texts))]
-        held = self._held[lot_id]
+        self._unfinished_texts.update(self._core.progress_of(lot_id))
+        while len(self._unfinished_texts) > _MAX_CACHED_TEXTS:
+            del self._unfinished_texts[next(iter(self._unfinished_texts))]
+        lot = self._lots[lot_id]
         self._tools.log.note(
             "lot_closed",
             lot=lot_id,
             reason=reason,
-            listed=len(held.listing.listed),
-            total=held.head.total,
+            listed=len(lot.listing.listed),
+            total=lot.head.total,
         )
-        self._handle(LotClosed(lot_id))
+        self._feed_dispatch(LotClosed(lot_id))
 
-    async def _open(self, held: _Held) -> None:
+    async def _load_lot(self, lot: _LotState) -> None:
         """Reads a lot's items and results, then runs what is missing."""
-        head = held.head
+        head = lot.head
         while True:
             try:
-                await self._read_listed(held)
-                held.is_read = True
-                if held.is_ended or held.listing.is_whole:
+                await self._load_listed_chunks(lot)
+                lot.is_listing_loaded = True
+                if lot.is_ended or lot.listing.is_whole:
                     return
-                held.spec = await self._tools.lots.items(head)
-                if held.is_inherited:
-                    kept = await self._tools.lots.progress(head.lot_id)
-                    self._texts.update(kept)
+                lot.spec = await self._tools.lots.items(head)
+                if lot.is_inherited:
+                    saved = await self._tools.lots.progress(head.lot_id)
+                    self._unfinished_texts.update(saved)
                 break
             except (ObjectStoreError, msgspec.DecodeError) as exc:
                 self._tools.log.note(
                     "lot_read_failed", lot=head.lot_id, reason=str(exc)
                 )
-                await anyio.sleep(_READ_PAUSE_S)
-        if held.is_ended:
+                await anyio.sleep(_READ_RETRY_DELAY_S)
+        if lot.is_ended:
             return
-        tokens = sum(item.tokens for item in held.spec.items)
+        tokens = sum(item.tokens for item in lot.spec.items)
         self._demand[head.model] = float(tokens)
         age_s = self._tools.clock.now_s() - head.accepted_s
         now_s = time.monotonic()
@@ -351,84 +351,84 @@
             step=head.step,
             oldest_version=head.oldest_version,
             total=head.total,
-            listed=len(held.listing.listed),
+            listed=len(lot.listing.listed),
             age_s=round(age_s, 3),
             fencing=self._duty.fencing,
         )
-        self._handle(
+        self._feed_dispatch(
             LotOpened(
-                held.spec,
-                self._pool_of(head),
+                lot.spec,
+                self._find_pool(head),
                 now_s + head.due_s - age_s,
                 now_s + max(0.0, head.max_wait_s - age_s),
-                frozenset(r.item_id for r in held.listing.listed),
+                frozenset(r.item_id for r in lot.listing.listed),
                 {
-                    item.item_id: self._texts[item.item_id]
-                    for item in held.spec.items
-                    if item.item_id in self._texts
+                    item.item_id: self._unfinished_texts[item.item_id]
+                    for item in lot.spec.items
+                    if item.item_id in self._unfinished_texts
                 },
             )
         )
 
-    def _pool_of(self, head: LotHead) -> str:
+    def _find_pool(self, head: LotHead) -> str:
         """Returns the pool that serves a lot's route now."""
         route = self._tools.manifests.manifest.find_route(head.host, head.path)
         return route.shares[0].pool if route and route.shares else ""
 
-    async def _read_listed(self, held: _Held) -> None:
+    async def _load_listed_chunks(self, lot: _LotState) -> None:
         """Reads all chunks that stand in the store."""
-        while not held.listing.is_whole:
-            first = len(held.listing.listed)
-            results = await self._tools.lots.chunk(held.head.lot_id, first)
+        while not lot.listing.is_whole:
+            first = len(lot.listing.listed)
+            results = await self._tools.lots.chunk(lot.head.lot_id, first)
             if results is None:
                 return
-            held.listing.handle(ChunkStands(first, results), time.monotonic())
+            lot.listing.handle(ChunkStored(first, results), time.monotonic())
 
-    def _handle(self, event: object) -> None:
+    def _feed_dispatch(self, event: object) -> None:
         """Feeds the dispatch core and does what it decides."""
         for action in self._core.handle(event, time.monotonic()):
             match action:
                 case StartRun():
-                    self._tasks.start_soon(self._run, action)
+                    self._tasks.start_soon(self._run_item, action)
                 case CancelRun():
-                    self._cancel(action)
-                case StartReward():
-                    self._tasks.start_soon(self._reward, action)
+                    self._cancel_run(action)
+                case StartRewardCall():
+                    self._tasks.start_soon(self._call_reward, action)
                 case FinishItem():
-                    held = self._held[action.lot_id]
-                    self._list(
-                        held, ItemFinished(action.result, action.is_group_done)
+                    lot = self._lots[action.lot_id]
+                    self._feed_listing(
+                        lot, ItemFinished(action.result, action.is_group_done)
                     )
 
-    def _cancel(self, action: CancelRun) -> None:
-        scope = self._scopes.pop(action.run, None)
+    def _cancel_run(self, action: CancelRun) -> None:
+        scope = self._run_scopes.pop(action.run_id, None)
         if scope is not None:
             self._tools.log.note(
-                "run_cancelled", run=action.run, reason=action.reason
+                "run_cancelled", run=action.run_id, reason=action.reason
             )
             scope.cancel()
 
-    async def _run(self, action: StartRun) -> None:
+    async def _run_item(self, action: StartRun) -> None:
         """Runs an item at an engine."""
-        run = self._core.run_of(action.run)
+        run = self._core.find_run(action.run_id)
         if run is None:
             return
         self._tools.metrics.count("runs")
-        held = self._held[action.lot_id]
-        give_up_at_s = time.monotonic() + max(1.0, held.head.max_wait_s)
+        lot = self._lots[action.lot_id]
+        give_up_at_s = time.monotonic() + max(1.0, lot.head.max_wait_s)
         started_s = time.monotonic()
         ended = "cancelled"
         with anyio.CancelScope() as scope:
-            self._scopes[action.run] = scope
+            self._run_scopes[action.run_id] = scope
             try:
                 ended = await self._tools.runner.run(
-                    action, held.head, give_up_at_s, self._handle
+                    action, lot.head, give_up_at_s, self._feed_dispatch
                 )
             finally:
-                self._scopes.pop(action.run, None)
+                self._run_scopes.pop(action.run_id, None)
                 self._tools.log.note(
                     "run",
-                    run=action.run,
+                    run=action.run_id,
                     id=action.item.item_id,
                     lot=action.lot_id,
                     endpoint=action.endpoint_id,
@@ -437,16 +437,16 @@
                     took_s=round(time.monotonic() - started_s, 3),
                 )
 
-    async def _reward(self, action: StartReward) -> None:
-        self._handle(await self._tools.rewards.pay(action))
+    async def _call_reward(self, action: StartRewardCall) -> None:
+        self._feed_dispatch(await self._tools.rewards.request_score(action))
 
-    def _list(self, held: _Held, event: object) -> None:
+    def _feed_listing(self, lot: _LotState, event: object) -> None:
         """Feeds a lot's listing core and writes the chunk that it decides."""
-        for action in held.listing.handle(event, time.monotonic()):
-            self._tasks.start_soon(self._write_chunk, held, action)
+        for action in lot.listing.handle(event, time.monotonic()):
+            self._tasks.start_soon(self._write_chunk, lot, action)
 
-    async def _write_chunk(self, held: _Held, action: WriteChunk) -> None:
-        lot_id = held.head.lot_id
+    async def _write_chunk(self, lot: _LotState, action: WriteChunk) -> None:
+        lot_id = lot.head.lot_id
         started_s = time.monotonic()
         try:
             results = await self._tools.lots.write_chunk(
@@ -456,7 +456,7 @@
             self._tools.log.note(
                 "list_failed", lot=lot_id, first=action.first, reason=str(exc)
             )
-            self._list(held, ChunkFailed())
+            self._feed_listing(lot, ChunkWriteFailed())
             return
         self._tools.log.note(
             "listed",
@@ -466,11 +466,11 @@
             is_own=results == action.results,
             took_s=round(time.monotonic() - started_s, 3),
         )
-        self._list(held, ChunkStands(action.first, results))
-        held.news.set()
-        held.news = anyio.Event()
-        if held.listing.is_whole:
-            self._close(lot_id, "it is listed whole")
+        self._feed_listing(lot, ChunkStored(action.first, results))
+        lot.results_added.set()
+        lot.results_added = anyio.Event()
+        if lot.listing.is_whole:
+            self._close_lot(lot_id, "it is listed whole")
 
     async def results(
         self, lot_id: str, after: int, wait_s: float
@@ -480,97 +480,103 @@
         Waits up to `wait_s` while there is none. An empty answer is only
         given if no other daemon can have listed more.
         """
-        held = self._held.get(lot_id)
-        if held is None or not held.is_read or not self._duty.fencing:
+        lot = self._lots.get(lot_id)
+        if lot is None or not lot.is_listing_loaded or not self._duty.fencing:
             return None
-        if held.is_ended:
+        if lot.is_ended:
             return None
-        if len(held.listing.listed) <= after:
+        if len(lot.listing.listed) <= after:
             with anyio.move_on_after(wait_s):
-                await held.news.wait()
-        is_short = len(held.listing.listed) <= after
-        if is_short and not await self._look_up_end(held):
+                await lot.results_added.wait()
+        is_short = len(lot.listing.listed) <= after
+        if is_short and not await self._refresh_listing(lot):
             return None
-        return held.listing.listed[after:]
+        return lot.listing.listed[after:]
 
-    async def _look_up_end(self, held: _Held) -> bool:
+    async def _refresh_listing(self, lot: _LotState) -> bool:
         """Reads what another holder may have listed; False if it can't."""
-        is_own = not held.is_inherited and not self._tools.has_lost_peers()
-        if is_own or held.listing.is_whole:
+        is_own = not lot.is_inherited and not self._tools.has_lost_peers()
+        if is_own or lot.listing.is_whole:
             return True
         now_s = time.monotonic()
-        if now_s - held.looked_at_s < _LOOK_UP_S:
+        if now_s - lot.refreshed_at_s < _LISTING_POLL_INTERVAL_S:
             return True
         try:
-            await self._read_listed(held)
+            await self._load_listed_chunks(lot)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
             self._tools.log.note(
-                "lot_read_failed", lot=held.head.lot_id, reason=str(exc)
+                "lot_read_failed", lot=lot.head.lot_id, reason=str(exc)
             )
             return False
-        held.looked_at_s = now_s
+        lot.refreshed_at_s = now_s
         return True
 
     def head(self, lot_id: str) -> LotHead | None:
         """Returns a lot without its items; None if it isn't held."""
-        held = self._held.get(lot_id)
-        return held.head if held and self._duty.fencing else None
+        lot = self._lots.get(lot_id)
+        return lot.head if lot and self._duty.fencing else None
 
-    async def handle_head_request(self, asked: LotHeadAsked) -> LotAnswer:
+    async def handle_head_request(self, request: LotHeadAsked) -> LotAnswer:
         """Answers a peer whose caller asks for a lot unknown there."""
-        head = self.head(asked.lot_id)
+        head = self.head(request.lot_id)
         if head is None:
             return LotAnswer(is_held=False)
         return LotAnswer(is_held=True, content=msgspec.json.encode(head))
 
-    async def handle_results_request(self, asked: LotResultsAsked) -> LotAnswer:
+    async def handle_results_request(
+        self, request: LotResultsAsked
+    ) -> LotAnswer:
         """Answers a peer that reads results for its caller."""
-        found = await self.results(asked.lot_id, asked.after, asked.wait_s)
+        found = await self.results(
+            request.lot_id, request.after, request.wait_s
+        )
         if found is None:
-            held = self._held.get(asked.lot_id)
-            is_ended = held is not None and held.is_ended
+            lot = self._lots.get(request.lot_id)
+            is_ended = lot is not None and lot.is_ended
             return LotAnswer(is_held=False, is_ended=is_ended)
         return LotAnswer(is_held=True, content=msgspec.json.encode(found))
 
-    async def handle_body_request(self, asked: LotBodyAsked) -> LotAnswer:
+    async def handle_body_request(self, request: LotBodyAsked) -> LotAnswer:
         """Answers a peer that reads an item's body for its caller."""
-        held = self._held.get(asked.lot_id)
-        if held is None or held.spec is None or not self._duty.fencing:
+        lot = self._lots.get(request.lot_id)
+        if lot is None or lot.spec is None or not self._duty.fencing:
             return LotAnswer(is_held=False)
-        for item in held.spec.items:
-            if item.item_id == asked.item_id:
+        for item in lot.spec.items:
+            if item.item_id == request.item_id:
                 return LotAnswer(is_held=True, content=item.body)
         return LotAnswer(is_held=True, is_found=False)
 
-    def take(self, head: LotHead) -> None:
+    def add_accepted(self, head: LotHead) -> None:
         """Holds a lot that was accepted just now, if the duty is here."""
-        if not self._duty.fencing or head.lot_id in self._held:
+        if not self._duty.fencing or head.lot_id in self._lots:
             return
-        self._take(head, is_ended=False)
+        self._open_new_lot(head, is_ended=False)
 
     def receive(self, _, message: object) -> None:
         """Takes news of a lot from the daemon that stored it."""
         match message:
             case LotTold(head):
-                self.take(msgspec.json.decode(head, type=LotHead))
+                self.add_accepted(msgspec.json.decode(head, type=LotHead))
             case LotEndTold(lot_id):
                 self.end(lot_id)
 
-    async def _delete_old(self, watcher: KindWatcher) -> None:
+    async def _delete_expired_lots(self, watcher: KindWatcher) -> None:
         """Deletes lots that need no longer be readable."""
         while True:
-            await anyio.sleep(_DELETE_S)
+            await anyio.sleep(_DELETE_INTERVAL_S)
             now_s = self._tools.clock.now_s()
-            limit_s = self._tools.status_s + _DELETE_MARGIN_S
+            min_retention_s = self._tools.status_s + _DELETE_MARGIN_S
             for found in list(watcher.objects.values()):
-                held = self._held.get(found.name)
-                if held is None:
+                lot = self._lots.get(found.name)
+                if lot is None:
                     continue
-                kept_s = limit_s if held.is_ended else _FORGOTTEN * limit_s
-                if now_s - held.head.accepted_s < kept_s:
+                retention_s = (
+                    min_retention_s
+                    if lot.is_ended
+                    else _UNENDED_RETENTION_FACTOR * min_retention_s
+                )
+                if now_s - lot.head.accepted_s < retention_s:
                     continue
                 with contextlib.suppress(ObjectStoreError):
-                    await self._tools.lots.delete(
-                        held.head, held.listing.chunks
-                    )
+                    await self._tools.lots.delete(lot.head, lot.listing.chunks)
                 self._tools.log.note("lot_deleted", lot=found.name)
--- a/daisyhub/lots/_listing_core.py
+++ b/daisyhub/lots/_listing_core.py
@@ -12,8 +12,8 @@
 from daisyhub.lots._types import ItemResult
 
 __all__ = [
-    "ChunkFailed",
-    "ChunkStands",
+    "ChunkWriteFailed",
+    "ChunkStored",
     "ItemFinished",
     "ListingCore",
     "ListingTick",
@@ -22,11 +22,11 @@
 
 # Seconds for which a finished item waits for the rest of its group: half of
 # the pause between two reads of a trainer.
-_GROUP_WAIT_S = 0.25
+_MAX_GROUP_WAIT_S = 0.25
 # Seconds after a failed write; some round trips to the store.
-_FAILED_PAUSE_S = 0.2
+_WRITE_RETRY_DELAY_S = 0.2
 # Bytes of text in one chunk; an object holds a megabyte with all escapes.
-_CHUNK_BYTES = 400_000
+_MAX_CHUNK_CHARACTERS = 400_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkStands:
+class ChunkStored:
     """These results stand in the store from a position on."""
 
     first: int
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkFailed:
+class ChunkWriteFailed:
     """A write brought no usable answer; it may have taken effect."""
 
 
@@ -79,11 +79,11 @@
         self._total = total
         self._listed: list[ItemResult] = []
         self._listed_ids: set[str] = set()
-        self._chunks: list[int] = []
+        self._chunk_positions: list[int] = []
         self._pending: dict[str, ItemResult] = {}
         self._write_at_s = math.inf
-        self._paused_until_s = -math.inf
-        self._is_waiting = False
+        self._retry_at_s = -math.inf
+        self._is_write_pending = False
 
     @property
     def listed(self) -> list[ItemResult]:
@@ -93,7 +93,7 @@
     @property
     def chunks(self) -> list[int]:
         """First positions of the chunks."""
-        return self._chunks
+        return self._chunk_positions
 
     @property
     def is_whole(self) -> bool:
@@ -103,9 +103,9 @@
     @property
     def next_wakeup_s(self) -> float | None:
         """When waiting results are to be written."""
-        if self._is_waiting or not self._pending:
+        if self._is_write_pending or not self._pending:
             return None
-        return max(self._write_at_s, self._paused_until_s)
+        return max(self._write_at_s, self._retry_at_s)
 
     def is_listed(self, item_id: str) -> bool:
         """Whether an item stands in the store."""
@@ -115,39 +115,39 @@
         """Takes one event; returns at most one `WriteChunk`."""
         match event:
             case ItemFinished():
-                self._on_finished(event, now_s)
-            case ChunkStands():
-                self._on_stands(event, now_s)
-            case ChunkFailed():
-                self._is_waiting = False
+                self._on_item_finished(event, now_s)
+            case ChunkStored():
+                self._on_chunk_stored(event, now_s)
+            case ChunkWriteFailed():
+                self._is_write_pending = False
                 self._write_at_s = now_s
-                self._paused_until_s = now_s + _FAILED_PAUSE_S
+                self._retry_at_s = now_s + _WRITE_RETRY_DELAY_S
             case ListingTick():
                 pass
             case _:
                 raise TypeError(f"not a listing event: {event!r}")
         return self._write(now_s)
 
-    def _on_finished(self, event: ItemFinished, now_s: float) -> None:
+    def _on_item_finished(self, event: ItemFinished, now_s: float) -> None:
         result = event.result
         if result.item_id in self._listed_ids:
             return
         self._pending[result.item_id] = result
         is_last = len(self._listed) + len(self._pending) >= self._total
-        wait_s = 0.0 if event.is_group_done or is_last else _GROUP_WAIT_S
+        wait_s = 0.0 if event.is_group_done or is_last else _MAX_GROUP_WAIT_S
         self._write_at_s = min(self._write_at_s, now_s + wait_s)
 
-    def _on_stands(self, event: ChunkStands, now_s: float) -> None:
-        self._is_waiting = False
+    def _on_chunk_stored(self, event: ChunkStored, now_s: float) -> None:
+        self._is_write_pending = False
         if event.first != len(self._listed):
             return
-        self._chunks.append(event.first)
+        self._chunk_positions.append(event.first)
         for result in event.results:
             self._listed.append(result)
             self._listed_ids.add(result.item_id)
             self._pending.pop(result.item_id, None)
         if self._pending:
-            self._write_at_s = min(self._write_at_s, now_s + _GROUP_WAIT_S)
+            self._write_at_s = min(self._write_at_s, now_s + _MAX_GROUP_WAIT_S)
 
     def _write(self, now_s: float) -> list[object]:
         due_s = self.next_wakeup_s
@@ -157,10 +157,10 @@
         size = 0
         for result in self._pending.values():
             size += len(result.text)
-            if chosen and size > _CHUNK_BYTES:
+            if chosen and size > _MAX_CHUNK_CHARACTERS:
                 break
             chosen.append(result)
         is_all = len(chosen) == len(self._pending)
         self._write_at_s = math.inf if is_all else now_s
-        self._is_waiting = True
+        self._is_write_pending = True
         return [WriteChunk(len(self._listed), tuple(chosen))]
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -20,7 +20,7 @@
     StoredObject,
 )
 
-__all__ = ["LOTS_KIND", "LotStatus", "LotStore", "read_head"]
+__all__ = ["LOTS_KIND", "LotStatus", "LotStore", "decode_head"]
 
 LOTS_KIND = "lots"
 _ITEMS_KIND = "lot-items"
@@ -28,12 +28,12 @@
 _PROGRESS_KIND = "lot-progress"
 # Bytes of one object; the platform's values hold a megabyte, and content is a
 # third larger in JSON than its bytes.
-_PART_BYTES = 500_000
+_MAX_PART_BYTES = 500_000
 # Bytes of chunks after which a read of a lot stops: an answer may have a
 # megabyte, and the reads come one after the other within a caller's second.
-_READ_BYTES = 200_000
+_READ_LIMIT_BYTES = 200_000
 # Lots whose items are kept after a create or a read; a few steps' worth.
-_KEPT_LOTS = 6
+_MAX_CACHED_LOTS = 6
 
 
 class LotStatus(msgspec.Struct, frozen=True, kw_only=True):
@@ -50,11 +50,11 @@
     results: tuple[ItemResult, ...]
 
 
-def _results_of(found: StoredObject) -> tuple[ItemResult, ...]:
+def _decode_chunk(found: StoredObject) -> tuple[ItemResult, ...]:
     return msgspec.json.decode(found.spec, type=_Chunk).results
 
 
-def read_head(found: StoredObject) -> tuple[LotHead, LotStatus]:
+def decode_head(found: StoredObject) -> tuple[LotHead, LotStatus]:
     """Reads a lot's object.
 
     Raises:
@@ -74,7 +74,7 @@
 
     def __init__(self, store: ObjectStore):
         self._store = store
-        self._kept: collections.OrderedDict[str, LotSpec] = (
+        self._cache: collections.OrderedDict[str, LotSpec] = (
             collections.OrderedDict()
         )
 
@@ -84,25 +84,25 @@
         Raises:
             ObjectStoreError: It isn't stored, or that is not known.
         """
-        parts = list(_split(spec.items))
+        parts = list(_split_into_parts(spec.items))
         head = msgspec.structs.replace(spec.head, parts=len(parts))
         for number, items in enumerate(parts):
             name = _part_name(head.lot_id, number)
-            await self._store_part(name, items)
+            await self._create_part(name, items)
         content = msgspec.json.encode(head)
         try:
             await self._store.create(LOTS_KIND, head.lot_id, content)
         except ObjectConflictError as exc:
-            found = exc.found or await self._found(head.lot_id)
-            return read_head(found)[0]
+            found = exc.found or await self._read_existing(head.lot_id)
+            return decode_head(found)[0]
         except ObjectStoreError as exc:
             if not exc.may_be_done:
                 raise
-            return await self._resolve(head, exc)
-        self._keep(LotSpec(head=head, items=spec.items))
+            return await self._confirm_create(head, exc)
+        self._cache_lot(LotSpec(head=head, items=spec.items))
         return head
 
-    async def _store_part(self, name: str, items: list[ItemSpec]) -> None:
+    async def _create_part(self, name: str, items: list[ItemSpec]) -> None:
         """Stores a part; nothing runs before the head stands."""
         content = msgspec.json.encode(_Part(items=tuple(items)))
         try:
@@ -113,16 +113,16 @@
         except ObjectStoreError as exc:
             raise ObjectStoreError(str(exc), may_be_done=False) from exc
 
-    async def _resolve(
+    async def _confirm_create(
         self, head: LotHead, failure: ObjectStoreError
     ) -> LotHead:
         """Reads back a create whose answer was lost."""
         found = await self._store.read(LOTS_KIND, head.lot_id)
         if found is None:
             raise failure
-        return read_head(found)[0]
+        return decode_head(found)[0]
 
-    async def _found(self, lot_id: str) -> StoredObject:
+    async def _read_existing(self, lot_id: str) -> StoredObject:
         found = await self._store.read(LOTS_KIND, lot_id)
         if found is None:
             raise ObjectStoreError(f"lot {lot_id} is gone", may_be_done=True)
@@ -133,23 +133,23 @@
 
         The status may be seconds old.
         """
-        found = await self._read_fixed(LOTS_KIND, lot_id)
-        return None if found is None else read_head(found)
+        found = await self._read_immutable(LOTS_KIND, lot_id)
+        return None if found is None else decode_head(found)
 
     async def items(self, head: LotHead) -> LotSpec:
         """Returns a whole lot."""
-        kept = self._kept.get(head.lot_id)
+        kept = self._cache.get(head.lot_id)
         if kept is not None:
             return kept
         items: list[ItemSpec] = []
         for number in range(head.parts):
             name = _part_name(head.lot_id, number)
-            found = await self._read_fixed(_ITEMS_KIND, name)
+            found = await self._read_immutable(_ITEMS_KIND, name)
             if found is None:
                 raise ObjectStoreError(f"{name} is gone", may_be_done=False)
             items += msgspec.json.decode(found.spec, type=_Part).items
         spec = LotSpec(head=head, items=tuple(items))
-        self._keep(spec)
+        self._cache_lot(spec)
         return spec
 
     async def chunk(
@@ -157,8 +157,8 @@
     ) -> tuple[ItemResult, ...] | None:
         """Returns the results from a position on, None if none stand there."""
         name = _chunk_name(lot_id, first)
-        found = await self._read_fixed(_RESULTS_KIND, name)
-        return None if found is None else _results_of(found)
+        found = await self._read_immutable(_RESULTS_KIND, name)
+        return None if found is None else _decode_chunk(found)
 
     async def chunks(self, lot_id: str, first: int) -> list[ItemResult]:
         """Returns results from a position on, one at least if one stands.
@@ -168,18 +168,20 @@
         """
         results = list(await self.chunk(lot_id, first) or ())
         size = 0
-        while results and size < _READ_BYTES:
+        while results and size < _READ_LIMIT_BYTES:
             name = _chunk_name(lot_id, first + len(results))
             found = await self._store.read(
                 _RESULTS_KIND, name, may_be_late=True
             )
             if found is None:
                 break
-            results += _results_of(found)
+            results += _decode_chunk(found)
             size += len(found.spec)
         return results
 
-    async def _read_fixed(self, kind: str, name: str) -> StoredObject | None:
+    async def _read_immutable(
+        self, kind: str, name: str
+    ) -> StoredObject | None:
         """Reads an object whose spec never changes.
 
         An answer that may be late is right if it has the object, and cheap;
@@ -264,20 +266,20 @@
             await self._store.delete(_ITEMS_KIND, name)
         await self._store.delete(LOTS_KIND, head.lot_id)
 
-    def _keep(self, spec: LotSpec) -> None:
-        self._kept[spec.head.lot_id] = spec
-        while len(self._kept) > _KEPT_LOTS:
-            self._kept.popitem(last=False)
+    def _cache_lot(self, spec: LotSpec) -> None:
+        self._cache[spec.head.lot_id] = spec
+        while len(self._cache) > _MAX_CACHED_LOTS:
+            self._cache.popitem(last=False)
 
 
-def _split(items: tuple[ItemSpec, ...]):
+def _split_into_parts(items: tuple[ItemSpec, ...]):
     """Yields runs of items that fit into one object each."""
     part: list[ItemSpec] = []
     size = 0
     for item in items:
         reward_bytes = len(item.reward.body) if item.reward else 0
         item_bytes = len(item.body) + reward_bytes + len(str(item.headers))
-        if part and size + item_bytes > _PART_BYTES:
+        if part and size + item_bytes > _MAX_PART_BYTES:
             yield part
             part, size = [], 0
         part.append(item)
--- a/daisyhub/lots/_rewards.py
+++ b/daisyhub/lots/_rewards.py
@@ -6,12 +6,16 @@
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.gateway import EndpointWire, Sender, SendTask
 from daisyhub.logs import DecisionLog
-from daisyhub.lots._run_types import RewardFailed, RewardPaid, StartReward
+from daisyhub.lots._run_types import (
+    RewardCallFailed,
+    RewardCallSucceeded,
+    StartRewardCall,
+)
 
 __all__ = ["RewardCaller"]
 
 # Seconds that a reward call may take, where its route allows longer.
-_REWARD_S = 5.0
+_REWARD_TIMEOUT_S = 5.0
 _SUCCESS = range(200, 300)
 
 
@@ -37,7 +41,9 @@
         self._wire = wire
         self._log = log
 
-    async def pay(self, action: StartReward) -> RewardPaid | RewardFailed:
+    async def request_score(
+        self, action: StartRewardCall
+    ) -> RewardCallSucceeded | RewardCallFailed:
         """Makes one call; a success counts only with the endpoint's proof."""
         item = action.item
         reward = item.reward
@@ -51,7 +57,8 @@
             target=reward.path,
             host=reward.host,
             body=reward.body,
-            deadline_s=time.monotonic() + min(_REWARD_S, route.timeout_s),
+            deadline_s=time.monotonic()
+            + min(_REWARD_TIMEOUT_S, route.timeout_s),
         )
         try:
             resp = await self._sender.send(task)
@@ -59,18 +66,22 @@
             return self._failed(action, exc.code)
         answer = self._wire.read_answer(resp.status, resp.headers)
         if resp.status not in _SUCCESS or not answer.proof:
-            is_counted = resp.status == ErrorCode.INTERNAL.status
+            is_endpoint_failure = resp.status == ErrorCode.INTERNAL.status
             reason = f"status {resp.status}"
-            return self._failed(action, reason, is_counted, route.max_attempts)
-        return RewardPaid(action.lot_id, item.item_id, answer.proof)
+            return self._failed(
+                action, reason, is_endpoint_failure, route.max_attempts
+            )
+        return RewardCallSucceeded(action.lot_id, item.item_id, answer.proof)
 
     def _failed(
         self,
-        action: StartReward,
+        action: StartRewardCall,
         reason: str,
-        is_counted: bool = False,
+        is_endpoint_failure: bool = False,
         max_attempts: int = 1,
-    ) -> RewardFailed:
+    ) -> RewardCallFailed:
         item_id = action.item.item_id
         self._log.note("reward_failed", id=item_id, reason=reason)
-        return RewardFailed(action.lot_id, item_id, is_counted, max_attempts)
+        return RewardCallFailed(
+            action.lot_id, item_id, is_endpoint_failure, max_attempts
+        )
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -1,4 +1,4 @@
-"""Events and actions of the dispatch core, and its records."""
+"""Events, actions and state records of the dispatch core."""
 
 import dataclasses
 import enum
@@ -9,27 +9,37 @@
 __all__ = [
     "CancelRun",
     "Engine",
-    "EngineSeen",
+    "EngineView",
     "EnginesListed",
-    "EventArrived",
+    "StreamEventReceived",
     "FinishItem",
     "Item",
     "LotClosed",
     "LotOpened",
     "Progress",
-    "RewardFailed",
-    "RewardPaid",
+    "RewardCallFailed",
+    "RewardCallSucceeded",
     "Run",
-    "RunEnded",
+    "RunCompleted",
     "RunFailed",
     "RunFault",
-    "StartReward",
+    "StartRewardCall",
     "StartRun",
 ]
 
 
 class RunFault(enum.Enum):
-    """Why a run brought no whole text."""
+    """Why a run produced no complete text.
+
+    Attributes:
+        NOT_RUN: The engine rejected the request without running it.
+        ELSEWHERE: The endpoint is unknown, or another endpoint answers at its
+            address.
+        UNREACHABLE: No response was received.
+        BROKEN: The stream was cut or malformed, or the status was unexpected.
+        FAILED: The engine failed at the item; counted as an attempt.
+        IMPOSSIBLE: The engine can never serve the item; it is given up.
+    """
 
     NOT_RUN = "not_run"
     ELSEWHERE = "elsewhere"
@@ -44,9 +54,9 @@
     """Text generated so far.
 
     Attributes:
-        texts: Data of the events, from the first on.
-        versions: The weight version that made each.
-        is_whole: Whether the text came to its end.
+        texts: Data of all events received so far, in order.
+        versions: Weight version that generated each event.
+        is_whole: Whether the text is complete.
     """
 
     texts: tuple[str, ...] = ()
@@ -55,13 +65,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineSeen:
-    """What is known of one engine.
+class EngineView:
+    """Observed state of one engine.
 
     Attributes:
-        endpoint_id: Its id.
+        endpoint_id: Its endpoint's id.
         pool: Its pool.
-        slots: Requests that it serves at one time.
+        slots: Number of requests that it serves concurrently.
         versions: Weight version by model.
         is_loading: Whether it is loading weights.
     """
@@ -75,22 +85,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesListed:
-    """All engines that may get work; those left out get none."""
+    """The set of engines that may get runs was refreshed.
 
-    engines: tuple[EngineSeen, ...]
+    Engines that are missing from it get no new runs.
+    """
+
+    engines: tuple[EngineView, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LotOpened:
-    """A lot is to be run.
+    """A lot was opened and is to be run.
 
     Attributes:
         spec: The lot.
         pool: The pool that serves its items.
         due_at_s: When its results are due, on the core's clock.
-        give_up_at_s: When its items may be given up.
-        listed: Items that are listed already.
-        known: Text that earlier runs left, by item.
+        give_up_at_s: When its items may be given up, on the core's clock.
+        listed: Ids of items that are already listed.
+        progress: Text that earlier runs generated, by item id.
     """
 
     spec: LotSpec
@@ -98,43 +111,43 @@
     due_at_s: float
     give_up_at_s: float
     listed: frozenset[str] = frozenset()
-    known: dict[str, Progress] = dataclasses.field(default_factory=dict)
+    progress: dict[str, Progress] = dataclasses.field(default_factory=dict)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LotClosed:
-    """A lot was ended, or all of it is listed."""
+    """A lot was ended or deleted, or all of its items are listed."""
 
     lot_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EventArrived:
-    """A run brought an event of its stream."""
+class StreamEventReceived:
+    """An event of a run's stream was received."""
 
-    run: int
+    run_id: int
     data: str
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RunEnded:
-    """A run's stream came to its end."""
+class RunCompleted:
+    """A run's stream ended normally; its text is complete."""
 
-    run: int
+    run_id: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunFailed:
-    """A run brought no whole text."""
+    """A run failed before its text was complete."""
 
-    run: int
+    run_id: int
     fault: RunFault
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RewardPaid:
-    """A reward call brought its score."""
+class RewardCallSucceeded:
+    """A reward call returned a score."""
 
     lot_id: str
     item_id: str
@@ -142,28 +155,38 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RewardFailed:
-    """A reward call brought none.
+class RewardCallFailed:
+    """A reward call returned no score.
 
     Attributes:
         lot_id: The lot.
         item_id: The item.
-        is_counted: Whether the endpoint itself failed at it.
-        max_attempts: Failures of the endpoint after which the item may be
-            given up, by the reward call's own route.
+        is_endpoint_failure: Whether the endpoint itself failed, which counts
+            as an attempt.
+        max_attempts: Number of endpoint failures after which the item is given
+            up, set by the route of the reward call.
     """
 
     lot_id: str
     item_id: str
-    is_counted: bool
+    is_endpoint_failure: bool
     max_attempts: int = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StartRun:
-    """Action: send an item to an engine."""
+    """Action: send an item to an engine.
+
+    Attributes:
+        run_id: Id of the new run.
+        lot_id: The item's lot.
+        item: The item.
+        endpoint_id: The engine.
+        resume_after: Number of events that earlier runs received; the stream
+            starts behind them.
+    """
 
-    run: int
+    run_id: int
     lot_id: str
     item: ItemSpec
     endpoint_id: str
@@ -174,12 +197,12 @@
 class CancelRun:
     """Action: close a run's connection."""
 
-    run: int
+    run_id: int
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StartReward:
+class StartRewardCall:
     """Action: make an item's reward call."""
 
     lot_id: str
@@ -188,7 +211,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FinishItem:
-    """Action: list an item's result."""
+    """Action: list an item's result.
+
+    Attributes:
+        lot_id: The item's lot.
+        result: The result.
+        is_group_done: Whether all items of its group have results.
+    """
 
     lot_id: str
     result: ItemResult
@@ -197,20 +226,21 @@
 
 @dataclasses.dataclass(slots=True)
 class Engine:
-    """An engine as the core keeps it.
+    """The core's state of one engine.
 
     Attributes:
-        seen: What was last told of it.
-        runs: Open runs there.
-        pace_s: Running mean of the time between events; 0 if not known.
-        failures: Failures in a row.
-        backoff_until_s: Until when it gets no new work.
+        view: Its last observed state.
+        runs: Ids of its open runs.
+        event_interval_s: Moving average of the time between events of a run;
+            0 if unknown.
+        consecutive_failures: Failures since its last event.
+        backoff_until_s: Time until which it gets no new runs.
     """
 
-    seen: EngineSeen
+    view: EngineView
     runs: set[int] = dataclasses.field(default_factory=set)
-    pace_s: float = 0.0
-    failures: int = 0
+    event_interval_s: float = 0.0
+    consecutive_failures: int = 0
     backoff_until_s: float = -math.inf
 
 
@@ -220,11 +250,11 @@
 
     Attributes:
         spec: What to generate.
-        progress: The longest text at hand.
-        runs: Open runs.
-        failures: Runs that the engine itself failed at.
-        reward_failures: Reward calls that failed at their endpoint.
-        is_rewarded: Whether the reward call is open.
+        progress: The longest text received so far.
+        runs: Ids of its open runs.
+        failures: Number of runs that failed in the engine itself.
+        reward_failures: Number of reward calls that failed in their endpoint.
+        is_reward_pending: Whether a reward call is in progress.
         retry_at_s: When the next run or reward call may start.
         is_done: Whether it has its result.
     """
@@ -234,24 +264,24 @@
     runs: set[int] = dataclasses.field(default_factory=set)
     failures: int = 0
     reward_failures: int = 0
-    is_rewarded: bool = False
+    is_reward_pending: bool = False
     retry_at_s: float = -math.inf
     is_done: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Run:
-    """One stream of an item.
+    """One stream of an item from an engine.
 
     Attributes:
         lot_id: Its lot.
         item_id: Its item.
-        endpoint_id: Where it runs.
-        texts: Data of events: those that it goes on from, and its own.
-        versions: The weight version of each.
-        started_at_s: When it was sent.
-        heard_at_s: When its last event came, or when it was sent.
-        events: Events that came of itself.
+        endpoint_id: The engine.
+        texts: Data of the events that it resumes after, and of its own.
+        versions: Weight version of each of these events.
+        started_at_s: When its request was sent.
+        last_event_at_s: When its last event was received, or `started_at_s`.
+        event_count: Number of events that it received itself.
     """
 
     lot_id: str
@@ -260,5 +290,5 @@
     texts: list[str]
     versions: list[int]
     started_at_s: float
-    heard_at_s: float
-    events: int = 0
+    last_event_at_s: float
+    event_count: int = 0
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -11,11 +11,11 @@
 )
 from daisyhub.gateway import EndpointWire, SentRequest
 from daisyhub.lots._run_types import (
-    EventArrived,
-    RunEnded,
+    RunCompleted,
     RunFailed,
     RunFault,
     StartRun,
+    StreamEventReceived,
 )
 from daisyhub.lots._types import LotHead
 from daisyhub.lots._wire import LotWire
@@ -26,7 +26,7 @@
 _IMPOSSIBLE_STATUS = 422
 _FAILED_STATUS = 500
 
-Tell = Callable[[object], None]
+EventSink = Callable[[object], None]
 
 
 class ItemRunner:
@@ -52,7 +52,11 @@
         self._lot_wire = lot_wire
 
     async def run(
-        self, action: StartRun, head: LotHead, give_up_at_s: float, tell: Tell
+        self,
+        action: StartRun,
+        head: LotHead,
+        give_up_at_s: float,
+        emit: EventSink,
     ) -> str:
         """Streams the item; tells its events and how it ended.
 
@@ -67,7 +71,7 @@
         """
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
-            tell(RunFailed(action.run, RunFault.ELSEWHERE))
+            emit(RunFailed(action.run_id, RunFault.ELSEWHERE))
             return "the engine is gone"
         left_s = max(0.0, give_up_at_s - time.monotonic())
         item = action.item
@@ -95,22 +99,22 @@
                 timeout_s=left_s,
             )
         except RequestFailedError as exc:
-            tell(RunFailed(action.run, RunFault.UNREACHABLE))
+            emit(RunFailed(action.run_id, RunFault.UNREACHABLE))
             return str(exc)
         try:
-            return await self._read(action, answer, tell)
+            return await self._read(action, answer, emit)
         finally:
             await answer.aclose()
 
     async def _read(
-        self, action: StartRun, answer: StreamedAnswer, tell: Tell
+        self, action: StartRun, answer: StreamedAnswer, emit: EventSink
     ) -> str:
         read = self._endpoint_wire.read_answer(answer.status, answer.headers)
         if read.is_not_run:
             fault = RunFault.NOT_RUN
             if read.is_other_endpoint:
                 fault = RunFault.ELSEWHERE
-            tell(RunFailed(action.run, fault))
+            emit(RunFailed(action.run_id, fault))
             await answer.drain()
             return f"status {answer.status}, not run"
         if answer.status != _OK:
@@ -118,24 +122,28 @@
                 _IMPOSSIBLE_STATUS: RunFault.IMPOSSIBLE,
                 _FAILED_STATUS: RunFault.FAILED,
             }.get(answer.status, RunFault.BROKEN)
-            tell(RunFailed(action.run, fault))
+            emit(RunFailed(action.run_id, fault))
             await answer.drain()
             return f"status {answer.status}"
         reader = self._lot_wire.make_reader(read.weight_version)
-        wanted = action.resume_after + 1
+        next_number = action.resume_after + 1
         try:
             async for chunk in answer.chunks():
                 for event in reader.feed(chunk):
-                    if event.number != wanted:
+                    if event.number != next_number:
                         raise ValueError(
-                            f"event {event.number} instead of {wanted}"
+                            f"event {event.number} instead of {next_number}"
+                        )
+                    next_number += 1
+                    emit(
+                        StreamEventReceived(
+                            action.run_id, event.data, event.version
                         )
-                    wanted += 1
-                    tell(EventArrived(action.run, event.data, event.version))
+                    )
             if not reader.is_between_events:
                 raise ValueError("the stream ended within an event")
         except (RequestFailedError, ValueError) as exc:
-            tell(RunFailed(action.run, RunFault.BROKEN))
-            return f"after event {wanted - 1}: {exc}"
-        tell(RunEnded(action.run))
-        return f"whole, {wanted - 1} events"
+            emit(RunFailed(action.run_id, RunFault.BROKEN))
+            return f"after event {next_number - 1}: {exc}"
+        emit(RunCompleted(action.run_id))
+        return f"whole, {next_number - 1} events"
--- a/daisyhub/lots/_types.py
+++ b/daisyhub/lots/_types.py
@@ -1,4 +1,4 @@
-"""Lots as they are handed in, and results as they are listed."""
+"""Submitted lots and their listed results."""
 
 import msgspec
 
@@ -16,10 +16,10 @@
     """The call that scores an item's text.
 
     Attributes:
-        request_id: Its id.
+        request_id: Its request id.
         host: Host name that selects its route.
         path: Its path.
-        body: Its content.
+        body: Its body.
     """
 
     request_id: str
@@ -32,14 +32,15 @@
     """One sample to generate.
 
     Attributes:
-        item_id: Its id, which its request carries.
+        item_id: Its id, also the id of its request.
         path: Path of its request.
         headers: Headers of its request, names in lower case.
-        body: Content of its request.
-        group: Items of one group share their prompt.
-        tokens: Prompt tokens and the most output tokens together.
-        length_hint: Output tokens that the caller expects; 0 if not told.
-        reward: Scores the text; None where texts aren't scored.
+        body: Body of its request.
+        group: Its group; items of one group share their prompt.
+        tokens: Number of prompt tokens plus the maximum of output tokens.
+        length_hint: Number of output tokens that the caller expects; 0 if
+            unknown.
+        reward: The call that scores the text; None if texts aren't scored.
     """
 
     item_id: str
@@ -53,24 +54,27 @@
 
 
 class LotHead(msgspec.Struct, frozen=True, kw_only=True):
-    """A lot without its items; its object is the lot's acceptance.
+    """A lot's metadata, without its items.
+
+    The lot is accepted when its head is stored.
 
     Attributes:
         lot_id: Its id.
-        account: Client account that handed it in.
+        account: Client account that submitted it.
         host: Host name that selects the items' routes.
-        path: Path under which it was handed in.
+        path: Path to which it was submitted.
         step: The trainer's step.
         model: The model to sample.
         oldest_version: Oldest weight version that may generate its tokens.
-        wanted_groups: Groups that the trainer waits for.
+        wanted_groups: Number of groups that the trainer waits for.
         total: Number of items.
         parts: Number of objects that hold the items.
-        accepted_s: True time of its acceptance, seconds since 1970.
-        due_s: Seconds from then to when its results are due.
-        max_wait_s: Seconds from then until items may be given up.
-        max_attempts: Failures of an item after which it may be given up.
-        is_single_version: Whether a text must come from one version.
+        accepted_s: True time of its acceptance, in seconds since 1970.
+        due_s: Seconds from its acceptance until its results are due.
+        max_wait_s: Seconds from its acceptance until items may be given up.
+        max_attempts: Number of engine failures after which an item is given
+            up.
+        is_single_version: Whether each text must come from a single version.
     """
 
     lot_id: str
@@ -91,14 +95,14 @@
 
 
 class LotSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """A whole lot."""
+    """A lot with its items."""
 
     head: LotHead
     items: tuple[ItemSpec, ...]
 
 
 class ResultState:
-    """How an item ended."""
+    """Final states of an item."""
 
     COMPLETED = "completed"
     GIVEN_UP = "given_up"
@@ -110,9 +114,10 @@
     Attributes:
         item_id: The item.
         state: A value of `ResultState`.
-        text: The data of all events, separated by line feeds.
-        versions: Weight versions that made an event of the text.
-        score: Proof of the reward call; empty without one.
+        text: The data of all events, joined by line feeds.
+        versions: Weight versions that generated events of the text, in
+            ascending order.
+        score: Proof that the reward call returned; empty without a call.
     """
 
     item_id: str
--- a/daisyhub/lots/_wire.py
+++ b/daisyhub/lots/_wire.py
@@ -1,4 +1,4 @@
-"""What trainers and engines say about lots, apart from how it is spelled."""
+"""Interfaces for the wire formats of lots, results and event streams."""
 
 import abc
 import dataclasses
@@ -14,9 +14,9 @@
     """One event of an engine's stream.
 
     Attributes:
-        number: Its number, from 1.
-        data: What it adds to the text.
-        version: Weight version that made it.
+        number: Its number within the text, from 1.
+        data: The piece of text that it adds.
+        version: Weight version that generated it.
     """
 
     number: int
@@ -25,43 +25,54 @@
 
 
 class EventReader(abc.ABC):
-    """Reads the events of one stream out of its chunks."""
+    """Incremental parser for the events of one stream."""
 
     @abc.abstractmethod
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Returns the events that are whole now.
+        """Returns the events that this chunk completes.
 
         Raises:
-            ValueError: The bytes are no event.
+            ValueError: The bytes aren't a valid event.
         """
 
     @property
     @abc.abstractmethod
     def is_between_events(self) -> bool:
-        """Whether nothing of a further event has come."""
+        """Whether no part of a further event was received."""
 
 
 class LotWire(abc.ABC):
-    """How lots are handed in and their results are read."""
+    """Wire format of submitted lots, their results and event streams."""
 
     @abc.abstractmethod
     def read_lot(self, req: Request, accepted_s: float) -> LotSpec:
-        """Returns the lot that a request hands in.
+        """Returns the lot that a request submits.
 
         Args:
-            req: The request, its account, route and body set.
-            accepted_s: True time, seconds since 1970.
+            req: The request, with its account, route and body set.
+            accepted_s: True time, in seconds since 1970.
 
         Raises:
-            Refusal: The body can't be read.
+            Refusal: The body isn't a valid lot.
         """
 
     @abc.abstractmethod
     def write_results(
         self, total: int, after: int, results: list[ItemResult]
     ) -> bytes:
-        """Returns the body with the results from position `after` on."""
+        """Returns a response body.
+
+        Args:
+            total: Number of items of the lot.
+            after: Position of the first result in `results`.
+            results: Consecutive results.
+        """
 
     @abc.abstractmethod
     def make_reader(self, version: int) -> EventReader:
-        """Returns a reader of a stream that starts under `version`."""
+        """Returns a reader for one stream.
+
+        Args:
+            version: Weight version of its events until the stream states
+                another one.
+        """
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -7,20 +7,20 @@
 from daisyhub.lots import DispatchCore, ItemSpec, LotHead, LotSpec, RewardSpec
 from daisyhub.lots._run_types import (
     CancelRun,
-    EngineSeen,
     EnginesListed,
-    EventArrived,
+    EngineView,
     FinishItem,
     LotClosed,
     LotOpened,
     Progress,
-    RewardFailed,
-    RewardPaid,
-    RunEnded,
+    RewardCallFailed,
+    RewardCallSucceeded,
+    RunCompleted,
     RunFailed,
     RunFault,
-    StartReward,
+    StartRewardCall,
     StartRun,
+    StreamEventReceived,
 )
 
 
@@ -61,7 +61,7 @@
 def engines(*ids, slots=2, version=1, loading=()):
     return EnginesListed(
         tuple(
-            EngineSeen(i, "pool", slots, {"m": version}, i in loading)
+            EngineView(i, "pool", slots, {"m": version}, i in loading)
             for i in ids
         )
     )
@@ -93,7 +93,7 @@
 
     def stream(self, run, *texts, version=1):
         for text in texts:
-            self.feed(EventArrived(run, text, version))
+            self.feed(StreamEventReceived(run, text, version))
 
 
 def draw_lengths(rng, count):
@@ -115,7 +115,7 @@
             if isinstance(action, StartRun):
                 at_s = driver.now_s + paces[action.endpoint_id]
                 done = action.resume_after
-                heapq.heappush(events, (at_s, action.run, action, done))
+                heapq.heappush(events, (at_s, action.run_id, action, done))
             elif isinstance(action, FinishItem):
                 left.discard(action.result.item_id)
 
@@ -129,11 +129,11 @@
             driver.now_s = tick_s
             take(driver.tick())
         driver.now_s = at_s
-        if driver.core.run_of(number) is None:
+        if driver.core.find_run(number) is None:
             continue
-        take(driver.feed(EventArrived(number, "x", 1)))
+        take(driver.feed(StreamEventReceived(number, "x", 1)))
         if done + 1 == lengths[run.item.item_id]:
-            take(driver.feed(RunEnded(number)))
+            take(driver.feed(RunCompleted(number)))
             continue
         at_s += paces[run.endpoint_id]
         heapq.heappush(events, (at_s, number, run, done + 1))
@@ -149,10 +149,10 @@
     def test_an_item_is_generated_then_scored_then_finished(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run, "x", "y", version=2)
-        (reward,) = self.feed(RunEnded(run.run))
-        self.assertIsInstance(reward, StartReward)
-        (done,) = self.feed(RewardPaid("L", "a", "proof"))
+        self.driver.stream(run.run_id, "x", "y", version=2)
+        (reward,) = self.feed(RunCompleted(run.run_id))
+        self.assertIsInstance(reward, StartRewardCall)
+        (done,) = self.feed(RewardCallSucceeded("L", "a", "proof"))
         self.assertEqual(done.result.text, "x\ny")
         self.assertEqual(done.result.versions, (2,))
         self.assertEqual(done.result.score, "proof")
@@ -168,16 +168,16 @@
         class Counting(DispatchCore):
             looks = 0
 
-            def _choose(self, *args):
+            def _choose_engine(self, *args):
                 self.looks += 1
-                return super()._choose(*args)
+                return super()._choose_engine(*args)
 
         self.driver.core = Counting()
         self.feed(engines("e1", "e2"))
         run, *_ = self.feed(lot(*(item(str(n)) for n in range(500))))
-        self.driver.stream(run.run, "x")
+        self.driver.stream(run.run_id, "x")
         self.driver.core.looks = 0
-        self.feed(RunEnded(run.run))
+        self.feed(RunCompleted(run.run_id))
         # One look finds the slot that was freed, one finds no further.
         self.assertLessEqual(self.driver.core.looks, 2)
 
@@ -197,72 +197,74 @@
     def test_a_silent_run_goes_on_elsewhere_behind_its_last_event(self):
         self.feed(engines("e1", "e2"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run, "x")
+        self.driver.stream(run.run_id, "x")
         actions = self.driver.tick(after_s=0.7)
         self.assertIsInstance(actions[0], CancelRun)
         (again,) = self.driver.runs(actions)
         self.assertEqual(again.resume_after, 1)
         self.assertNotEqual(again.endpoint_id, run.endpoint_id)
-        self.driver.stream(again.run, "y")
-        self.feed(RunEnded(again.run))
-        (done,) = self.feed(RewardPaid("L", "a", "p"))
+        self.driver.stream(again.run_id, "y")
+        self.feed(RunCompleted(again.run_id))
+        (done,) = self.feed(RewardCallSucceeded("L", "a", "p"))
         self.assertEqual(done.result.text, "x\ny")
 
     def test_a_loading_engine_may_be_silent_longer_and_gets_nothing_new(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), item("b")))[:1]
-        self.driver.stream(run.run, "x")
+        self.driver.stream(run.run_id, "x")
         self.feed(engines("e1", loading=("e1",)))
         self.assertEqual(self.driver.tick(after_s=1.5), [])
 
     def test_a_broken_run_keeps_what_came(self):
         self.feed(engines("e1", "e2"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run, "x", "y")
-        (again,) = self.feed(RunFailed(run.run, RunFault.BROKEN))
+        self.driver.stream(run.run_id, "x", "y")
+        (again,) = self.feed(RunFailed(run.run_id, RunFault.BROKEN))
         self.assertEqual(again.resume_after, 2)
 
     def test_weights_that_are_too_old_give_nothing(self):
         self.feed(engines("e1", version=1))
         self.assertEqual(self.feed(lot(item("a"), oldest_version=2)), [])
         (run,) = self.feed(engines("e1", version=2))
-        cancelled = self.feed(EventArrived(run.run, "x", 1))
+        cancelled = self.feed(StreamEventReceived(run.run_id, "x", 1))
         self.assertIsInstance(cancelled[0], CancelRun)
 
     def test_a_single_version_text_is_not_mixed(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), is_single_version=True))
-        self.driver.stream(run.run, "x", version=1)
-        self.feed(EventArrived(run.run, "y", 2))
+        self.driver.stream(run.run_id, "x", version=1)
+        self.feed(StreamEventReceived(run.run_id, "y", 2))
         (again,) = self.driver.runs(self.driver.tick(after_s=0.2))
         self.assertEqual(again.resume_after, 0)
 
     def test_failures_of_the_engine_end_the_item_after_its_attempts(self):
         self.feed(engines("e1"))
         actions = self.feed(lot(item("a"), max_attempts=2))
-        self.feed(RunFailed(actions[0].run, RunFault.FAILED))
+        self.feed(RunFailed(actions[0].run_id, RunFault.FAILED))
         (run,) = self.driver.tick(after_s=0.2)
-        (done,) = self.feed(RunFailed(run.run, RunFault.FAILED))
+        (done,) = self.feed(RunFailed(run.run_id, RunFault.FAILED))
         self.assertEqual(done.result.state, "given_up")
 
     def test_a_refusal_that_did_not_run_is_no_failure(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), max_attempts=1))
         for _ in range(5):
-            self.feed(RunFailed(run.run, RunFault.NOT_RUN))
+            self.feed(RunFailed(run.run_id, RunFault.NOT_RUN))
             (run,) = self.driver.tick(after_s=0.2)
 
     def test_rewards_are_given_up_by_their_own_routes_attempts(self):
         """Items were given up after the lot's attempts, one too early."""
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), max_attempts=2))
-        self.driver.stream(run.run, "x")
-        self.feed(RunEnded(run.run))
-        failed = RewardFailed("L", "a", is_counted=True, max_attempts=4)
+        self.driver.stream(run.run_id, "x")
+        self.feed(RunCompleted(run.run_id))
+        failed = RewardCallFailed(
+            "L", "a", is_endpoint_failure=True, max_attempts=4
+        )
         for _ in range(3):
             self.assertEqual(self.feed(failed), [])
             (reward,) = self.driver.tick(after_s=0.2)
-            self.assertIsInstance(reward, StartReward)
+            self.assertIsInstance(reward, StartRewardCall)
         (done,) = self.feed(failed)
         self.assertIsInstance(done, FinishItem)
         self.assertEqual(done.result.state, "given_up")
@@ -274,15 +276,17 @@
             for run in runs:
                 is_slow = run.endpoint_id == "slow"
                 if not is_slow or number % 4 == 0:
-                    self.feed(EventArrived(run.run, "x", 1), after_s=0.01)
+                    self.feed(
+                        StreamEventReceived(run.run_id, "x", 1), after_s=0.01
+                    )
             self.driver.now_s += 0.03
         started = self.driver.runs(self.driver.tick())
         slow = next(r for r in runs if r.endpoint_id == "slow")
         self.assertEqual([r.item for r in started], [slow.item])
         self.assertEqual(started[0].resume_after, 3)
-        self.driver.stream(started[0].run, "y")
-        cancelled = self.feed(RunEnded(started[0].run))
-        self.assertIn(slow.run, [getattr(a, "run", 0) for a in cancelled])
+        self.driver.stream(started[0].run_id, "y")
+        cancelled = self.feed(RunCompleted(started[0].run_id))
+        self.assertIn(slow.run_id, [getattr(a, "run_id", 0) for a in cancelled])
 
     def test_a_step_waits_no_longer_than_its_longest_text_takes_fast(self):
         # The load: groups of 16 texts of very unequal length, of which all
@@ -304,19 +308,19 @@
     def test_an_ended_lot_is_not_run_further(self):
         self.feed(engines("e1", slots=1))
         (run,) = self.feed(lot(item("a"), item("b")))
-        self.driver.stream(run.run, "x")
+        self.driver.stream(run.run_id, "x")
         self.assertEqual(
             self.driver.core.progress_of("L"), {"a": Progress(("x",), (1,))}
         )
         (cancelled,) = self.feed(LotClosed("L"))
-        self.assertEqual(cancelled.run, run.run)
-        self.assertEqual(self.feed(RunFailed(run.run, RunFault.BROKEN)), [])
+        self.assertEqual(cancelled.run_id, run.run_id)
+        self.assertEqual(self.feed(RunFailed(run.run_id, RunFault.BROKEN)), [])
 
     def test_text_of_an_earlier_lot_is_taken_up_if_its_versions_fit(self):
         self.feed(engines("e1", version=3))
         opened = lot(item("a"), oldest_version=2)
         known = {"a": Progress(("x", "y"), (2, 3))}
-        opened = LotOpened(opened.spec, "pool", 1.0, 9.0, known=known)
+        opened = LotOpened(opened.spec, "pool", 1.0, 9.0, progress=known)
         (run,) = self.feed(opened)
         self.assertEqual(run.resume_after, 2)
 
@@ -335,11 +339,13 @@
         for _ in range(4000):
             for action in driver.actions[seen:]:
                 if isinstance(action, StartRun):
-                    open_runs[action.run] = action.resume_after
+                    open_runs[action.run_id] = action.resume_after
                 elif isinstance(action, CancelRun):
-                    open_runs.pop(action.run, None)
-                elif isinstance(action, StartReward):
-                    driver.feed(RewardPaid("L", action.item.item_id, "p"))
+                    open_runs.pop(action.run_id, None)
+                elif isinstance(action, StartRewardCall):
+                    driver.feed(
+                        RewardCallSucceeded("L", action.item.item_id, "p")
+                    )
                 elif isinstance(action, FinishItem):
                     self.assertNotIn(action.result.item_id, done)
                     done[action.result.item_id] = action.result
@@ -356,9 +362,9 @@
                     continue
                 elif sent == 5:
                     del open_runs[run]
-                    driver.feed(RunEnded(run))
+                    driver.feed(RunCompleted(run))
                 else:
                     open_runs[run] = sent + 1
-                    driver.feed(EventArrived(run, str(sent + 1), 1))
+                    driver.feed(StreamEventReceived(run, str(sent + 1), 1))
         self.assertEqual(set(done), set(ids))
         self.assertEqual({r.text for r in done.values()}, {"1\n2\n3\n4\n5"})
--- a/daisyhub/lots/tests/test_proof_listing.py
+++ b/daisyhub/lots/tests/test_proof_listing.py
@@ -15,8 +15,8 @@
 )
 
 from daisyhub.lots._listing_core import (
-    ChunkFailed,
-    ChunkStands,
+    ChunkStored,
+    ChunkWriteFailed,
     ItemFinished,
     ListingCore,
     ListingTick,
@@ -82,9 +82,9 @@
             self.chunks.setdefault(action.first, action.results)
         if fate == "good":
             standing = self.chunks[action.first]
-            self.feed(number, ChunkStands(action.first, standing))
+            self.feed(number, ChunkStored(action.first, standing))
         else:
-            self.feed(number, ChunkFailed())
+            self.feed(number, ChunkWriteFailed())
 
     @rule()
     def late_write_lands(self):
@@ -97,7 +97,7 @@
         """A daemon starts anew and reads all chunks first."""
         core = self.core_class(len(ITEMS))
         while (first := len(core.listed)) in self.chunks:
-            core.handle(ChunkStands(first, self.chunks[first]), self.now_s)
+            core.handle(ChunkStored(first, self.chunks[first]), self.now_s)
         self.cores[number] = core
         self.writes[number] = []
 
@@ -145,19 +145,19 @@
 class KeepsOwn(ListingCore):
     """Takes its own chunk for the one that stands."""
 
-    def _on_stands(self, event, now_s):
+    def _on_chunk_stored(self, event, now_s):
         own = tuple(self._pending.values())
-        super()._on_stands(
-            ChunkStands(event.first, own or event.results), now_s
+        super()._on_chunk_stored(
+            ChunkStored(event.first, own or event.results), now_s
         )
 
 
 class ListsAgain(ListingCore):
     """Forgets which items stand already."""
 
-    def _on_finished(self, event, now_s):
+    def _on_item_finished(self, event, now_s):
         self._listed_ids.discard(event.result.item_id)
-        super()._on_finished(event, now_s)
+        super()._on_item_finished(event, now_s)
 
     def is_listed(self, item_id):
         return False
@@ -202,5 +202,5 @@
             ItemFinished(result("b", "y" * 300_000), True), 0.0
         )
         self.assertEqual([r.item_id for r in write.results], ["a"])
-        (write,) = core.handle(ChunkStands(0, write.results), 0.3)
+        (write,) = core.handle(ChunkStored(0, write.results), 0.3)
         self.assertEqual(write.first, 1)
