--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -237,16 +237,16 @@
     def _on_stream_event(
         self, event: StreamEventReceived, now_s: float
     ) -> list[object]:
-        run = self._runs.get(event.run_id)
+        run = self._runs.get(event.run)
         if run is None:
             return []
         lot = self._lots[run.lot_id]
         if event.version < lot.opened.spec.head.oldest_version:
-            return self._abandon_run(event.run_id, "its weights are too old")
+            return self._abandon_run(event.run, "its weights are too old")
         if _violates_single_version(
             lot.opened.spec.head, run.versions, event.version
         ):
-            return self._abandon_run(event.run_id, "its weights changed")
+            return self._abandon_run(event.run, "its weights changed")
         engine = self._engines.get(run.endpoint_id)
         if engine is not None:
             engine.consecutive_failures = 0
@@ -286,9 +286,9 @@
 
     def _on_completed(self, event: RunCompleted, now_s: float) -> list[object]:
         """Takes a complete text; cancels the item's other runs."""
-        if event.run_id not in self._runs:
+        if event.run not in self._runs:
             return []
-        run = self._remove_run(event.run_id)
+        run = self._remove_run(event.run)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
         if not run.texts or item.progress.is_whole:
@@ -302,9 +302,9 @@
         return [CancelRun(r, "another run completed first") for r in others]
 
     def _on_failed(self, event: RunFailed, now_s: float) -> list[object]:
-        if event.run_id not in self._runs:
+        if event.run not in self._runs:
             return []
-        run = self._remove_run(event.run_id)
+        run = self._remove_run(event.run)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
         _update_progress(item, run)
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -1,4 +1,4 @@
-"""Serves callers' calls about lots; other requests go on."""
+"""Filter that accepts lots and serves calls to them."""
 
 from daisyhub.base import Filter, Handler
 from daisyhub.catalog import RouteKind
@@ -17,9 +17,10 @@
 
 _ACCEPTED = 202
 _OK = 200
-# Bytes of text in one answer; the platform allows a megabyte of results.
+# Maximum text length of a response with several results. The platform allows a
+# megabyte of results.
 _MAX_RESPONSE_CHARACTERS = 700_000
-# Seconds after which a lot that couldn't be stored may be handed in again.
+# Seconds after which a lot that couldn't be stored may be submitted again.
 _RETRY_AFTER_S = 0.3
 _JSON = (b"content-type", b"application/json")
 
@@ -29,10 +30,10 @@
 
     Args:
         lots: Lots in the store.
-        reader: Serves reads.
-        wire: How lots are spelled.
+        reader: Serves reads of lots.
+        wire: Wire format of lots.
         clock: The true time.
-        log: Where decisions are noted.
+        log: Log of decisions.
     """
 
     name = "handed_in_lots"
@@ -52,7 +53,7 @@
         self._log = log
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Serves the call, or passes a request that is about no lot."""
+        """Serves calls to lots and passes other requests on."""
         match req.lot_call:
             case ReadResults(lot_id, after, wait_s):
                 total, results = await self._reader.results(
@@ -72,7 +73,12 @@
         return await call_next(req)
 
     async def _accept(self, req: Request) -> Response:
-        """Stores a lot; only what surely isn't stored is refused."""
+        """Stores a submitted lot.
+
+        Raises:
+            Refusal: The lot isn't stored, or its state is unknown, which the
+                refusal states, or another account has a lot with this id.
+        """
         spec = self._wire.read_lot(req, self._clock.now_s())
         try:
             head = await self._lots.accept(spec)
@@ -81,13 +87,13 @@
                 ErrorCode.DEADLINE_EXCEEDED
                 if exc.may_be_done
                 else ErrorCode.PLATFORM_UNAVAILABLE,
-                f"the lot isn't known to be stored: {exc}",
+                f"the lot may not be stored: {exc}",
                 ran=Ran.UNKNOWN if exc.may_be_done else Ran.NOT_RUN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from exc
         if head.account != req.account:
             raise Refusal(
-                ErrorCode.LOT_CONFLICT, "another account has a lot of this id"
+                ErrorCode.LOT_CONFLICT, "another account has a lot with this id"
             )
         self._reader.record_accepted(head)
         self._log.note(
@@ -103,7 +109,7 @@
 
 
 def _first_page(results: list[ItemResult]) -> list[ItemResult]:
-    """Returns as many results as one answer may hold, one at least."""
+    """Returns the results that fit into one response, at least one if any."""
     size = 0
     for count, result in enumerate(results):
         size += len(result.text)
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -1,4 +1,4 @@
-"""Runs all open lots while this daemon has the duty."""
+"""Runs all open lots while this daemon has the duty for lots."""
 
 import contextlib
 import dataclasses
@@ -56,50 +56,57 @@
 
 __all__ = ["LotHolderDependencies", "LotHolder"]
 
-# Seconds between looks at silent runs and free slots; a few events' time.
+# Seconds between checks for silent runs and free slots: the time of a few
+# events.
 _TICK_INTERVAL_S = 0.1
-# Seconds between looks at the end of a list that another daemon may have
-# extended; what was read anywhere must be readable everywhere within a second.
+# Minimum interval in seconds between reads of a list that another daemon may
+# have extended. A result that was read on any daemon must be readable on all of
+# them within a second.
 _LISTING_POLL_INTERVAL_S = 0.4
-# Seconds before the store is asked again for a lot that couldn't be read.
+# Seconds before a failed read of a lot is retried.
 _READ_RETRY_DELAY_S = 0.2
-# Seconds for one round of keeping texts, also at a graceful end; a write
-# of the store takes milliseconds, and requests go on being served meanwhile.
+# Timeout in seconds for saving unfinished texts, also at a graceful shutdown. A
+# write to the store takes milliseconds, and requests are served meanwhile.
 _SAVE_TIMEOUT_S = 1.0
-# Seconds between keeping texts: what a holder's death may cost a step that is
-# due in 7.5 s, against a write of each open lot.
+# Seconds between saves of unfinished texts. A crash of the holder loses the
+# progress of at most this time, of a step that is due in 7.5 s; each save costs
+# one write for each open lot.
 _SAVE_INTERVAL_S = 1.0
-# Texts of unfinished items of ended lots that are kept: trainers hand in
-# again at most half of the groups of a step.
+# Maximum number of texts of unfinished items of closed lots that are cached.
+# Trainers resubmit at most half of the groups of a step.
 _MAX_CACHED_TEXTS = 2000
-# Seconds between lists of the lots beside their watch; an end that its daemon
-# could not tell must be heard within three seconds.
+# Seconds between lists of all lots, which back up their watch. If the daemon
+# that ended a lot couldn't notify the holder, the end must take effect within
+# three seconds.
 _VERIFY_INTERVAL_S = 1.5
-# Seconds between looks for lots that may be deleted.
+# Seconds between checks for lots that may be deleted.
 _DELETE_INTERVAL_S = 10.0
-# How many times longer a lot is kept that its trainer never ended.
+# A lot that its trainer never ended is retained this many times longer.
 _UNENDED_RETENTION_FACTOR = 20
-# Seconds beyond the time for which a lot must stay readable.
+# Seconds for which a lot is retained beyond the time for which it must stay
+# readable.
 _DELETE_MARGIN_S = 60.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LotHolderDependencies:
-    """What a holder works with.
+    """The objects that a holder depends on.
 
     Attributes:
         store: The platform's store.
-        lots: Lots in it.
-        directory: Endpoints.
-        manifests: Holds the manifest in force.
-        runner: Runs items at engines.
+        lots: Lots in that store.
+        directory: Known endpoints.
+        manifests: Provides the active manifest.
+        runner: Runs items on engines.
         rewards: Makes reward calls.
-        is_loading: Whether an engine is loading weights.
-        has_lost_peers: Whether daemons that were heard before are silent now.
+        is_loading: Returns whether the engine of an endpoint id is loading
+            weights.
+        has_lost_peers: Returns whether a peer that was reachable before is
+            unreachable now.
         clock: The true time.
         metrics: Counts runs.
-        log: Where decisions are noted.
-        status_s: How long a lot stays readable.
+        log: Log of decisions.
+        status_s: Seconds for which a lot must stay readable.
     """
 
     store: ObjectStore
@@ -118,18 +125,21 @@
 
 @dataclasses.dataclass(slots=True)
 class _LotState:
-    """A lot that is held here.
+    """The holder's state of one lot.
 
     Attributes:
         head: The lot.
         listing: Lists its results.
-        spec: With its items, once they are read.
-        is_ended: Whether it was ended.
-        is_listing_loaded: Whether the results in the store were read.
-        is_inherited: Whether another daemon may have listed results of it.
-        progress_revision: Revision of the texts kept in the store, 0 for none.
-        refreshed_at_s: When the end of the list was last looked up.
-        news: Set, and replaced, when results are listed.
+        spec: The lot with its items; None until they are read.
+        is_ended: Whether a caller ended it.
+        is_listing_loaded: Whether its stored results were read.
+        is_inherited: Whether it was accepted before this daemon got the duty,
+            so that an earlier holder may have listed results.
+        progress_revision: Revision of its unfinished texts in the store; 0 if
+            unknown.
+        refreshed_at_s: Monotonic time of the last read of results that
+            another daemon may have listed.
+        results_added: Set, and replaced, when results are listed.
     """
 
     head: LotHead
@@ -144,18 +154,18 @@
 
 
 class LotHolder(DutyBoundController):
-    """Holds every open lot while the duty is this daemon's.
+    """Runs all open lots and lists their results while the duty is held.
 
     Args:
-        duty: Tells whether it is.
-        tools: What it works with.
+        duty: The duty for lots.
+        deps: The objects that the holder depends on.
     """
 
     name = "lot_holder"
 
-    def __init__(self, duty: DutyController, tools: LotHolderDependencies):
+    def __init__(self, duty: DutyController, deps: LotHolderDependencies):
         super().__init__(duty)
-        self._tools = tools
+        self._deps = deps
         self._core = DispatchCore()
         self._lots: dict[str, _LotState] = {}
         self._run_scopes: dict[int, anyio.CancelScope] = {}
@@ -166,24 +176,24 @@
 
     @property
     def waiting_items(self) -> int:
-        """Items that wait for a slot."""
+        """Number of items that wait for a run."""
         return self._core.waiting_items
 
     @property
     def running_items(self) -> int:
-        """Items that run."""
+        """Number of open runs."""
         return self._core.running_items
 
     def open_run_count(self, endpoint_id: str) -> int:
-        """Returns the number of runs open at an engine."""
+        """Returns the number of open runs at an engine."""
         return self._core.open_run_count(endpoint_id)
 
     def demand(self) -> dict[str, float]:
-        """Returns the tokens asked for by the last lot of each model."""
+        """Returns the number of tokens of the latest lot, by model."""
         return dict(self._demand)
 
     def status(self) -> dict[str, object]:
-        """Tells the lots that are held and what they wait for."""
+        """Returns listed and total items by lot, and the numbers of runs."""
         return {
             "lots": {
                 lot_id: f"{len(lot.listing.listed)}/{lot.head.total}"
@@ -195,9 +205,9 @@
         }
 
     async def hold(self) -> None:
-        """Holds lots until the duty is lost."""
+        """Runs lots until the duty is lost."""
         watcher = KindWatcher(
-            self._tools.store, LOTS_KIND, self._tools.log, self._on_lot_changed
+            self._deps.store, LOTS_KIND, self._deps.log, self._on_lot_changed
         )
         try:
             async with anyio.create_task_group() as tasks:
@@ -218,7 +228,7 @@
             self._run_scopes.clear()
 
     async def save_unfinished_texts(self) -> None:
-        """Keeps the text of unfinished items in the store."""
+        """Saves the text of unfinished items to the store."""
         with anyio.move_on_after(_SAVE_TIMEOUT_S):
             async with anyio.create_task_group() as tasks:
                 for lot_id in self._core.open_lots:
@@ -230,34 +240,34 @@
         if not progress:
             return
         try:
-            lot.progress_revision = await self._tools.lots.save_progress(
+            lot.progress_revision = await self._deps.lots.save_progress(
                 lot_id, progress, lot.progress_revision
             )
         except (ObjectStoreError, ObjectConflictError) as exc:
             lot.progress_revision = 0
-            self._tools.log.note(
+            self._deps.log.note(
                 "progress_not_kept", lot=lot_id, reason=str(exc)
             )
             return
-        self._tools.log.note("progress_kept", lot=lot_id, items=len(progress))
+        self._deps.log.note("progress_kept", lot=lot_id, items=len(progress))
 
     async def _save_unfinished_texts_periodically(self) -> None:
-        """Keeps texts now and then, for the case that this daemon dies."""
+        """Saves unfinished texts regularly, in case this daemon crashes."""
         while True:
             await anyio.sleep(_SAVE_INTERVAL_S)
             await self.save_unfinished_texts()
 
     def _tick(self) -> None:
-        tools = self._tools
+        deps = self._deps
         engines = tuple(
             EngineView(
                 endpoint_id=endpoint.entry.endpoint_id,
                 pool=endpoint.entry.pool,
                 slots=endpoint.entry.slots,
                 versions=endpoint.entry.versions,
-                is_loading=tools.is_loading(endpoint.entry.endpoint_id),
+                is_loading=deps.is_loading(endpoint.entry.endpoint_id),
             )
-            for endpoint in tools.directory.all()
+            for endpoint in deps.directory.all()
             if endpoint.entry.versions and not endpoint.entry.is_leaving
         )
         self._feed_dispatch(EnginesListed(engines))
@@ -265,7 +275,7 @@
             self._feed_listing(lot, ListingTick())
 
     def _on_lot_changed(self, found) -> None:
-        """Takes a lot's object: a new lot, or the end of one."""
+        """Handles a change of a lot's object: accepted, ended or deleted."""
         if found.is_deleted:
             self._close_lot(found.name, "it was deleted")
             self._lots.pop(found.name, None)
@@ -273,19 +283,19 @@
         try:
             head, status = decode_head(found)
         except msgspec.DecodeError as exc:
-            self._tools.log.note(
+            self._deps.log.note(
                 "lot_unreadable", lot=found.name, reason=str(exc)
             )
             return
         if status.is_ended:
             self.end(head.lot_id)
-        self._open_new_lot(head, status.is_ended)
+        self._add_lot(head, status.is_ended)
 
-    def _open_new_lot(self, head: LotHead, is_ended: bool) -> None:
-        """Holds a lot that isn't held yet."""
+    def _add_lot(self, head: LotHead, is_ended: bool) -> None:
+        """Adds a lot and starts loading it, unless it is known."""
         if head.lot_id in self._lots or self._tasks is None:
             return
-        age_s = self._tools.clock.now_s() - head.accepted_s
+        age_s = self._deps.clock.now_s() - head.accepted_s
         lot = _LotState(
             head,
             ListingCore(head.total),
@@ -296,7 +306,7 @@
         self._tasks.start_soon(self._load_lot, lot)
 
     def end(self, lot_id: str) -> None:
-        """Ends a lot that a caller no longer wants."""
+        """Ends a lot, as a caller requested."""
         lot = self._lots.get(lot_id)
         if lot is None or lot.is_ended:
             return
@@ -304,14 +314,17 @@
         self._close_lot(lot_id, "its caller ended it")
 
     def _close_lot(self, lot_id: str, reason: str) -> None:
-        """Stops running a lot; texts of unfinished items are kept."""
+        """Stops running a lot; caches the texts of its unfinished items.
+
+        A later lot with items of the same ids resumes from these texts.
+        """
         if lot_id not in self._core.open_lots:
             return
         self._unfinished_texts.update(self._core.progress_of(lot_id))
         while len(self._unfinished_texts) > _MAX_CACHED_TEXTS:
             del self._unfinished_texts[next(iter(self._unfinished_texts))]
         lot = self._lots[lot_id]
-        self._tools.log.note(
+        self._deps.log.note(
             "lot_closed",
             lot=lot_id,
             reason=reason,
@@ -321,21 +334,21 @@
         self._feed_dispatch(LotClosed(lot_id))
 
     async def _load_lot(self, lot: _LotState) -> None:
-        """Reads a lot's items and results, then runs what is missing."""
+        """Reads a lot's results and items, then runs the unlisted items."""
         head = lot.head
         while True:
             try:
                 await self._load_listed_chunks(lot)
                 lot.is_listing_loaded = True
-                if lot.is_ended or lot.listing.is_whole:
+                if lot.is_ended or lot.listing.is_complete:
                     return
-                lot.spec = await self._tools.lots.items(head)
+                lot.spec = await self._deps.lots.spec(head)
                 if lot.is_inherited:
-                    saved = await self._tools.lots.progress(head.lot_id)
+                    saved = await self._deps.lots.progress(head.lot_id)
                     self._unfinished_texts.update(saved)
                 break
             except (ObjectStoreError, msgspec.DecodeError) as exc:
-                self._tools.log.note(
+                self._deps.log.note(
                     "lot_read_failed", lot=head.lot_id, reason=str(exc)
                 )
                 await anyio.sleep(_READ_RETRY_DELAY_S)
@@ -343,9 +356,9 @@
             return
         tokens = sum(item.tokens for item in lot.spec.items)
         self._demand[head.model] = float(tokens)
-        age_s = self._tools.clock.now_s() - head.accepted_s
+        age_s = self._deps.clock.now_s() - head.accepted_s
         now_s = time.monotonic()
-        self._tools.log.note(
+        self._deps.log.note(
             "lot_opened",
             lot=head.lot_id,
             step=head.step,
@@ -371,21 +384,21 @@
         )
 
     def _find_pool(self, head: LotHead) -> str:
-        """Returns the pool that serves a lot's route now."""
-        route = self._tools.manifests.manifest.find_route(head.host, head.path)
+        """Returns the first pool of a lot's route, empty if there is none."""
+        route = self._deps.manifests.manifest.find_route(head.host, head.path)
         return route.shares[0].pool if route and route.shares else ""
 
     async def _load_listed_chunks(self, lot: _LotState) -> None:
-        """Reads all chunks that stand in the store."""
-        while not lot.listing.is_whole:
+        """Reads the stored chunks that the listing lacks."""
+        while not lot.listing.is_complete:
             first = len(lot.listing.listed)
-            results = await self._tools.lots.chunk(lot.head.lot_id, first)
+            results = await self._deps.lots.chunk(lot.head.lot_id, first)
             if results is None:
                 return
             lot.listing.handle(ChunkStored(first, results), time.monotonic())
 
     def _feed_dispatch(self, event: object) -> None:
-        """Feeds the dispatch core and does what it decides."""
+        """Passes an event to the dispatch core and runs its actions."""
         for action in self._core.handle(event, time.monotonic()):
             match action:
                 case StartRun():
@@ -401,47 +414,47 @@
                     )
 
     def _cancel_run(self, action: CancelRun) -> None:
-        scope = self._run_scopes.pop(action.run_id, None)
+        scope = self._run_scopes.pop(action.run, None)
         if scope is not None:
-            self._tools.log.note(
-                "run_cancelled", run=action.run_id, reason=action.reason
+            self._deps.log.note(
+                "run_cancelled", run=action.run, reason=action.reason
             )
             scope.cancel()
 
     async def _run_item(self, action: StartRun) -> None:
-        """Runs an item at an engine."""
-        run = self._core.find_run(action.run_id)
+        """Runs an item on an engine, and logs the outcome."""
+        run = self._core.find_run(action.run)
         if run is None:
             return
-        self._tools.metrics.count("runs")
+        self._deps.metrics.count("runs")
         lot = self._lots[action.lot_id]
         give_up_at_s = time.monotonic() + max(1.0, lot.head.max_wait_s)
         started_s = time.monotonic()
-        ended = "cancelled"
+        outcome = "cancelled"
         with anyio.CancelScope() as scope:
-            self._run_scopes[action.run_id] = scope
+            self._run_scopes[action.run] = scope
             try:
-                ended = await self._tools.runner.run(
+                outcome = await self._deps.runner.run(
                     action, lot.head, give_up_at_s, self._feed_dispatch
                 )
             finally:
-                self._run_scopes.pop(action.run_id, None)
-                self._tools.log.note(
+                self._run_scopes.pop(action.run, None)
+                self._deps.log.note(
                     "run",
-                    run=action.run_id,
+                    run=action.run,
                     id=action.item.item_id,
                     lot=action.lot_id,
                     endpoint=action.endpoint_id,
                     resume_after=action.resume_after,
-                    outcome=ended,
+                    outcome=outcome,
                     took_s=round(time.monotonic() - started_s, 3),
                 )
 
     async def _call_reward(self, action: StartRewardCall) -> None:
-        self._feed_dispatch(await self._tools.rewards.request_score(action))
+        self._feed_dispatch(await self._deps.rewards.request_score(action))
 
     def _feed_listing(self, lot: _LotState, event: object) -> None:
-        """Feeds a lot's listing core and writes the chunk that it decides."""
+        """Passes an event to a lot's listing core and runs its actions."""
         for action in lot.listing.handle(event, time.monotonic()):
             self._tasks.start_soon(self._write_chunk, lot, action)
 
@@ -449,16 +462,16 @@
         lot_id = lot.head.lot_id
         started_s = time.monotonic()
         try:
-            results = await self._tools.lots.write_chunk(
+            results = await self._deps.lots.write_chunk(
                 lot_id, action.first, action.results
             )
         except (ObjectStoreError, msgspec.DecodeError) as exc:
-            self._tools.log.note(
+            self._deps.log.note(
                 "list_failed", lot=lot_id, first=action.first, reason=str(exc)
             )
             self._feed_listing(lot, ChunkWriteFailed())
             return
-        self._tools.log.note(
+        self._deps.log.note(
             "listed",
             lot=lot_id,
             first=action.first,
@@ -469,16 +482,20 @@
         self._feed_listing(lot, ChunkStored(action.first, results))
         lot.results_added.set()
         lot.results_added = anyio.Event()
-        if lot.listing.is_whole:
-            self._close_lot(lot_id, "it is listed whole")
+        if lot.listing.is_complete:
+            self._close_lot(lot_id, "all of its items are listed")
 
     async def results(
         self, lot_id: str, after: int, wait_s: float
     ) -> list[ItemResult] | None:
-        """Returns results from a position on; None if the store must tell.
+        """Returns results from a position on.
+
+        Waits up to `wait_s` seconds if there is none.
 
-        Waits up to `wait_s` while there is none. An empty answer is only
-        given if no other daemon can have listed more.
+        Returns:
+            The results, or None if the caller must read the store. An empty
+            list means that no other daemon had listed a further result
+            `_LISTING_POLL_INTERVAL_S` ago.
         """
         lot = self._lots.get(lot_id)
         if lot is None or not lot.is_listing_loaded or not self._duty.fencing:
@@ -488,15 +505,19 @@
         if len(lot.listing.listed) <= after:
             with anyio.move_on_after(wait_s):
                 await lot.results_added.wait()
-        is_short = len(lot.listing.listed) <= after
-        if is_short and not await self._refresh_listing(lot):
+        is_empty = len(lot.listing.listed) <= after
+        if is_empty and not await self._refresh_listing(lot):
             return None
         return lot.listing.listed[after:]
 
     async def _refresh_listing(self, lot: _LotState) -> bool:
-        """Reads what another holder may have listed; False if it can't."""
-        is_own = not lot.is_inherited and not self._tools.has_lost_peers()
-        if is_own or lot.listing.is_whole:
+        """Reads results that another holder may have listed.
+
+        Returns:
+            Whether the listing is up to date; False if the read failed.
+        """
+        is_own = not lot.is_inherited and not self._deps.has_lost_peers()
+        if is_own or lot.listing.is_complete:
             return True
         now_s = time.monotonic()
         if now_s - lot.refreshed_at_s < _LISTING_POLL_INTERVAL_S:
@@ -504,7 +525,7 @@
         try:
             await self._load_listed_chunks(lot)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
-            self._tools.log.note(
+            self._deps.log.note(
                 "lot_read_failed", lot=lot.head.lot_id, reason=str(exc)
             )
             return False
@@ -512,12 +533,12 @@
         return True
 
     def head(self, lot_id: str) -> LotHead | None:
-        """Returns a lot without its items; None if it isn't held."""
+        """Returns a lot's head, None if this daemon doesn't hold the lot."""
         lot = self._lots.get(lot_id)
         return lot.head if lot and self._duty.fencing else None
 
     async def handle_head_request(self, request: LotHeadAsked) -> LotAnswer:
-        """Answers a peer whose caller asks for a lot unknown there."""
+        """Answers a peer that doesn't know a lot that its caller named."""
         head = self.head(request.lot_id)
         if head is None:
             return LotAnswer(is_held=False)
@@ -547,13 +568,13 @@
         return LotAnswer(is_held=True, is_found=False)
 
     def add_accepted(self, head: LotHead) -> None:
-        """Holds a lot that was accepted just now, if the duty is here."""
+        """Adds a lot that was just accepted, if this daemon has the duty."""
         if not self._duty.fencing or head.lot_id in self._lots:
             return
-        self._open_new_lot(head, is_ended=False)
+        self._add_lot(head, is_ended=False)
 
     def receive(self, _, message: object) -> None:
-        """Takes news of a lot from the daemon that stored it."""
+        """Handles a peer's notification that it accepted or ended a lot."""
         match message:
             case LotTold(head):
                 self.add_accepted(msgspec.json.decode(head, type=LotHead))
@@ -561,11 +582,11 @@
                 self.end(lot_id)
 
     async def _delete_expired_lots(self, watcher: KindWatcher) -> None:
-        """Deletes lots that need no longer be readable."""
+        """Deletes lots whose retention time is over, at intervals."""
         while True:
             await anyio.sleep(_DELETE_INTERVAL_S)
-            now_s = self._tools.clock.now_s()
-            min_retention_s = self._tools.status_s + _DELETE_MARGIN_S
+            now_s = self._deps.clock.now_s()
+            min_retention_s = self._deps.status_s + _DELETE_MARGIN_S
             for found in list(watcher.objects.values()):
                 lot = self._lots.get(found.name)
                 if lot is None:
@@ -578,5 +599,5 @@
                 if now_s - lot.head.accepted_s < retention_s:
                     continue
                 with contextlib.suppress(ObjectStoreError):
-                    await self._tools.lots.delete(lot.head, lot.listing.chunks)
-                self._tools.log.note("lot_deleted", lot=found.name)
+                    await self._deps.lots.delete(lot.head, lot.listing.chunks)
+                self._deps.log.note("lot_deleted", lot=found.name)
--- a/daisyhub/lots/_listing_core.py
+++ b/daisyhub/lots/_listing_core.py
@@ -1,8 +1,9 @@
-"""Decides when finished items of one lot are listed, and at which position.
+"""Decides when the results of one lot are listed, and at which position.
 
-Results are listed in chunks at the true end of the list. The store decides
-what stands at a position; whatever stands there goes before what is kept
-here. Whole groups are listed at once, as trainers wait for whole groups.
+Results are appended to the lot's list in chunks. The store decides which chunk
+occupies a position: if another daemon stored one there first, that chunk is
+adopted and the local results are appended after it. A complete group is listed
+immediately, as trainers wait for whole groups.
 """
 
 import dataclasses
@@ -20,12 +21,13 @@
     "WriteChunk",
 ]
 
-# Seconds for which a finished item waits for the rest of its group: half of
-# the pause between two reads of a trainer.
+# Maximum time in seconds for which a result waits for the rest of its group:
+# half of the interval between two reads of a trainer.
 _MAX_GROUP_WAIT_S = 0.25
-# Seconds after a failed write; some round trips to the store.
+# Seconds before a failed write is retried: some round trips to the store.
 _WRITE_RETRY_DELAY_S = 0.2
-# Bytes of text in one chunk; an object holds a megabyte with all escapes.
+# Maximum text length of a chunk that holds several results. An object may have
+# a megabyte, JSON escapes included.
 _MAX_CHUNK_CHARACTERS = 400_000
 
 
@@ -34,8 +36,8 @@
     """An item has its result.
 
     Attributes:
-        result: What is to be listed.
-        is_group_done: Whether it was the last of its group.
+        result: The result to list.
+        is_group_done: Whether all items of its group have results.
     """
 
     result: ItemResult
@@ -44,7 +46,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkStored:
-    """These results stand in the store from a position on."""
+    """The store holds this chunk at a position.
+
+    Attributes:
+        first: Position of its first result.
+        results: Its results, which another daemon may have written.
+    """
 
     first: int
     results: tuple[ItemResult, ...]
@@ -52,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkWriteFailed:
-    """A write brought no usable answer; it may have taken effect."""
+    """A write returned no usable response; it may have taken effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteChunk:
-    """Action: create the chunk, and tell what stands there then."""
+    """Action: create a chunk and report which chunk is stored there.
+
+    Attributes:
+        first: Position of its first result.
+        results: Its results.
+    """
 
     first: int
     results: tuple[ItemResult, ...]
@@ -87,32 +99,32 @@
 
     @property
     def listed(self) -> list[ItemResult]:
-        """All results that stand in the store; not to be changed."""
+        """All results known to be stored, by position; don't modify."""
         return self._listed
 
     @property
     def chunks(self) -> list[int]:
-        """First positions of the chunks."""
+        """Positions of the first results of the stored chunks."""
         return self._chunk_positions
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every item is listed."""
         return len(self._listed) >= self._total
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When waiting results are to be written."""
+        """When pending results are to be written; None for never."""
         if self._is_write_pending or not self._pending:
             return None
         return max(self._write_at_s, self._retry_at_s)
 
     def is_listed(self, item_id: str) -> bool:
-        """Whether an item stands in the store."""
+        """Whether an item's result is known to be stored."""
         return item_id in self._listed_ids
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns at most one `WriteChunk`."""
+        """Handles one event; returns at most one `WriteChunk`."""
         match event:
             case ItemFinished():
                 self._on_item_finished(event, now_s)
@@ -153,14 +165,14 @@
         due_s = self.next_wakeup_s
         if due_s is None or now_s < due_s:
             return []
-        chosen = []
+        chunk = []
         size = 0
         for result in self._pending.values():
             size += len(result.text)
-            if chosen and size > _MAX_CHUNK_CHARACTERS:
+            if chunk and size > _MAX_CHUNK_CHARACTERS:
                 break
-            chosen.append(result)
-        is_all = len(chosen) == len(self._pending)
+            chunk.append(result)
+        is_all = len(chunk) == len(self._pending)
         self._write_at_s = math.inf if is_all else now_s
         self._is_write_pending = True
-        return [WriteChunk(len(self._listed), tuple(chosen))]
+        return [WriteChunk(len(self._listed), tuple(chunk))]
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -1,10 +1,11 @@
-"""Lots and results in the platform's store.
-
-A lot's items lie in parts, written before its head: the create of the head is
-the lot's acceptance, and decides between daemons that are handed the same lot.
-Results lie in chunks that never change, each named after its first position.
-The create of a chunk decides what stands at its positions, so that any number
-of daemons may run one lot without listing an item twice.
+"""Storage of lots and results in the platform's store.
+
+A lot's items are stored in several objects, its parts, which are written before
+its head. Creating the head accepts the lot and resolves the race between
+daemons that receive the same lot. Results are stored in immutable chunks, each
+named after its first position. Creating a chunk decides which results occupy
+its positions, so that any number of daemons may run one lot without listing an
+item twice.
 """
 
 import collections
@@ -26,18 +27,24 @@
 _ITEMS_KIND = "lot-items"
 _RESULTS_KIND = "lot-results"
 _PROGRESS_KIND = "lot-progress"
-# Bytes of one object; the platform's values hold a megabyte, and content is a
-# third larger in JSON than its bytes.
+# Maximum size of a part's contents in bytes. The platform's values may have a
+# megabyte, and contents grow by a third when encoded in JSON.
 _MAX_PART_BYTES = 500_000
-# Bytes of chunks after which a read of a lot stops: an answer may have a
-# megabyte, and the reads come one after the other within a caller's second.
+# Bytes after which a read of several chunks stops; the first chunk isn't
+# counted. A response may have a megabyte, and the chunks are read one after the
+# other within a caller's second.
 _READ_LIMIT_BYTES = 200_000
-# Lots whose items are kept after a create or a read; a few steps' worth.
+# Maximum number of lots whose items are cached after a create or a read: those
+# of a few steps.
 _MAX_CACHED_LOTS = 6
 
 
 class LotStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """What happened to a lot since its acceptance."""
+    """Mutable status of a lot.
+
+    Attributes:
+        is_ended: Whether a caller ended it.
+    """
 
     is_ended: bool = False
 
@@ -55,10 +62,10 @@
 
 
 def decode_head(found: StoredObject) -> tuple[LotHead, LotStatus]:
-    """Reads a lot's object.
+    """Decodes a lot's head and status from its object.
 
     Raises:
-        msgspec.DecodeError: It has another form.
+        msgspec.DecodeError: The object has another schema.
     """
     head = msgspec.json.decode(found.spec, type=LotHead)
     status = msgspec.json.decode(found.status, type=LotStatus | None)
@@ -69,7 +76,7 @@
     """Reads and writes lots.
 
     Args:
-        store: Where they lie.
+        store: The platform's store.
     """
 
     def __init__(self, store: ObjectStore):
@@ -79,10 +86,14 @@
         )
 
     async def accept(self, spec: LotSpec) -> LotHead:
-        """Stores a lot; returns the head that stands, this one or another's.
+        """Stores a lot.
+
+        Returns:
+            The stored head: this lot's, or that of an earlier lot with the
+            same id.
 
         Raises:
-            ObjectStoreError: It isn't stored, or that is not known.
+            ObjectStoreError: The lot isn't stored, or that is unknown.
         """
         parts = list(_split_into_parts(spec.items))
         head = msgspec.structs.replace(spec.head, parts=len(parts))
@@ -103,12 +114,16 @@
         return head
 
     async def _create_part(self, name: str, items: list[ItemSpec]) -> None:
-        """Stores a part; nothing runs before the head stands."""
+        """Creates a part.
+
+        A failure is always reported as not done, as a lot without a head
+        isn't run.
+        """
         content = msgspec.json.encode(_Part(items=tuple(items)))
         try:
             await self._store.create(_ITEMS_KIND, name, content)
         except ObjectConflictError:
-            # The same lot, handed in at another daemon as well.
+            # The same lot was submitted to another daemon, too.
             return
         except ObjectStoreError as exc:
             raise ObjectStoreError(str(exc), may_be_done=False) from exc
@@ -116,7 +131,11 @@
     async def _confirm_create(
         self, head: LotHead, failure: ObjectStoreError
     ) -> LotHead:
-        """Reads back a create whose answer was lost."""
+        """Returns the stored head after a create of unknown outcome.
+
+        Raises:
+            ObjectStoreError: There is none, or it can't be read.
+        """
         found = await self._store.read(LOTS_KIND, head.lot_id)
         if found is None:
             raise failure
@@ -125,7 +144,9 @@
     async def _read_existing(self, lot_id: str) -> StoredObject:
         found = await self._store.read(LOTS_KIND, lot_id)
         if found is None:
-            raise ObjectStoreError(f"lot {lot_id} is gone", may_be_done=True)
+            raise ObjectStoreError(
+                f"lot {lot_id} was deleted", may_be_done=True
+            )
         return found
 
     async def head(self, lot_id: str) -> tuple[LotHead, LotStatus] | None:
@@ -136,17 +157,19 @@
         found = await self._read_immutable(LOTS_KIND, lot_id)
         return None if found is None else decode_head(found)
 
-    async def items(self, head: LotHead) -> LotSpec:
-        """Returns a whole lot."""
-        kept = self._cache.get(head.lot_id)
-        if kept is not None:
-            return kept
+    async def spec(self, head: LotHead) -> LotSpec:
+        """Returns a lot with its items."""
+        cached = self._cache.get(head.lot_id)
+        if cached is not None:
+            return cached
         items: list[ItemSpec] = []
         for number in range(head.parts):
             name = _part_name(head.lot_id, number)
             found = await self._read_immutable(_ITEMS_KIND, name)
             if found is None:
-                raise ObjectStoreError(f"{name} is gone", may_be_done=False)
+                raise ObjectStoreError(
+                    f"{name} does not exist", may_be_done=False
+                )
             items += msgspec.json.decode(found.spec, type=_Part).items
         spec = LotSpec(head=head, items=tuple(items))
         self._cache_lot(spec)
@@ -155,16 +178,16 @@
     async def chunk(
         self, lot_id: str, first: int
     ) -> tuple[ItemResult, ...] | None:
-        """Returns the results from a position on, None if none stand there."""
+        """Returns the chunk that starts at a position, None without one."""
         name = _chunk_name(lot_id, first)
         found = await self._read_immutable(_RESULTS_KIND, name)
         return None if found is None else _decode_chunk(found)
 
-    async def chunks(self, lot_id: str, first: int) -> list[ItemResult]:
-        """Returns results from a position on, one at least if one stands.
+    async def results(self, lot_id: str, first: int) -> list[ItemResult]:
+        """Returns results from a position on, at least one chunk if stored.
 
-        Further chunks are added up to a size, as far as the cheap reads know
-        them.
+        Further chunks are added up to a size, if the cheaper reads that may
+        return stale data find them.
         """
         results = list(await self.chunk(lot_id, first) or ())
         size = 0
@@ -184,8 +207,8 @@
     ) -> StoredObject | None:
         """Reads an object whose spec never changes.
 
-        An answer that may be late is right if it has the object, and cheap;
-        only one that lacks it is asked for again.
+        A read that may be stale is cheaper, and its result is valid if it
+        finds the object. Only a miss is repeated as a current read.
         """
         found = await self._store.read(kind, name, may_be_late=True)
         return found or await self._store.read(kind, name)
@@ -193,7 +216,10 @@
     async def write_chunk(
         self, lot_id: str, first: int, results: tuple[ItemResult, ...]
     ) -> tuple[ItemResult, ...]:
-        """Lists results from a position on; returns what stands there."""
+        """Creates a chunk; returns the results that are stored there.
+
+        These are another daemon's if it created its chunk first.
+        """
         content = msgspec.json.encode(_Chunk(results=results))
         name = _chunk_name(lot_id, first)
         try:
@@ -201,26 +227,27 @@
         except ObjectConflictError as exc:
             if exc.found is not None:
                 return msgspec.json.decode(exc.found.spec, type=_Chunk).results
-            standing = await self.chunk(lot_id, first)
-            if standing is None:
+            existing = await self.chunk(lot_id, first)
+            if existing is None:
                 raise ObjectStoreError(
-                    f"{name} is gone", may_be_done=True
+                    f"{name} was deleted", may_be_done=True
                 ) from exc
-            return standing
+            return existing
         return results
 
     async def save_progress(
         self, lot_id: str, progress: dict[str, Progress], revision: int
     ) -> int:
-        """Keeps the text of unfinished items for the next holder.
+        """Stores the text of unfinished items for the next holder.
 
         Args:
             lot_id: The lot.
-            progress: Text by item.
-            revision: What the last call returned, 0 at first.
+            progress: Text by item id.
+            revision: The revision that the last call returned; 0 for the
+                first call.
 
         Returns:
-            The revision to give to the next call.
+            The revision to pass to the next call.
         """
         content = msgspec.json.encode(progress)
         try:
@@ -230,7 +257,8 @@
                 )
                 return found.revision
         except ObjectConflictError as exc:
-            # An earlier holder's; without the object the next call reads it.
+            # An earlier holder's object exists. If it was deleted since, the
+            # next call creates it again.
             found = exc.found
             if found is None:
                 found = await self._store.read(_PROGRESS_KIND, lot_id)
@@ -243,20 +271,25 @@
         return found.revision
 
     async def progress(self, lot_id: str) -> dict[str, Progress]:
-        """Returns the text that an earlier holder kept."""
+        """Returns the text that an earlier holder stored, by item id."""
         found = await self._store.read(_PROGRESS_KIND, lot_id)
         if found is None:
             return {}
         return msgspec.json.decode(found.spec, type=dict[str, Progress])
 
     async def end(self, lot_id: str) -> bool:
-        """Ends a lot; returns False if there is none."""
+        """Marks a lot as ended; returns False if it doesn't exist."""
         content = msgspec.json.encode(LotStatus(is_ended=True))
         found = await self._store.set_status(LOTS_KIND, lot_id, content)
         return found is not None
 
     async def delete(self, head: LotHead, chunks: list[int]) -> None:
-        """Deletes a lot with all its objects, the head last."""
+        """Deletes all objects of a lot, the head last.
+
+        Args:
+            head: The lot.
+            chunks: Positions of its chunks.
+        """
         for first in chunks:
             name = _chunk_name(head.lot_id, first)
             await self._store.delete(_RESULTS_KIND, name)
@@ -273,7 +306,7 @@
 
 
 def _split_into_parts(items: tuple[ItemSpec, ...]):
-    """Yields runs of items that fit into one object each."""
+    """Yields consecutive items that fit into one part each."""
     part: list[ItemSpec] = []
     size = 0
     for item in items:
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -1,8 +1,9 @@
-"""Reads of lots at any daemon.
+"""Serves reads of lots on any daemon.
 
-Results are asked of the daemon that holds the lots and kept here, as listed
-results never change. If that daemon can't be asked, the store's chunks tell;
-they also tell of ended lots, so that the holder's link is free for open steps.
+Results are requested from the holder, the daemon that has the duty for lots,
+and cached here, as listed results never change. If the holder can't be reached,
+the chunks in the store are read. The results of ended lots are also read from
+the store, which leaves the link to the holder free for open lots.
 """
 
 import dataclasses
@@ -30,20 +31,26 @@
 
 __all__ = ["LotReader"]
 
-# Seconds beyond its own wait after which a holder's answer counts as lost.
+# Seconds added to the wait time of a call to the holder to get its timeout.
 _CALL_TIMEOUT_MARGIN_S = 0.4
-# Seconds between looks at the store while a reader waits for results.
+# Seconds between polls for results while a caller waits.
 _STORE_POLL_INTERVAL_S = 0.3
-# Seconds after which a caller that was refused may try again; the store's
-# short outages and changes of the holder end in about a second.
+# Seconds after which a refused caller may retry. Short outages of the store and
+# changes of the holder last about a second.
 _RETRY_AFTER_S = 0.5
-# Lots whose results are kept for their readers; some steps of each trainer.
+# Maximum number of lots whose results are cached: some steps of each trainer.
 _MAX_CACHED_LOTS = 24
 
 
 @dataclasses.dataclass(slots=True)
 class _CachedLot:
-    """What is known here of one lot."""
+    """What this daemon knows of one lot.
+
+    Attributes:
+        head: The lot.
+        is_ended: Whether a caller ended it.
+        results: Its listed results from position 0 on.
+    """
 
     head: LotHead
     is_ended: bool
@@ -54,12 +61,12 @@
     """Serves reads of lots.
 
     Args:
-        duty: Name of the duty of holding lots.
+        duty: Name of the duty for lots.
         lots: Lots in the store.
-        holder: This daemon's own holder.
-        peers: Tells who holds lots.
-        network: Calls peers.
-        log: Where decisions are noted.
+        holder: This daemon's own holder, active only while it has the duty.
+        peers: Known peers, used to find the holder.
+        network: Sends calls and messages to peers.
+        log: Log of decisions.
     """
 
     def __init__(
@@ -82,10 +89,12 @@
     async def results(
         self, lot_id: str, account: str, after: int, wait_s: float
     ) -> tuple[int, list[ItemResult]]:
-        """Returns the number of items, and results from a position on.
+        """Returns the lot's number of items, and results from a position on.
+
+        Waits up to `wait_s` seconds for a result at the position.
 
         Raises:
-            Refusal: There is no such lot, or nobody can tell now.
+            Refusal: The lot doesn't exist, or its results can't be read now.
         """
         lot = await self._find(lot_id, account)
         if after >= len(lot.results) and not self._is_complete(lot):
@@ -96,15 +105,15 @@
         """Returns the body of an item.
 
         Raises:
-            Refusal: There is no such item, or nobody can tell now.
+            Refusal: The item doesn't exist, or can't be read now.
         """
         lot = await self._find(lot_id, account)
         request = LotBodyAsked(lot_id=lot_id, item_id=item_id)
-        answer = await self._call_holder(request, 0.0)
-        if answer is not None and answer.is_held and answer.is_found:
-            return answer.content
+        response = await self._call_holder(request, 0.0)
+        if response is not None and response.is_held and response.is_found:
+            return response.content
         try:
-            spec = await self._lots.items(lot.head)
+            spec = await self._lots.spec(lot.head)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
             raise _store_unavailable(exc) from exc
         for item in spec.items:
@@ -115,10 +124,10 @@
         )
 
     async def end(self, lot_id: str, account: str) -> None:
-        """Ends a lot; the store holds the end before this returns.
+        """Ends a lot; its end is stored when this returns.
 
         Raises:
-            Refusal: There is no such lot, or the end isn't stored.
+            Refusal: The lot doesn't exist, or its end may not be stored.
         """
         lot = await self._find(lot_id, account)
         if lot.is_ended:
@@ -133,10 +142,10 @@
         self._notify_holder(LotEndTold(lot_id=lot_id))
 
     def record_accepted(self, head: LotHead) -> None:
-        """Keeps the head of a lot accepted here, and tells its holder.
+        """Caches the head of a lot accepted here, and notifies the holder.
 
-        The holder's watch brings the lot as well; this is for the time in
-        which its watch is silent or its way to the store is cut.
+        The holder's watch reports the lot, too. The notification covers the
+        time in which that watch is silent or the holder can't reach the store.
         """
         self._cache_lot(_CachedLot(head, is_ended=False))
         self._holder.add_accepted(head)
@@ -153,13 +162,16 @@
         return lot
 
     async def _head_from_holder(self, lot_id: str) -> _CachedLot | None:
-        """Asks the holder, which spares the store a call for each daemon."""
+        """Returns a lot that the holder knows, or None.
+
+        Asking the holder saves each daemon a read of the store.
+        """
         head = self._holder.head(lot_id)
         if head is None:
-            answer = await self._call_holder(LotHeadAsked(lot_id=lot_id), 0.0)
-            if answer is None or not answer.is_held:
+            response = await self._call_holder(LotHeadAsked(lot_id=lot_id), 0.0)
+            if response is None or not response.is_held:
                 return None
-            head = msgspec.json.decode(answer.content, type=LotHead)
+            head = msgspec.json.decode(response.content, type=LotHead)
         self._cache_lot(_CachedLot(head, is_ended=False))
         return self._cache[lot_id]
 
@@ -188,7 +200,7 @@
     async def _fetch_results(
         self, lot: _CachedLot, after: int, wait_s: float
     ) -> None:
-        """Adds results until there is one at `after`, or time is up."""
+        """Appends results until there is one at `after`, or time is up."""
         deadline_s = time.monotonic() + wait_s
         lot_id = lot.head.lot_id
         while len(lot.results) <= after and not self._is_complete(lot):
@@ -209,31 +221,34 @@
     def _append(
         self, lot: _CachedLot, first: int, found: list[ItemResult]
     ) -> None:
-        """Adds results that stand at `first`; others may have added some."""
+        """Appends results that start at position `first`.
+
+        Concurrent calls may have appended some of them already.
+        """
         lot.results += found[len(lot.results) - first :]
 
     async def _results_from_holder(
         self, lot: _CachedLot, first: int, wait_s: float
     ) -> list[ItemResult] | None:
-        """Asks the holder; None if the store has to tell."""
+        """Returns the holder's results, None if the store must be read."""
         lot_id = lot.head.lot_id
         own = await self._holder.results(lot_id, first, wait_s)
         if own is not None:
             return own
         request = LotResultsAsked(lot_id=lot_id, after=first, wait_s=wait_s)
-        answer = await self._call_holder(request, wait_s)
-        if answer is None:
+        response = await self._call_holder(request, wait_s)
+        if response is None:
             return None
-        lot.is_ended = lot.is_ended or answer.is_ended
-        if not answer.is_held:
+        lot.is_ended = lot.is_ended or response.is_ended
+        if not response.is_held:
             return None
-        return msgspec.json.decode(answer.content, type=list[ItemResult])
+        return msgspec.json.decode(response.content, type=list[ItemResult])
 
     async def _results_from_store(
         self, lot_id: str, first: int
     ) -> list[ItemResult]:
         try:
-            return await self._lots.chunks(lot_id, first)
+            return await self._lots.results(lot_id, first)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
             raise _store_unavailable(exc) from exc
 
@@ -243,7 +258,7 @@
             self._network.send(holder.daemon_id, message)
 
     async def _call_holder(self, request: object, wait_s: float):
-        """Calls the daemon that holds lots; None if it can't be asked."""
+        """Calls the holder; returns None if it is unknown or unreachable."""
         holder = self._peers.holder_of(self._duty)
         if holder is None:
             return None
@@ -259,9 +274,9 @@
 
 
 def _store_unavailable(exc: Exception) -> Refusal:
-    """Refuses what can't be told while the store is away."""
+    """Returns the refusal of a call that needs the store."""
     return Refusal(
         ErrorCode.PLATFORM_UNAVAILABLE,
-        f"the store doesn't tell: {exc}",
+        f"the store did not answer: {exc}",
         retry_after_s=_RETRY_AFTER_S,
     )
--- a/daisyhub/lots/_rewards.py
+++ b/daisyhub/lots/_rewards.py
@@ -1,4 +1,4 @@
-"""Makes the reward calls of whole texts."""
+"""Makes the reward calls that score complete texts."""
 
 import time
 
@@ -14,19 +14,19 @@
 
 __all__ = ["RewardCaller"]
 
-# Seconds that a reward call may take, where its route allows longer.
+# Upper limit in seconds of the timeout that a reward call's route sets.
 _REWARD_TIMEOUT_S = 5.0
 _SUCCESS = range(200, 300)
 
 
 class RewardCaller:
-    """Sends reward calls through the routes that their hosts and paths name.
+    """Sends reward calls along the routes of their hosts and paths.
 
     Args:
-        manifests: Holds the manifest in force.
-        sender: Sends them, as any idempotent request.
-        wire: How endpoints are spoken to.
-        log: Where failures are noted.
+        manifests: Provides the active manifest.
+        sender: Sends the calls like any idempotent request.
+        wire: Wire format of endpoints.
+        log: Log of failures.
     """
 
     def __init__(
@@ -44,12 +44,12 @@
     async def request_score(
         self, action: StartRewardCall
     ) -> RewardCallSucceeded | RewardCallFailed:
-        """Makes one call; a success counts only with the endpoint's proof."""
+        """Makes one call, which succeeds only with the endpoint's proof."""
         item = action.item
         reward = item.reward
         route = self._manifests.manifest.find_route(reward.host, reward.path)
         if route is None:
-            return self._failed(action, "no route serves it")
+            return self._failed(action, "no route for its host and path")
         task = SendTask(
             request_id=reward.request_id,
             route=route,
@@ -64,14 +64,14 @@
             resp = await self._sender.send(task)
         except Refusal as exc:
             return self._failed(action, exc.code)
-        answer = self._wire.read_answer(resp.status, resp.headers)
-        if resp.status not in _SUCCESS or not answer.proof:
+        decoded = self._wire.read_answer(resp.status, resp.headers)
+        if resp.status not in _SUCCESS or not decoded.proof:
             is_endpoint_failure = resp.status == ErrorCode.INTERNAL.status
             reason = f"status {resp.status}"
             return self._failed(
                 action, reason, is_endpoint_failure, route.max_attempts
             )
-        return RewardCallSucceeded(action.lot_id, item.item_id, answer.proof)
+        return RewardCallSucceeded(action.lot_id, item.item_id, decoded.proof)
 
     def _failed(
         self,
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -1,4 +1,8 @@
-"""Events, actions and state records of the dispatch core."""
+"""Events, actions and state records of the dispatch core.
+
+The `run` of an event or action is the id of a run, which is unique for the
+core.
+"""
 
 import dataclasses
 import enum
@@ -125,7 +129,7 @@
 class StreamEventReceived:
     """An event of a run's stream was received."""
 
-    run_id: int
+    run: int
     data: str
     version: int
 
@@ -134,14 +138,14 @@
 class RunCompleted:
     """A run's stream ended normally; its text is complete."""
 
-    run_id: int
+    run: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RunFailed:
     """A run failed before its text was complete."""
 
-    run_id: int
+    run: int
     fault: RunFault
 
 
@@ -178,7 +182,7 @@
     """Action: send an item to an engine.
 
     Attributes:
-        run_id: Id of the new run.
+        run: Id of the new run.
         lot_id: The item's lot.
         item: The item.
         endpoint_id: The engine.
@@ -186,7 +190,7 @@
             starts behind them.
     """
 
-    run_id: int
+    run: int
     lot_id: str
     item: ItemSpec
     endpoint_id: str
@@ -197,7 +201,7 @@
 class CancelRun:
     """Action: close a run's connection."""
 
-    run_id: int
+    run: int
     reason: str
 
 
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -1,4 +1,4 @@
-"""Streams one item from one engine and tells the dispatch core."""
+"""Streams items from engines and emits events for the dispatch core."""
 
 import time
 from collections.abc import Callable
@@ -33,10 +33,10 @@
     """Runs items at engines.
 
     Args:
-        directory: Tells where engines listen.
-        http: Sends over kept connections.
-        endpoint_wire: How engines are spoken to.
-        lot_wire: How their streams are read.
+        directory: Provides the addresses of engines.
+        http: Client that sends the requests.
+        endpoint_wire: Wire format of requests to engines.
+        lot_wire: Wire format of their event streams.
     """
 
     def __init__(
@@ -58,21 +58,21 @@
         give_up_at_s: float,
         emit: EventSink,
     ) -> str:
-        """Streams the item; tells its events and how it ended.
+        """Streams an item; emits its events, then how the run ended.
 
         Args:
-            action: What to run where.
+            action: The run to start.
             head: The item's lot.
-            give_up_at_s: Monotonic time after which it is of no use.
-            tell: Takes dispatch events.
+            give_up_at_s: Monotonic time after which the result is useless.
+            emit: Callback that takes events of the dispatch core.
 
         Returns:
-            How it ended, for the log.
+            The outcome of the run, for the log.
         """
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
-            emit(RunFailed(action.run_id, RunFault.ELSEWHERE))
-            return "the engine is gone"
+            emit(RunFailed(action.run, RunFault.ELSEWHERE))
+            return "unknown endpoint"
         left_s = max(0.0, give_up_at_s - time.monotonic())
         item = action.item
         headers = self._endpoint_wire.request_headers(
@@ -90,7 +90,7 @@
             )
         )
         try:
-            answer = await self._http.open(
+            response = await self._http.open(
                 "POST",
                 endpoint.entry.address,
                 item.path,
@@ -99,51 +99,53 @@
                 timeout_s=left_s,
             )
         except RequestFailedError as exc:
-            emit(RunFailed(action.run_id, RunFault.UNREACHABLE))
+            emit(RunFailed(action.run, RunFault.UNREACHABLE))
             return str(exc)
         try:
-            return await self._read(action, answer, emit)
+            return await self._read(action, response, emit)
         finally:
-            await answer.aclose()
+            await response.aclose()
 
     async def _read(
-        self, action: StartRun, answer: StreamedAnswer, emit: EventSink
+        self, action: StartRun, response: StreamedAnswer, emit: EventSink
     ) -> str:
-        read = self._endpoint_wire.read_answer(answer.status, answer.headers)
-        if read.is_not_run:
+        decoded = self._endpoint_wire.read_answer(
+            response.status, response.headers
+        )
+        if decoded.is_not_run:
             fault = RunFault.NOT_RUN
-            if read.is_other_endpoint:
+            if decoded.is_other_endpoint:
                 fault = RunFault.ELSEWHERE
-            emit(RunFailed(action.run_id, fault))
-            await answer.drain()
-            return f"status {answer.status}, not run"
-        if answer.status != _OK:
+            emit(RunFailed(action.run, fault))
+            await response.drain()
+            return f"status {response.status}, not run"
+        if response.status != _OK:
             fault = {
                 _IMPOSSIBLE_STATUS: RunFault.IMPOSSIBLE,
                 _FAILED_STATUS: RunFault.FAILED,
-            }.get(answer.status, RunFault.BROKEN)
-            emit(RunFailed(action.run_id, fault))
-            await answer.drain()
-            return f"status {answer.status}"
-        reader = self._lot_wire.make_reader(read.weight_version)
+            }.get(response.status, RunFault.BROKEN)
+            emit(RunFailed(action.run, fault))
+            await response.drain()
+            return f"status {response.status}"
+        reader = self._lot_wire.make_reader(decoded.weight_version)
         next_number = action.resume_after + 1
         try:
-            async for chunk in answer.chunks():
+            async for chunk in response.chunks():
                 for event in reader.feed(chunk):
                     if event.number != next_number:
                         raise ValueError(
-                            f"event {event.number} instead of {next_number}"
+                            f"expected event {next_number}, got {event.number}"
                         )
                     next_number += 1
                     emit(
                         StreamEventReceived(
-                            action.run_id, event.data, event.version
+                            action.run, event.data, event.version
                         )
                     )
             if not reader.is_between_events:
-                raise ValueError("the stream ended within an event")
+                raise ValueError("the stream ended in the middle of an event")
         except (RequestFailedError, ValueError) as exc:
-            emit(RunFailed(action.run_id, RunFault.BROKEN))
+            emit(RunFailed(action.run, RunFault.BROKEN))
             return f"after event {next_number - 1}: {exc}"
-        emit(RunCompleted(action.run_id))
-        return f"whole, {next_number - 1} events"
+        emit(RunCompleted(action.run))
+        return f"complete after event {next_number - 1}"
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -1,4 +1,4 @@
-"""What runs where: silent, slow and failing engines, versions, ends."""
+"""Tests of the dispatch core: silent, slow and failing engines, versions."""
 
 import heapq
 import random
@@ -68,25 +68,25 @@
 
 
 class Driver:
-    """A core, and what it started."""
+    """A dispatch core with a manual clock, and the actions it returned."""
 
     def __init__(self):
         self.core = DispatchCore()
         self.now_s = 0.0
         self.actions = []
-        self.seen = EnginesListed(())
+        self.engines = EnginesListed(())
 
     def feed(self, event, after_s=0.0):
         self.now_s += after_s
         if isinstance(event, EnginesListed):
-            self.seen = event
+            self.engines = event
         actions = self.core.handle(event, self.now_s)
         self.actions += actions
         return actions
 
     def tick(self, after_s=0.0):
-        """Shows the core the engines that it saw last."""
-        return self.feed(self.seen, after_s)
+        """Repeats the last list of engines, as the holder does on each tick."""
+        return self.feed(self.engines, after_s)
 
     def runs(self, actions):
         return [a for a in actions if isinstance(a, StartRun)]
@@ -97,45 +97,55 @@
 
 
 def draw_lengths(rng, count):
-    """Returns events by item: most texts are short, a few ten times longer."""
+    """Returns the number of events by item.
+
+    Most texts are short, a few are ten times longer.
+    """
     return {
         f"i{n}": min(153, max(3, round(rng.lognormvariate(2.7, 0.9))))
         for n in range(count)
     }
 
 
-def play(driver, lot_id, lengths, paces):
-    """Runs a lot at engines of these paces; returns how long it took."""
+def simulate(driver, lot_id, lengths, event_intervals_s):
+    """Simulates a lot on engines; returns its duration in seconds.
+
+    Args:
+        driver: The core under test.
+        lot_id: Id of the lot.
+        lengths: Number of events by item.
+        event_intervals_s: Seconds between events, by engine.
+    """
     started_s = driver.now_s
     events = []
     left = set(lengths)
 
-    def take(actions):
+    def process(actions):
         for action in actions:
             if isinstance(action, StartRun):
-                at_s = driver.now_s + paces[action.endpoint_id]
+                at_s = driver.now_s + event_intervals_s[action.endpoint_id]
                 done = action.resume_after
-                heapq.heappush(events, (at_s, action.run_id, action, done))
+                heapq.heappush(events, (at_s, action.run, action, done))
             elif isinstance(action, FinishItem):
                 left.discard(action.result.item_id)
 
     opened = lot(*(item(name, reward=False) for name in lengths), lot_id=lot_id)
-    take(driver.feed(opened))
+    process(driver.feed(opened))
     tick_s = driver.now_s
     while left:
         at_s, number, run, done = heapq.heappop(events)
         while tick_s + 0.1 < at_s:
             tick_s += 0.1
             driver.now_s = tick_s
-            take(driver.tick())
+            process(driver.tick())
         driver.now_s = at_s
         if driver.core.find_run(number) is None:
             continue
-        take(driver.feed(StreamEventReceived(number, "x", 1)))
+        process(driver.feed(StreamEventReceived(number, "x", 1)))
         if done + 1 == lengths[run.item.item_id]:
-            take(driver.feed(RunCompleted(number)))
+            process(driver.feed(RunCompleted(number)))
             continue
-        at_s += paces[run.endpoint_id]
+        at_s += event_intervals_s[run.endpoint_id]
         heapq.heappush(events, (at_s, number, run, done + 1))
     driver.feed(LotClosed(lot_id))
     return driver.now_s - started_s
@@ -146,11 +156,11 @@
         self.driver = Driver()
         self.feed = self.driver.feed
 
-    def test_an_item_is_generated_then_scored_then_finished(self):
+    def test_item_is_generated_then_scored_then_finished(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run_id, "x", "y", version=2)
-        (reward,) = self.feed(RunCompleted(run.run_id))
+        self.driver.stream(run.run, "x", "y", version=2)
+        (reward,) = self.feed(RunCompleted(run.run))
         self.assertIsInstance(reward, StartRewardCall)
         (done,) = self.feed(RewardCallSucceeded("L", "a", "proof"))
         self.assertEqual(done.result.text, "x\ny")
@@ -164,100 +174,104 @@
         used = [run.endpoint_id for run in runs]
         self.assertEqual(sorted(used), ["e1", "e1", "e2", "e2"])
 
-    def test_items_that_wait_cost_nothing_while_all_slots_are_taken(self):
-        class Counting(DispatchCore):
-            looks = 0
+    def test_waiting_items_cause_no_searches_while_all_slots_are_in_use(self):
+        class SearchCountingCore(DispatchCore):
+            search_count = 0
 
             def _choose_engine(self, *args):
-                self.looks += 1
+                self.search_count += 1
                 return super()._choose_engine(*args)
 
-        self.driver.core = Counting()
+        self.driver.core = SearchCountingCore()
         self.feed(engines("e1", "e2"))
         run, *_ = self.feed(lot(*(item(str(n)) for n in range(500))))
-        self.driver.stream(run.run_id, "x")
-        self.driver.core.looks = 0
-        self.feed(RunCompleted(run.run_id))
-        # One look finds the slot that was freed, one finds no further.
-        self.assertLessEqual(self.driver.core.looks, 2)
+        self.driver.stream(run.run, "x")
+        self.driver.core.search_count = 0
+        self.feed(RunCompleted(run.run))
+        # One search finds the freed slot, one finds no further slot.
+        self.assertLessEqual(self.driver.core.search_count, 2)
 
-    def test_the_longest_items_start_first(self):
+    def test_longest_items_start_first(self):
         self.feed(engines("e1"))
         runs = self.feed(
             lot(item("a", hint=5), item("b", hint=50), item("c", hint=20))
         )
         self.assertEqual([r.item.item_id for r in runs], ["b", "c"])
 
-    def test_the_lot_that_is_due_first_goes_first(self):
+    def test_lot_with_earliest_due_time_starts_first(self):
         self.feed(lot(item("late"), lot_id="B", due_at_s=20.0))
         self.feed(lot(item("soon"), lot_id="A", due_at_s=5.0))
         runs = self.driver.runs(self.feed(engines("e1", slots=1)))
         self.assertEqual([r.item.item_id for r in runs], ["soon"])
 
-    def test_a_silent_run_goes_on_elsewhere_behind_its_last_event(self):
+    def test_silent_run_resumes_on_another_engine_after_its_last_event(self):
         self.feed(engines("e1", "e2"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run_id, "x")
+        self.driver.stream(run.run, "x")
         actions = self.driver.tick(after_s=0.7)
         self.assertIsInstance(actions[0], CancelRun)
         (again,) = self.driver.runs(actions)
         self.assertEqual(again.resume_after, 1)
         self.assertNotEqual(again.endpoint_id, run.endpoint_id)
-        self.driver.stream(again.run_id, "y")
-        self.feed(RunCompleted(again.run_id))
+        self.driver.stream(again.run, "y")
+        self.feed(RunCompleted(again.run))
         (done,) = self.feed(RewardCallSucceeded("L", "a", "p"))
         self.assertEqual(done.result.text, "x\ny")
 
-    def test_a_loading_engine_may_be_silent_longer_and_gets_nothing_new(self):
+    def test_loading_engine_has_longer_timeout_and_gets_no_new_runs(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), item("b")))[:1]
-        self.driver.stream(run.run_id, "x")
+        self.driver.stream(run.run, "x")
         self.feed(engines("e1", loading=("e1",)))
         self.assertEqual(self.driver.tick(after_s=1.5), [])
 
-    def test_a_broken_run_keeps_what_came(self):
+    def test_broken_run_resumes_after_received_events(self):
         self.feed(engines("e1", "e2"))
         (run,) = self.feed(lot(item("a")))
-        self.driver.stream(run.run_id, "x", "y")
-        (again,) = self.feed(RunFailed(run.run_id, RunFault.BROKEN))
+        self.driver.stream(run.run, "x", "y")
+        (again,) = self.feed(RunFailed(run.run, RunFault.BROKEN))
         self.assertEqual(again.resume_after, 2)
 
-    def test_weights_that_are_too_old_give_nothing(self):
+    def test_too_old_weights_are_not_used(self):
         self.feed(engines("e1", version=1))
         self.assertEqual(self.feed(lot(item("a"), oldest_version=2)), [])
         (run,) = self.feed(engines("e1", version=2))
-        cancelled = self.feed(StreamEventReceived(run.run_id, "x", 1))
+        cancelled = self.feed(StreamEventReceived(run.run, "x", 1))
         self.assertIsInstance(cancelled[0], CancelRun)
 
-    def test_a_single_version_text_is_not_mixed(self):
+    def test_single_version_text_does_not_mix_versions(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), is_single_version=True))
-        self.driver.stream(run.run_id, "x", version=1)
-        self.feed(StreamEventReceived(run.run_id, "y", 2))
+        self.driver.stream(run.run, "x", version=1)
+        self.feed(StreamEventReceived(run.run, "y", 2))
         (again,) = self.driver.runs(self.driver.tick(after_s=0.2))
         self.assertEqual(again.resume_after, 0)
 
-    def test_failures_of_the_engine_end_the_item_after_its_attempts(self):
+    def test_item_is_given_up_after_max_engine_failures(self):
         self.feed(engines("e1"))
         actions = self.feed(lot(item("a"), max_attempts=2))
-        self.feed(RunFailed(actions[0].run_id, RunFault.FAILED))
+        self.feed(RunFailed(actions[0].run, RunFault.FAILED))
         (run,) = self.driver.tick(after_s=0.2)
-        (done,) = self.feed(RunFailed(run.run_id, RunFault.FAILED))
+        (done,) = self.feed(RunFailed(run.run, RunFault.FAILED))
         self.assertEqual(done.result.state, "given_up")
 
-    def test_a_refusal_that_did_not_run_is_no_failure(self):
+    def test_rejected_run_is_not_counted_as_failure(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), max_attempts=1))
         for _ in range(5):
-            self.feed(RunFailed(run.run_id, RunFault.NOT_RUN))
+            self.feed(RunFailed(run.run, RunFault.NOT_RUN))
             (run,) = self.driver.tick(after_s=0.2)
 
-    def test_rewards_are_given_up_by_their_own_routes_attempts(self):
-        """Items were given up after the lot's attempts, one too early."""
+    def test_reward_call_uses_max_attempts_of_its_own_route(self):
+        """A reward call is retried as often as its own route allows.
+
+        The maximum of attempts of the lot's route applied once, so that items
+        were given up too early.
+        """
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), max_attempts=2))
-        self.driver.stream(run.run_id, "x")
-        self.feed(RunCompleted(run.run_id))
+        self.driver.stream(run.run, "x")
+        self.feed(RunCompleted(run.run))
         failed = RewardCallFailed(
             "L", "a", is_endpoint_failure=True, max_attempts=4
         )
@@ -269,7 +283,7 @@
         self.assertIsInstance(done, FinishItem)
         self.assertEqual(done.result.state, "given_up")
 
-    def test_an_item_on_a_slow_engine_gets_a_second_run(self):
+    def test_item_on_slow_engine_gets_backup_run(self):
         self.feed(engines("slow", "e1", "e2"))
         runs = self.feed(lot(*(item(n) for n in "abc")))
         for number in range(12):
@@ -277,46 +291,53 @@
                 is_slow = run.endpoint_id == "slow"
                 if not is_slow or number % 4 == 0:
                     self.feed(
-                        StreamEventReceived(run.run_id, "x", 1), after_s=0.01
+                        StreamEventReceived(run.run, "x", 1), after_s=0.01
                     )
             self.driver.now_s += 0.03
         started = self.driver.runs(self.driver.tick())
         slow = next(r for r in runs if r.endpoint_id == "slow")
         self.assertEqual([r.item for r in started], [slow.item])
         self.assertEqual(started[0].resume_after, 3)
-        self.driver.stream(started[0].run_id, "y")
-        cancelled = self.feed(RunCompleted(started[0].run_id))
-        self.assertIn(slow.run_id, [getattr(a, "run_id", 0) for a in cancelled])
-
-    def test_a_step_waits_no_longer_than_its_longest_text_takes_fast(self):
-        # The load: groups of 16 texts of very unequal length, of which all
-        # count, on engines of which a third is slower by a third.
-        fast_s, slow_s = 0.0475, 0.062
-        paces = dict.fromkeys((f"f{n}" for n in range(6)), fast_s)
-        paces |= dict.fromkeys(("s0", "s1"), slow_s)
+        self.driver.stream(started[0].run, "y")
+        cancelled = self.feed(RunCompleted(started[0].run))
+        self.assertIn(slow.run, [getattr(a, "run", 0) for a in cancelled])
+
+    def test_step_takes_no_longer_than_its_longest_text_on_a_fast_engine(self):
+        # The load: groups of 16 texts of very unequal length, all of which
+        # are needed, on engines of which a third is slower by a third.
+        fast_interval_s, slow_interval_s = 0.0475, 0.062
+        event_intervals_s = dict.fromkeys(
+            (f"f{n}" for n in range(6)), fast_interval_s
+        )
+        event_intervals_s |= dict.fromkeys(("s0", "s1"), slow_interval_s)
         for seed in range(20):
             driver = Driver()
-            driver.feed(engines(*paces, slots=6))
-            # Some short texts tell the core which engines are slow.
-            play(driver, "warm", {f"w{n}": 12 for n in range(24)}, paces)
+            driver.feed(engines(*event_intervals_s, slots=6))
+            # The core learns from some short texts which engines are slow.
+            simulate(
+                driver,
+                "warm",
+                {f"w{n}": 12 for n in range(24)},
+                event_intervals_s,
+            )
             lengths = draw_lengths(random.Random(seed), 48)
-            took_s = play(driver, "L", lengths, paces)
-            # A tenth more leaves room for items that wait for a slot.
-            bound_s = 1.1 * max(lengths.values()) * fast_s
+            took_s = simulate(driver, "L", lengths, event_intervals_s)
+            # A tenth is added for items that wait for a slot.
+            bound_s = 1.1 * max(lengths.values()) * fast_interval_s
             self.assertLess(took_s, bound_s, seed)
 
-    def test_an_ended_lot_is_not_run_further(self):
+    def test_closed_lot_is_not_run_further(self):
         self.feed(engines("e1", slots=1))
         (run,) = self.feed(lot(item("a"), item("b")))
-        self.driver.stream(run.run_id, "x")
+        self.driver.stream(run.run, "x")
         self.assertEqual(
             self.driver.core.progress_of("L"), {"a": Progress(("x",), (1,))}
         )
         (cancelled,) = self.feed(LotClosed("L"))
-        self.assertEqual(cancelled.run_id, run.run_id)
-        self.assertEqual(self.feed(RunFailed(run.run_id, RunFault.BROKEN)), [])
+        self.assertEqual(cancelled.run, run.run)
+        self.assertEqual(self.feed(RunFailed(run.run, RunFault.BROKEN)), [])
 
-    def test_text_of_an_earlier_lot_is_taken_up_if_its_versions_fit(self):
+    def test_earlier_text_is_resumed_if_its_versions_are_allowed(self):
         self.feed(engines("e1", version=3))
         opened = lot(item("a"), oldest_version=2)
         known = {"a": Progress(("x", "y"), (2, 3))}
@@ -324,24 +345,24 @@
         (run,) = self.feed(opened)
         self.assertEqual(run.resume_after, 2)
 
-    def test_every_item_ends_under_random_faults(self):
+    def test_every_item_completes_under_random_faults(self):
         for seed in range(25):
             with self.subTest(seed=seed):
-                self.play(random.Random(seed))
+                self.run_with_faults(random.Random(seed))
 
-    def play(self, rng):
-        """Plays a lot against engines that fail at random; checks texts."""
+    def run_with_faults(self, rng):
+        """Runs a lot on engines that fail at random; checks its texts."""
         driver = Driver()
         ids = [f"i{n}" for n in range(12)]
         driver.feed(engines("e1", "e2", "e3"))
         driver.feed(lot(*(item(i) for i in ids), max_attempts=99))
-        done, open_runs, seen = {}, {}, 0
+        done, open_runs, handled_count = {}, {}, 0
         for _ in range(4000):
-            for action in driver.actions[seen:]:
+            for action in driver.actions[handled_count:]:
                 if isinstance(action, StartRun):
-                    open_runs[action.run_id] = action.resume_after
+                    open_runs[action.run] = action.resume_after
                 elif isinstance(action, CancelRun):
-                    open_runs.pop(action.run_id, None)
+                    open_runs.pop(action.run, None)
                 elif isinstance(action, StartRewardCall):
                     driver.feed(
                         RewardCallSucceeded("L", action.item.item_id, "p")
@@ -349,16 +370,16 @@
                 elif isinstance(action, FinishItem):
                     self.assertNotIn(action.result.item_id, done)
                     done[action.result.item_id] = action.result
-                seen += 1
+                handled_count += 1
             if len(done) == len(ids):
                 break
             driver.tick(after_s=0.05)
             for run, sent in list(open_runs.items()):
-                dice = rng.random()
-                if dice < 0.05:
+                draw = rng.random()
+                if draw < 0.05:
                     del open_runs[run]
                     driver.feed(RunFailed(run, rng.choice(list(RunFault)[:4])))
-                elif dice < 0.1:
+                elif draw < 0.1:
                     continue
                 elif sent == 5:
                     del open_runs[run]
--- a/daisyhub/lots/tests/test_proof_listing.py
+++ b/daisyhub/lots/tests/test_proof_listing.py
@@ -1,7 +1,7 @@
-"""Proof: a listed result keeps its position, and no item is listed twice.
+"""Property test: listed results keep their positions, none is listed twice.
 
-Any number of daemons list one lot at one time, each with its own texts.
-Faults: answers lost, writes that land late, failures, daemons started anew.
+Two daemons list one lot concurrently, each with its own texts. Faults: lost
+responses, delayed writes, failed writes and restarted daemons.
 """
 
 import unittest
@@ -34,7 +34,7 @@
 
 
 class ListingMachine(RuleBasedStateMachine):
-    """Two daemons, one store of chunks, and a reader that read all."""
+    """Two daemons, one store of chunks, and a reader of the whole list."""
 
     core_class = ListingCore
 
@@ -45,7 +45,7 @@
         self.read = []
         self.cores = [self.core_class(len(ITEMS)) for _ in DAEMONS]
         self.writes = {n: [] for n in DAEMONS}
-        self.late = []
+        self.delayed = []
 
     def feed(self, number, event):
         self.writes[number] += self.cores[number].handle(event, self.now_s)
@@ -69,64 +69,66 @@
 
     @rule(
         number=st.sampled_from(DAEMONS),
-        fate=st.sampled_from(["good", "good", "lost", "late", "fail"]),
+        outcome=st.sampled_from(["good", "good", "lost", "late", "fail"]),
     )
-    def write(self, number, fate):
+    def write(self, number, outcome):
         if not self.writes[number]:
             return
         action = self.writes[number].pop(0)
         assert isinstance(action, WriteChunk)
-        if fate == "late":
-            self.late.append(action)
-        if fate in ("good", "lost"):
+        if outcome == "late":
+            self.delayed.append(action)
+        if outcome in ("good", "lost"):
             self.chunks.setdefault(action.first, action.results)
-        if fate == "good":
-            standing = self.chunks[action.first]
-            self.feed(number, ChunkStored(action.first, standing))
+        if outcome == "good":
+            stored = self.chunks[action.first]
+            self.feed(number, ChunkStored(action.first, stored))
         else:
             self.feed(number, ChunkWriteFailed())
 
     @rule()
-    def late_write_lands(self):
-        if self.late:
-            action = self.late.pop(0)
+    def apply_delayed_write(self):
+        if self.delayed:
+            action = self.delayed.pop(0)
             self.chunks.setdefault(action.first, action.results)
 
     @rule(number=st.sampled_from(DAEMONS))
     def restart(self, number):
-        """A daemon starts anew and reads all chunks first."""
+        """Restarts a daemon, which reads all stored chunks first."""
         core = self.core_class(len(ITEMS))
         while (first := len(core.listed)) in self.chunks:
             core.handle(ChunkStored(first, self.chunks[first]), self.now_s)
         self.cores[number] = core
         self.writes[number] = []
 
-    def listing(self):
-        """What a reader at any daemon finds in the store."""
+    def stored_results(self):
+        """Returns all results in the store by position."""
         found = []
         while len(found) in self.chunks:
             found += self.chunks[len(found)]
         return found
 
     @invariant()
-    def positions_hold(self):
-        found = self.listing()
-        assert found[: len(self.read)] == self.read, "a position changed"
+    def positions_are_stable(self):
+        found = self.stored_results()
+        assert found[: len(self.read)] == self.read, (
+            "the result at a position changed"
+        )
         self.read = found
 
     @invariant()
-    def no_item_stands_twice(self):
-        ids = [r.item_id for r in self.listing()]
-        assert len(ids) == len(set(ids)), f"an item stands twice: {ids}"
+    def no_item_is_listed_twice(self):
+        ids = [r.item_id for r in self.stored_results()]
+        assert len(ids) == len(set(ids)), f"an item is listed twice: {ids}"
 
     @invariant()
-    def daemons_show_only_what_stands(self):
-        found = self.listing()
+    def daemons_show_only_stored_results(self):
+        found = self.stored_results()
         for core in self.cores:
             assert core.listed == found[: len(core.listed)]
 
     def teardown(self):
-        """Once faults end, every finished item is listed."""
+        """Checks that every finished item is listed once faults end."""
         for number in DAEMONS:
             for item_id in ITEMS:
                 if not self.cores[number].is_listed(item_id):
@@ -137,13 +139,13 @@
             self.pass_time(1.0)
             for number in DAEMONS:
                 self.write(number, "good")
-        assert len(self.listing()) == len(ITEMS)
-        self.positions_hold()
-        self.no_item_stands_twice()
+        assert len(self.stored_results()) == len(ITEMS)
+        self.positions_are_stable()
+        self.no_item_is_listed_twice()
 
 
-class KeepsOwn(ListingCore):
-    """Takes its own chunk for the one that stands."""
+class AssumesOwnChunkStored(ListingCore):
+    """Broken: assumes that its own chunk was stored."""
 
     def _on_chunk_stored(self, event, now_s):
         own = tuple(self._pending.values())
@@ -152,8 +154,8 @@
         )
 
 
-class ListsAgain(ListingCore):
-    """Forgets which items stand already."""
+class ListsItemTwice(ListingCore):
+    """Broken: forgets which items are listed."""
 
     def _on_item_finished(self, event, now_s):
         self._listed_ids.discard(event.result.item_id)
@@ -163,8 +165,8 @@
         return False
 
 
-class WritesBehindTheEnd(ListingCore):
-    """Leaves a gap before its chunk."""
+class LeavesGap(ListingCore):
+    """Broken: leaves a gap before its chunk."""
 
     def _write(self, now_s):
         return [
@@ -174,11 +176,11 @@
 
 
 class ListingProof(unittest.TestCase):
-    def test_results_keep_their_positions_and_stand_once(self):
+    def test_results_keep_positions_and_are_listed_once(self):
         run_proof(ListingMachine, examples=200)
 
-    def test_broken_cores_are_caught(self):
-        for core in (KeepsOwn, ListsAgain, WritesBehindTheEnd):
+    def test_broken_cores_are_detected(self):
+        for core in (AssumesOwnChunkStored, ListsItemTwice, LeavesGap):
             machine = type(
                 core.__name__, (ListingMachine,), {"core_class": core}
             )
@@ -187,7 +189,7 @@
 
 
 class ListingCoreTest(unittest.TestCase):
-    def test_a_whole_group_is_listed_at_once(self):
+    def test_complete_group_is_listed_immediately(self):
         core = ListingCore(4)
         self.assertEqual(
             core.handle(ItemFinished(result("a", ""), False), 0.0), []
@@ -195,7 +197,7 @@
         (write,) = core.handle(ItemFinished(result("b", ""), True), 0.01)
         self.assertEqual([r.item_id for r in write.results], ["a", "b"])
 
-    def test_large_texts_go_into_chunks_of_their_own(self):
+    def test_large_texts_are_split_into_separate_chunks(self):
         core = ListingCore(2)
         core.handle(ItemFinished(result("a", "x" * 300_000), False), 0.0)
         (write,) = core.handle(
--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Reads of lots at a daemon that neither accepted nor holds them."""
+"""Tests of reads on a daemon that neither accepted nor holds the lots."""
 
 import types
 import unittest
@@ -24,7 +24,7 @@
 
 
 class FakeHolder:
-    """This daemon's own holder, which holds nothing."""
+    """This daemon's own holder, which doesn't have the duty."""
 
     def head(self, _):
         return None
@@ -34,26 +34,28 @@
 
 
 class FakeNetwork:
-    """The daemon that holds lots, as this one reaches it."""
+    """Connection to the holder, which answers for the given heads."""
 
-    def __init__(self, heads, is_silent=False):
+    def __init__(self, heads, is_unreachable=False):
         self.heads = heads
-        self.is_silent = is_silent
+        self.is_unreachable = is_unreachable
         self.ended = set()
         self.calls = []
 
-    async def call(self, peer, asked, _):
-        self.calls.append(type(asked))
-        if self.is_silent:
+    async def call(self, peer, request, _):
+        self.calls.append(type(request))
+        if self.is_unreachable:
             raise PeerUnreachableError(f"{peer} did not answer")
-        head = self.heads.get(asked.lot_id)
+        head = self.heads.get(request.lot_id)
         if head is None:
             return LotAnswer(is_held=False)
-        if asked.lot_id in self.ended and not isinstance(asked, LotHeadAsked):
+        if request.lot_id in self.ended and not isinstance(
+            request, LotHeadAsked
+        ):
             return LotAnswer(is_held=False, is_ended=True)
-        if isinstance(asked, LotHeadAsked):
+        if isinstance(request, LotHeadAsked):
             return LotAnswer(is_held=True, content=msgspec.json.encode(head))
-        content = msgspec.json.encode([RESULT][asked.after :])
+        content = msgspec.json.encode([RESULT][request.after :])
         return LotAnswer(is_held=True, content=content)
 
 
@@ -85,34 +87,34 @@
             "rollouts", LotStore(self.store), FakeHolder(), peers, network, log
         )
 
-    async def test_the_holder_tells_all_without_the_store(self):
+    async def test_results_of_the_holder_need_no_store_call(self):
         reader = self.reader(FakeNetwork({"L": self.head}))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, [RESULT]))
         self.assertEqual(sum(self.store.calls.values()), 0)
 
-    async def test_the_store_tells_while_the_holder_is_silent(self):
-        reader = self.reader(FakeNetwork({}, is_silent=True))
+    async def test_store_is_read_while_the_holder_is_unreachable(self):
+        reader = self.reader(FakeNetwork({}, is_unreachable=True))
         await LotStore(self.store).write_chunk("L", 0, (RESULT,))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, [RESULT]))
 
-    async def test_a_late_answer_that_lacks_a_lot_is_asked_for_again(self):
+    async def test_stale_read_that_misses_an_object_is_repeated(self):
         self.store.fail_next("late read", *[Fault.DEAF] * 3)
-        reader = self.reader(FakeNetwork({}, is_silent=True))
+        reader = self.reader(FakeNetwork({}, is_unreachable=True))
         await LotStore(self.store).write_chunk("L", 0, (RESULT,))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, [RESULT]))
         self.assertEqual(self.store.calls["late read"], 3)
 
-    async def test_a_holder_that_lacks_a_lot_does_not_decide_that_it_is_gone(
-        self,
-    ):
+    async def test_lot_unknown_to_the_holder_is_read_from_the_store(self):
         reader = self.reader(FakeNetwork({}))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, []))
 
-    async def test_an_ended_lot_is_read_from_the_store_in_few_answers(self):
+    async def test_chunks_of_ended_lot_are_read_from_the_store_in_one_call(
+        self,
+    ):
         network = FakeNetwork({"L": self.head})
         network.ended.add("L")
         self.head = msgspec.structs.replace(self.head, total=5)
@@ -124,13 +126,14 @@
         reader = self.reader(network)
         _, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual([r.item_id for r in results], list(names))
-        # It tells at once that nothing more comes, and asks nobody again.
+        # A read behind the last result returns at once without peer calls, as
+        # an ended lot gets no further results.
         network.calls.clear()
         with anyio.fail_after(5):
             _, results = await reader.results("L", "a", 4, 60.0)
         self.assertEqual((results, network.calls), ([], []))
 
-    async def test_lots_of_other_accounts_and_unknown_lots_are_unknown(self):
+    async def test_lots_of_other_accounts_are_refused_like_unknown_lots(self):
         reader = self.reader(FakeNetwork({"L": self.head}))
         for lot_id, account in (("L", "b"), ("M", "a")):
             with self.assertRaises(Refusal) as caught:
