--- a/daisyhub/lots/__init__.py
+++ b/daisyhub/lots/__init__.py
@@ -29,8 +29,6 @@
     "DispatchCore",
     "EndLot",
     "EventReader",
-    "SubmittedLotsFilter",
-    "LotHolderDependencies",
     "ItemResult",
     "ItemRunner",
     "ItemSpec",
@@ -38,6 +36,7 @@
     "LotCall",
     "LotHead",
     "LotHolder",
+    "LotHolderDependencies",
     "LotReader",
     "LotSpec",
     "LotStore",
@@ -48,4 +47,5 @@
     "RewardCaller",
     "RewardSpec",
     "StreamEvent",
+    "SubmittedLotsFilter",
 ]
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -76,8 +76,8 @@
         """Stores a submitted lot.
 
         Raises:
-            Refusal: The lot isn't stored, or its state is unknown, which the
-                refusal states, or another account has a lot with this id.
+            Refusal: The lot isn't stored, or it is unknown whether it is, or
+                another account has a lot with this id.
         """
         spec = self._wire.read_lot(req, self._clock.now_s())
         try:
@@ -87,7 +87,7 @@
                 ErrorCode.DEADLINE_EXCEEDED
                 if exc.may_be_done
                 else ErrorCode.PLATFORM_UNAVAILABLE,
-                f"the lot may not be stored: {exc}",
+                f"the lot is not known to be stored: {exc}",
                 ran=Ran.UNKNOWN if exc.may_be_done else Ran.NOT_RUN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from exc
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -54,7 +54,7 @@
     ObjectStoreError,
 )
 
-__all__ = ["LotHolderDependencies", "LotHolder"]
+__all__ = ["LotHolder", "LotHolderDependencies"]
 
 # Seconds between checks for silent runs and free slots: the time of a few
 # events.
--- a/daisyhub/lots/_listing_core.py
+++ b/daisyhub/lots/_listing_core.py
@@ -13,8 +13,8 @@
 from daisyhub.lots._types import ItemResult
 
 __all__ = [
-    "ChunkWriteFailed",
     "ChunkStored",
+    "ChunkWriteFailed",
     "ItemFinished",
     "ListingCore",
     "ListingTick",
@@ -95,7 +95,7 @@
         self._pending: dict[str, ItemResult] = {}
         self._write_at_s = math.inf
         self._retry_at_s = -math.inf
-        self._is_write_pending = False
+        self._is_writing = False
 
     @property
     def listed(self) -> list[ItemResult]:
@@ -115,7 +115,7 @@
     @property
     def next_wakeup_s(self) -> float | None:
         """When pending results are to be written; None for never."""
-        if self._is_write_pending or not self._pending:
+        if self._is_writing or not self._pending:
             return None
         return max(self._write_at_s, self._retry_at_s)
 
@@ -131,7 +131,7 @@
             case ChunkStored():
                 self._on_chunk_stored(event, now_s)
             case ChunkWriteFailed():
-                self._is_write_pending = False
+                self._is_writing = False
                 self._write_at_s = now_s
                 self._retry_at_s = now_s + _WRITE_RETRY_DELAY_S
             case ListingTick():
@@ -150,7 +150,7 @@
         self._write_at_s = min(self._write_at_s, now_s + wait_s)
 
     def _on_chunk_stored(self, event: ChunkStored, now_s: float) -> None:
-        self._is_write_pending = False
+        self._is_writing = False
         if event.first != len(self._listed):
             return
         self._chunk_positions.append(event.first)
@@ -174,5 +174,5 @@
             chunk.append(result)
         is_all = len(chunk) == len(self._pending)
         self._write_at_s = math.inf if is_all else now_s
-        self._is_write_pending = True
+        self._is_writing = True
         return [WriteChunk(len(self._listed), tuple(chunk))]
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -27,8 +27,8 @@
 _ITEMS_KIND = "lot-items"
 _RESULTS_KIND = "lot-results"
 _PROGRESS_KIND = "lot-progress"
-# Maximum size of a part's contents in bytes. The platform's values may have a
-# megabyte, and contents grow by a third when encoded in JSON.
+# Maximum size in bytes of a part with several items. The platform's values may
+# have a megabyte, and contents grow by a third when encoded in JSON.
 _MAX_PART_BYTES = 500_000
 # Bytes after which a read of several chunks stops; the first chunk isn't
 # counted. A response may have a megabyte, and the chunks are read one after the
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -33,7 +33,7 @@
 
 # Seconds added to the wait time of a call to the holder to get its timeout.
 _CALL_TIMEOUT_MARGIN_S = 0.4
-# Seconds between polls for results while a caller waits.
+# Seconds between polls of the store while a caller waits for results.
 _STORE_POLL_INTERVAL_S = 0.3
 # Seconds after which a refused caller may retry. Short outages of the store and
 # changes of the holder last about a second.
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -15,7 +15,6 @@
     "Engine",
     "EngineView",
     "EnginesListed",
-    "StreamEventReceived",
     "FinishItem",
     "Item",
     "LotClosed",
@@ -29,6 +28,7 @@
     "RunFault",
     "StartRewardCall",
     "StartRun",
+    "StreamEventReceived",
 ]
 
 
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -303,8 +303,8 @@
         self.assertIn(slow.run, [getattr(a, "run", 0) for a in cancelled])
 
     def test_step_takes_no_longer_than_its_longest_text_on_a_fast_engine(self):
-        # The load: groups of 16 texts of very unequal length, all of which
-        # are needed, on engines of which a third is slower by a third.
+        # Trainers wait for groups of 16 texts of very unequal length. Here 48
+        # such texts run on eight engines, two of which are slower by a third.
         fast_interval_s, slow_interval_s = 0.0475, 0.062
         event_intervals_s = dict.fromkeys(
             (f"f{n}" for n in range(6)), fast_interval_s
@@ -340,8 +340,8 @@
     def test_earlier_text_is_resumed_if_its_versions_are_allowed(self):
         self.feed(engines("e1", version=3))
         opened = lot(item("a"), oldest_version=2)
-        known = {"a": Progress(("x", "y"), (2, 3))}
-        opened = LotOpened(opened.spec, "pool", 1.0, 9.0, progress=known)
+        earlier = {"a": Progress(("x", "y"), (2, 3))}
+        opened = LotOpened(opened.spec, "pool", 1.0, 9.0, progress=earlier)
         (run,) = self.feed(opened)
         self.assertEqual(run.resume_after, 2)
 
