--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -105,7 +105,7 @@
         told_at_s: When it told.
         failures: Failures in a row.
         backoff_until_s: Until when it gets no new work.
-        heard_at_s: When it last sent anything.
+        last_received_at_s: When it last sent anything.
         lapsed_at_s: When its entry went while the store was away.
     """
 
@@ -117,7 +117,7 @@
     told_at_s: float = -math.inf
     failures: int = 0
     backoff_until_s: float = -math.inf
-    heard_at_s: float = -math.inf
+    last_received_at_s: float = -math.inf
     lapsed_at_s: float | None = None
 
     def load(self, now_s: float) -> int:
@@ -135,7 +135,7 @@
     def is_silent(self, now_s: float) -> bool:
         """Whether it has said nothing for too long with a request open."""
         return any(
-            now_s - max(req.sent_s, self.heard_at_s) > req.patience_s
+            now_s - max(req.sent_s, self.last_received_at_s) > req.patience_s
             for req in self.open.values()
         )
 
@@ -284,7 +284,7 @@
         if endpoint is None:
             return
         req = endpoint.open.pop(token, None)
-        endpoint.heard_at_s = now_s
+        endpoint.last_received_at_s = now_s
         endpoint.failures = 0
         endpoint.backoff_until_s = -math.inf
         if req is None:
@@ -342,7 +342,7 @@
         if endpoint is not None:
             endpoint.told_load = load
             endpoint.told_at_s = now_s
-            endpoint.heard_at_s = now_s
+            endpoint.last_received_at_s = now_s
 
     def record_versions(
         self, endpoint_id: str, versions: dict[str, int]
--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -21,13 +21,13 @@
         daemon_id: Its id.
         incarnation: Start of its process, microseconds since 1970.
         ping: What it last told.
-        heard_at_s: When it told, monotonic.
+        last_received_at_s: When it told, monotonic.
     """
 
     daemon_id: str
     incarnation: int
     ping: Ping
-    heard_at_s: float
+    last_received_at_s: float
 
 
 class PeerTable:
@@ -82,7 +82,7 @@
     def _is_heard(self, peer: PeerState, now_s: float) -> bool:
         has_duty = self._has_duty or bool(peer.ping.duties)
         limit_s = silent_after_s(len(self._peers), has_duty=has_duty)
-        return now_s - peer.heard_at_s <= limit_s
+        return now_s - peer.last_received_at_s <= limit_s
 
     def is_live(self, daemon_id: str) -> bool:
         """Whether a daemon pinged lately; this daemon always did."""
@@ -116,7 +116,7 @@
         now_s = time.monotonic()
         forgotten = []
         for daemon_id, peer in list(self._peers.items()):
-            quiet_s = now_s - peer.heard_at_s
+            quiet_s = now_s - peer.last_received_at_s
             is_heard = self._is_heard(peer, now_s)
             if not is_heard and daemon_id not in self._silent:
                 self._silent.add(daemon_id)
--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -83,7 +83,7 @@
     @property
     def next_wakeup_s(self) -> float | None:
         """When to look for silent runs; ticks come with each look."""
-        starts = [run.heard_at_s for run in self._runs.values()]
+        starts = [run.last_received_at_s for run in self._runs.values()]
         return min(starts) + _SILENT_S if starts else None
 
     @property
@@ -224,11 +224,11 @@
             engine.failures = 0
             engine.backoff_until_s = min(engine.backoff_until_s, now_s)
             if run.events:
-                self._learn_pace(engine, now_s - run.heard_at_s)
+                self._learn_pace(engine, now_s - run.last_received_at_s)
         run.texts.append(event.data)
         run.versions.append(event.version)
         run.events += 1
-        run.heard_at_s = now_s
+        run.last_received_at_s = now_s
         return []
 
     def _learn_pace(self, engine: Engine, took_s: float) -> None:
@@ -393,7 +393,7 @@
             texts=list(item.progress.texts),
             versions=list(item.progress.versions),
             started_at_s=now_s,
-            heard_at_s=now_s,
+            last_received_at_s=now_s,
         )
         item.runs.add(number)
         engine.runs.add(number)
@@ -431,7 +431,7 @@
             engine = self._engines.get(run.endpoint_id)
             if engine is not None and engine.seen.is_loading:
                 limit_s += _LOADING_S
-            if now_s - run.heard_at_s < limit_s:
+            if now_s - run.last_received_at_s < limit_s:
                 continue
             actions += self._abandon(number, "its engine fell silent")
             self._note_failure(engine, now_s)
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -250,7 +250,7 @@
         texts: Data of events: those that it goes on from, and its own.
         versions: The weight version of each.
         started_at_s: When it was sent.
-        heard_at_s: When its last event came, or when it was sent.
+        last_received_at_s: When its last event came, or when it was sent.
         events: Events that came of itself.
     """
 
@@ -260,5 +260,5 @@
     texts: list[str]
     versions: list[int]
     started_at_s: float
-    heard_at_s: float
+    last_received_at_s: float
     events: int = 0
