--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -29,7 +29,7 @@
     ForwardRequest,
     ReadClaim,
     RefuseRepeat,
-    ReplayAnswer,
+    ReplayResponse,
     RequestEnded,
     ReturnOutcome,
     WriteClaim,
@@ -311,7 +311,7 @@
 def _answer_repeat(attempt: str, record: ClaimRecord) -> object:
     match record.state:
         case "done":
-            return ReplayAnswer(attempt, record.answer)
+            return ReplayResponse(attempt, record.answer)
         case "ran":
             return RefuseRepeat(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
         case "claimed":
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -22,7 +22,7 @@
     "StoredResponse",
     "ReadClaim",
     "RefuseRepeat",
-    "ReplayAnswer",
+    "ReplayResponse",
     "RequestEnded",
     "WriteClaim",
 ]
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReplayAnswer:
+class ReplayResponse:
     """Action: give the first attempt's answer."""
 
     attempt: str
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -13,7 +13,7 @@
 from daisyhub.filters._claim_types import (
     ClaimRequested,
     RefuseRepeat,
-    ReplayAnswer,
+    ReplayResponse,
     RequestEnded,
     StoredResponse,
 )
@@ -62,7 +62,7 @@
         )
         try:
             action = await self._claims.claim(event, req.deadline_s)
-            if isinstance(action, ReplayAnswer):
+            if isinstance(action, ReplayResponse):
                 return _replay(action.answer)
             if isinstance(action, RefuseRepeat):
                 raise _refusal(action)
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -25,7 +25,7 @@
     ForwardRequest,
     ReadClaim,
     RefuseRepeat,
-    ReplayAnswer,
+    ReplayResponse,
     RequestEnded,
     ReturnOutcome,
     StoredResponse,
@@ -70,7 +70,7 @@
         if isinstance(action, (ReadClaim, WriteClaim, ForwardRequest)):
             return
         del self.steps[action.attempt]
-        if isinstance(action, ReplayAnswer):
+        if isinstance(action, ReplayResponse):
             assert action.answer == self.answers[key]
         if isinstance(action, RefuseRepeat) and action.ran is Ran.NOT_RUN:
             assert action.attempt not in self.ran
@@ -276,4 +276,4 @@
         settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
         self.assertEqual(settled, [ReturnOutcome("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
-        self.assertEqual(action, ReplayAnswer("a2", answer))
+        self.assertEqual(action, ReplayResponse("a2", answer))
