--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -87,7 +87,7 @@
     suspect_until_s: float = 0.0
     is_leaving: bool = False
     absent_since_s: float | None = None
-    heard_s: float = float("-inf")
+    last_received_at_s: float = float("-inf")
 
     @property
     def load(self) -> float:
@@ -274,7 +274,7 @@
             return
         state.own_requests = max(0, state.own_requests - 1)
         if not failed:
-            state.heard_s = now_s
+            state.last_received_at_s = now_s
             state.failures = 0
             state.suspect_until_s = 0.0
             self._suspects.discard(endpoint_id)
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -152,7 +152,7 @@
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
-                if state.heard_s > oldest_s:
+                if state.last_received_at_s > oldest_s:
                     continue
                 if self._is_watched_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
@@ -179,7 +179,7 @@
         except RequestFailedError:
             self._http.forget(state.address)
             return
-        state.heard_s = time.monotonic()
+        state.last_received_at_s = time.monotonic()
         news = news_from_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
