--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -28,7 +28,7 @@
     ClaimWriteUncertain,
     ForwardRequest,
     ReadClaim,
-    RefuseRepeat,
+    RefuseRequest,
     ReplayResponse,
     RequestEnded,
     ReturnOutcome,
@@ -313,24 +313,24 @@
         case "done":
             return ReplayResponse(attempt, record.answer)
         case "ran":
-            return RefuseRepeat(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
+            return RefuseRequest(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
         case "claimed":
             # Its daemon may still be at work, or be gone.
-            return RefuseRepeat(
+            return RefuseRequest(
                 attempt,
                 ErrorCode.OUTCOME_UNKNOWN,
                 Ran.UNKNOWN,
                 _RETRY_IN_PROGRESS_S,
             )
-    return RefuseRepeat(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+    return RefuseRequest(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
 
 
-def _mismatch(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
+def _mismatch(attempt: str) -> RefuseRequest:
+    return RefuseRequest(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
 
 
-def _in_progress(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(
+def _in_progress(attempt: str) -> RefuseRequest:
+    return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_IN_PROGRESS,
         Ran.UNKNOWN,
@@ -338,8 +338,8 @@
     )
 
 
-def _unavailable(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(
+def _unavailable(attempt: str) -> RefuseRequest:
+    return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_UNAVAILABLE,
         Ran.NOT_RUN,
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -21,7 +21,7 @@
     "ForwardRequest",
     "StoredResponse",
     "ReadClaim",
-    "RefuseRepeat",
+    "RefuseRequest",
     "ReplayResponse",
     "RequestEnded",
     "WriteClaim",
@@ -174,7 +174,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RefuseRepeat:
+class RefuseRequest:
     """Action: refuse; `ran` speaks of the key's request so far."""
 
     attempt: str
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -12,7 +12,7 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
     ClaimRequested,
-    RefuseRepeat,
+    RefuseRequest,
     ReplayResponse,
     RequestEnded,
     StoredResponse,
@@ -64,7 +64,7 @@
             action = await self._claims.claim(event, req.deadline_s)
             if isinstance(action, ReplayResponse):
                 return _replay(action.answer)
-            if isinstance(action, RefuseRepeat):
+            if isinstance(action, RefuseRequest):
                 raise _refusal(action)
             return await self._run(req, call_next)
         except BaseException:
@@ -117,7 +117,7 @@
     )
 
 
-def _refusal(action: RefuseRepeat) -> Refusal:
+def _refusal(action: RefuseRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -24,7 +24,7 @@
     ClaimWriteUncertain,
     ForwardRequest,
     ReadClaim,
-    RefuseRepeat,
+    RefuseRequest,
     ReplayResponse,
     RequestEnded,
     ReturnOutcome,
@@ -72,9 +72,9 @@
         del self.steps[action.attempt]
         if isinstance(action, ReplayResponse):
             assert action.answer == self.answers[key]
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.NOT_RUN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.NOT_RUN:
             assert action.attempt not in self.ran
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.RAN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.RAN:
             assert self.runs[key] == 1
 
     @rule(
