--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -120,8 +120,8 @@
         return PoolState(
             pool=name,
             endpoints=sights,
-            least=pool.least,
-            budget=pool.budget,
+            min_endpoints=pool.least,
+            max_endpoints=pool.budget,
             target_load=pool.target_load,
             cheap_share=pool.cheap_share,
         )
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -36,16 +36,16 @@
     Attributes:
         pool: Its name.
         endpoints: What is there now.
-        least: Smallest number of endpoints.
-        budget: Largest number of endpoints, leaving ones included.
+        min_endpoints: Smallest number of endpoints.
+        max_endpoints: Largest number of endpoints, leaving ones included.
         target_load: Wanted share of the capacity in use, 0 to 1.
         cheap_share: Largest share of endpoints that may be cheap, 0 to 1.
     """
 
     pool: str
     endpoints: tuple[ObservedEndpoint, ...]
-    least: int
-    budget: int
+    min_endpoints: int
+    max_endpoints: int
     target_load: float
     cheap_share: float
 
@@ -111,7 +111,7 @@
         free = max(0, ORDERS_IN_FLIGHT - len(starting) - len(stopping))
         if count < wanted:
             self._low_since_s = None
-            room = demand.budget - len(demand.endpoints) - len(starting)
+            room = demand.max_endpoints - len(demand.endpoints) - len(starting)
             cheap_count = sum(s.cheap for s in staying) + sum(starting)
             return self._grow(
                 demand,
@@ -150,9 +150,9 @@
     load = sum(sight.load for sight in demand.endpoints)
     capacity = max((sight.capacity for sight in demand.endpoints), default=1)
     useful = capacity * demand.target_load
-    wanted = math.ceil(load / useful) if useful else demand.least
+    wanted = math.ceil(load / useful) if useful else demand.min_endpoints
     # Keeps an endpoint while half of its load is there, so that the count
     # doesn't swing between two values.
     if wanted == count - 1 and load > (wanted - _SPARE_LOAD) * useful:
         wanted = count
-    return min(demand.budget, max(demand.least, wanted))
+    return min(demand.max_endpoints, max(demand.min_endpoints, wanted))
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -73,8 +73,8 @@
         return PoolState(
             pool="p",
             endpoints=self.lists[0],
-            least=2,
-            budget=BUDGET,
+            min_endpoints=2,
+            max_endpoints=BUDGET,
             target_load=0.5,
             cheap_share=0.5,
         )
