--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -131,7 +131,7 @@
         sharing = _DAEMONS_EACH
         if self.run.policy.is_site_wide:
             sharing = len(self.run.daemons)
-        capacity = self.table.told_capacity([_POOL])
+        capacity = self.table.reported_capacity([_POOL])
         self.feed(PlacesChanged(places_for(capacity, sharing, MOST_PLACES)))
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -251,7 +251,7 @@
             if now_s < self._endpoints[endpoint_id].suspect_until_s
         }
 
-    def told_capacity(self, pools: Iterable[str]) -> int | None:
+    def reported_capacity(self, pools: Iterable[str]) -> int | None:
         """Returns what usable endpoints serve at one time, all together.
 
         None if there are none, or one of them doesn't tell.
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -223,7 +223,7 @@
         """Returns how many requests to have in service, by capacity."""
         routes = self.config.document.routes.values()
         return places_for(
-            self.table.told_capacity({route.pool for route in routes}),
+            self.table.reported_capacity({route.pool for route in routes}),
             1 + len(self.peers.live_peers()),
             self.cfg.limits.concurrent_requests,
         )
