--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -6,7 +6,7 @@
 
 from daisyhub.balancing import EndpointState
 from daisyhub.exceptions import ErrorCode
-from daisyhub.filters import Admit, Arrive, PlacesChanged, Shed
+from daisyhub.filters import Admit, PlacesChanged, RequestArrived, Shed
 
 __all__ = [
     "MOST_PLACES",
@@ -70,13 +70,13 @@
     def __init__(self, places: int):
         self.places = places
         self._in_service: set[str] = set()
-        self._queue: list[Arrive] = []
+        self._queue: list[RequestArrived] = []
 
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes the events of `AdmissionCore`."""
         if isinstance(event, PlacesChanged):
             self.places = event.places
-        elif isinstance(event, Arrive):
+        elif isinstance(event, RequestArrived):
             if len(self._queue) >= 2 * self.places:
                 return [Shed(event.request_id, ErrorCode.OVERLOADED, 1.0)]
             self._queue.append(event)
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -24,9 +24,9 @@
 from daisyhub.filters import (
     AdmissionCore,
     Admit,
-    Arrive,
     Depart,
     PlacesChanged,
+    RequestArrived,
     places_for,
 )
 from daisyhub.filters._forward_core import (
@@ -162,7 +162,7 @@
     def arrive(self) -> None:
         self.daemon.waiting[self.request_id] = self
         self.daemon.feed(
-            Arrive(
+            RequestArrived(
                 request_id=self.request_id,
                 account=f"account-{self.account}",
                 weight=1,
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -12,7 +12,7 @@
     processor_us,
 )
 from daisyhub.filters import AdmissionCore
-from daisyhub.filters._admission_core import Admit, Arrive, Depart
+from daisyhub.filters._admission_core import Admit, Depart, RequestArrived
 from daisyhub.hosting import (
     LeaseCore,
     LeaseRead,
@@ -177,8 +177,8 @@
     return memory_bytes(lambda: _decode(data))
 
 
-def _arrive(number: int, accounts: int) -> Arrive:
-    return Arrive(
+def _arrive(number: int, accounts: int) -> RequestArrived:
+    return RequestArrived(
         request_id=str(number),
         account=f"account-{number % accounts}",
         weight=1,
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -21,7 +21,7 @@
     "AdmissionCore",
     "AdmissionTick",
     "Admit",
-    "Arrive",
+    "RequestArrived",
     "Depart",
     "Leave",
     "PlacesChanged",
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Arrive:
+class RequestArrived:
     """A request arrived.
 
     Attributes:
@@ -125,7 +125,7 @@
     tokens: float
     refilled_s: float
     finish_tag: float = 0.0
-    queue: collections.OrderedDict[str, Arrive] = dataclasses.field(
+    queue: collections.OrderedDict[str, RequestArrived] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
 
@@ -186,7 +186,7 @@
         """Takes one admission event; returns `Admit` and `Shed` actions."""
         actions = self._shed_expired(now_s)
         match event:
-            case Arrive():
+            case RequestArrived():
                 return actions + self._on_arrive(event, now_s)
             case Depart():
                 return actions + self._on_depart(event)
@@ -200,7 +200,7 @@
                 return actions
         raise TypeError(f"not an admission event: {event!r}")
 
-    def _on_arrive(self, event: Arrive, now_s: float) -> list[object]:
+    def _on_arrive(self, event: RequestArrived, now_s: float) -> list[object]:
         self._forget_idle(now_s)
         account = self._account(event, now_s)
         if event.rate > 0 and account.tokens < _WHOLE_TOKEN:
@@ -217,7 +217,7 @@
             return []
         return [self._shed_most_overloaded()]
 
-    def _account(self, event: Arrive, now_s: float) -> _Account:
+    def _account(self, event: RequestArrived, now_s: float) -> _Account:
         """Returns the account, refilled, with the newest limits."""
         account = self._accounts.get(event.account)
         if account is None:
@@ -255,11 +255,11 @@
         turns = min(fair_turns, len(self._waiting) + 1)
         return turns * self._service_s / self._open_places
 
-    def _overloaded(self, event: Arrive, account: _Account) -> Shed:
+    def _overloaded(self, event: RequestArrived, account: _Account) -> Shed:
         wait_s = self._service_s + self._expected_wait_s(account)
         return _shed(event, ErrorCode.OVERLOADED, wait_s)
 
-    def _enqueue(self, account: _Account, event: Arrive) -> None:
+    def _enqueue(self, account: _Account, event: RequestArrived) -> None:
         if not account.queue:
             self._waiting_weight += account.weight
             start_tag = max(self._virtual_time, account.finish_tag)
@@ -269,7 +269,7 @@
         self._deadlines.set(event.request_id, event.deadline_s)
         self._note_overload(account)
 
-    def _remove_waiting(self, request_id: str) -> Arrive | None:
+    def _remove_waiting(self, request_id: str) -> RequestArrived | None:
         account = self._waiting.pop(request_id, None)
         if account is None:
             return None
@@ -353,7 +353,7 @@
             self._idle_checks.append(name)
 
 
-def _shed(event: Arrive, error: ErrorCode, wait_s: float) -> Shed:
+def _shed(event: RequestArrived, error: ErrorCode, wait_s: float) -> Shed:
     return Shed(event.request_id, error, max(_MIN_RETRY_S, wait_s))
 
 
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -15,10 +15,10 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Arrive,
     Depart,
     Leave,
     PlacesChanged,
+    RequestArrived,
     Shed,
 )
 from daisyhub.filters._stream_end import StreamEnd
@@ -96,7 +96,7 @@
         share = self._shares.share(
             req.account, account.requests_per_s, boot_time_s()
         )
-        event = Arrive(
+        event = RequestArrived(
             request_id=req.request_id,
             account=req.account,
             weight=account.weight,
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -19,10 +19,10 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Arrive,
     Depart,
     Leave,
     PlacesChanged,
+    RequestArrived,
     places_for,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -75,7 +75,7 @@
             return
         if arrival.deadline_s <= self.now_s:
             return
-        assert isinstance(event, Arrive), "refused before its deadline"
+        assert isinstance(event, RequestArrived), "refused before its deadline"
         patience_s = arrival.deadline_s - self.now_s
         if arrival is event and patience_s < 2 * NO_TIME_S:
             return
@@ -111,7 +111,7 @@
     def arrive(self, account, count, patience_s):
         for _ in range(count):
             self.number += 1
-            event = Arrive(
+            event = RequestArrived(
                 request_id=f"r{self.number}",
                 account=account,
                 weight=WEIGHTS[account],
@@ -221,7 +221,7 @@
     def test_idle_accounts_are_forgotten(self):
         core = AdmissionCore(PLACES)
         for number in range(10_000):
-            event = Arrive(
+            event = RequestArrived(
                 request_id=f"r{number}",
                 account=f"a{number}",
                 weight=1,
