--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -11,11 +11,11 @@
 from daisyhub.weights._sharing import share_engines
 from daisyhub.weights._stage_core import (
     AskReport,
+    EngineObservation,
     OrderAnswered,
     ReportFailed,
     ReportRead,
     SendOrder,
-    Sight,
     SightsTaken,
     StageCore,
     VersionNamed,
@@ -31,7 +31,7 @@
     "ReportFailed",
     "ReportRead",
     "SendOrder",
-    "Sight",
+    "EngineObservation",
     "SightsTaken",
     "StageCore",
     "VersionNamed",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -21,11 +21,11 @@
 from daisyhub.weights._sharing import share_engines
 from daisyhub.weights._stage_core import (
     AskReport,
+    EngineObservation,
     OrderAnswered,
     ReportFailed,
     ReportRead,
     SendOrder,
-    Sight,
     SightsTaken,
     StageCore,
     VersionNamed,
@@ -194,9 +194,9 @@
         )
         return LoadMode.FINISH if is_single else LoadMode.CONTINUE
 
-    def _sight(self, endpoint: Endpoint) -> Sight:
+    def _sight(self, endpoint: Endpoint) -> EngineObservation:
         entry = endpoint.entry
-        return Sight(
+        return EngineObservation(
             endpoint_id=entry.endpoint_id,
             incarnation=entry.incarnation,
             versions=entry.versions,
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -24,7 +24,7 @@
     "ReportFailed",
     "ReportRead",
     "SendOrder",
-    "Sight",
+    "EngineObservation",
     "SightsTaken",
     "StageCore",
     "VersionNamed",
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sight:
+class EngineObservation:
     """An engine as seen now.
 
     Attributes:
@@ -78,7 +78,7 @@
         mode: What becomes of open requests.
     """
 
-    engines: tuple[Sight, ...]
+    engines: tuple[EngineObservation, ...]
     mode: LoadMode
 
 
@@ -147,7 +147,7 @@
         is_asked: Whether a report is on its way.
     """
 
-    sight: Sight
+    sight: EngineObservation
     phase: _Phase = _Phase.IDLE
     since_s: float = -math.inf
     look_at_s: float = math.inf
@@ -307,7 +307,7 @@
         is_idle = engine.phase is _Phase.IDLE
         return is_idle and bool(self._missing(engine.sight))
 
-    def _missing(self, sight: Sight) -> str:
+    def _missing(self, sight: EngineObservation) -> str:
         """Returns the model whose weights are furthest behind, or empty."""
         behind = {
             model: version - sight.versions[model]
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -4,6 +4,7 @@
 
 from daisyhub.weights import (
     AskReport,
+    EngineObservation,
     EngineReport,
     LoadMode,
     OrderAnswered,
@@ -11,7 +12,6 @@
     ReportFailed,
     ReportRead,
     SendOrder,
-    Sight,
     SightsTaken,
     StageCore,
     VersionNamed,
@@ -22,7 +22,7 @@
 def sights(versions, runs=None, model=""):
     return SightsTaken(
         tuple(
-            Sight(
+            EngineObservation(
                 endpoint_id=e,
                 incarnation=1,
                 versions={"m": v},
@@ -99,7 +99,7 @@
     def test_a_restarted_engine_is_asked_for_its_count_again(self):
         core, _ = self.started({"a": 1}, share=1.0)
         core.handle(OrderAnswered("a", OrderOutcome.ACCEPTED), 0.1)
-        reborn = Sight("a", 2, {"m": 1}, 0)
+        reborn = EngineObservation("a", 2, {"m": 1}, 0)
         actions = core.handle(SightsTaken((reborn,), LoadMode.CONTINUE), 0.5)
         self.assertEqual(actions, [AskReport("a")])
 
