--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -24,9 +24,9 @@
 from daisyhub.filters import (
     AdmissionCore,
     Admit,
-    Depart,
     PlacesChanged,
     RequestArrived,
+    RequestDeparted,
     places_for,
 )
 from daisyhub.filters._forward_core import (
@@ -262,7 +262,7 @@
             )
         if self.admitted_s is not None:
             service_s = now_s - self.admitted_s
-            self.daemon.feed(Depart(self.request_id, service_s))
+            self.daemon.feed(RequestDeparted(self.request_id, service_s))
 
 
 class _Run:
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -12,7 +12,11 @@
     processor_us,
 )
 from daisyhub.filters import AdmissionCore
-from daisyhub.filters._admission_core import Admit, Depart, RequestArrived
+from daisyhub.filters._admission_core import (
+    Admit,
+    RequestArrived,
+    RequestDeparted,
+)
 from daisyhub.hosting import (
     LeaseCore,
     LeaseRead,
@@ -198,7 +202,7 @@
         actions = core.handle(_arrive(number, accounts), 0.0)
         admitted += [a.request_id for a in actions if isinstance(a, Admit)]
         if len(admitted) >= 1 and core.waiting > 100:
-            actions = core.handle(Depart(admitted.pop(0), 0.01), 0.0)
+            actions = core.handle(RequestDeparted(admitted.pop(0), 0.01), 0.0)
             admitted += [a.request_id for a in actions if isinstance(a, Admit)]
     return (time.process_time() - started_s) / count * _US_PER_S
 
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -22,7 +22,7 @@
     "AdmissionTick",
     "Admit",
     "RequestArrived",
-    "Depart",
+    "RequestDeparted",
     "Leave",
     "PlacesChanged",
     "Shed",
@@ -68,7 +68,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Depart:
+class RequestDeparted:
     """An admitted request ended after `service_s` seconds."""
 
     request_id: str
@@ -188,7 +188,7 @@
         match event:
             case RequestArrived():
                 return actions + self._on_arrive(event, now_s)
-            case Depart():
+            case RequestDeparted():
                 return actions + self._on_depart(event)
             case Leave():
                 self._remove_waiting(event.request_id)
@@ -313,7 +313,7 @@
         self._in_service.add(request_id)
         return Admit(request_id)
 
-    def _on_depart(self, event: Depart) -> list[object]:
+    def _on_depart(self, event: RequestDeparted) -> list[object]:
         if event.request_id not in self._in_service:
             return []
         self._in_service.remove(event.request_id)
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -15,10 +15,10 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Depart,
     Leave,
     PlacesChanged,
     RequestArrived,
+    RequestDeparted,
     Shed,
 )
 from daisyhub.filters._stream_end import StreamEnd
@@ -74,7 +74,7 @@
 
         def depart(_: bool = False) -> None:
             now_s = time.monotonic()
-            event = Depart(req.request_id, now_s - started_s)
+            event = RequestDeparted(req.request_id, now_s - started_s)
             self._perform(self._core.handle(event, now_s))
 
         try:
@@ -142,7 +142,7 @@
         verdict = self._verdicts.pop(req.request_id, None)
         event = Leave(req.request_id)
         if isinstance(verdict, Admit):
-            event = Depart(req.request_id, 0.0)
+            event = RequestDeparted(req.request_id, 0.0)
         self._perform(self._core.handle(event, now_s))
 
     def _perform(self, actions: list[object]) -> None:
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -19,10 +19,10 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Depart,
     Leave,
     PlacesChanged,
     RequestArrived,
+    RequestDeparted,
     places_for,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -132,7 +132,7 @@
                 return
             request_id = next(iter(self.in_service))
             del self.in_service[request_id]
-            self.feed(Depart(request_id, 0.05))
+            self.feed(RequestDeparted(request_id, 0.05))
 
     @rule(places=st.sampled_from([1, PLACES]))
     def change_places(self, places):
@@ -230,7 +230,7 @@
                 deadline_s=1e9,
             )
             core.handle(event, float(number))
-            core.handle(Depart(event.request_id, 0.01), float(number))
+            core.handle(RequestDeparted(event.request_id, 0.01), float(number))
         self.assertLess(core.known_accounts, 10)
 
     def test_places_follow_what_the_endpoints_can_serve(self):
