--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -12,11 +12,11 @@
 from daisyhub.weights._stage_core import (
     AskReport,
     EngineObservation,
+    EnginesObserved,
     OrderAnswered,
     ReportFailed,
     ReportRead,
     SendOrder,
-    SightsTaken,
     StageCore,
     VersionNamed,
 )
@@ -32,7 +32,7 @@
     "ReportRead",
     "SendOrder",
     "EngineObservation",
-    "SightsTaken",
+    "EnginesObserved",
     "StageCore",
     "VersionNamed",
     "VersionOrder",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -22,11 +22,11 @@
 from daisyhub.weights._stage_core import (
     AskReport,
     EngineObservation,
+    EnginesObserved,
     OrderAnswered,
     ReportFailed,
     ReportRead,
     SendOrder,
-    SightsTaken,
     StageCore,
     VersionNamed,
 )
@@ -168,7 +168,7 @@
                     self._handle(core, named)
             self._share(engines)
             sights = tuple(self._sight(endpoint) for endpoint in engines)
-            self._handle(core, SightsTaken(sights, self._mode()))
+            self._handle(core, EnginesObserved(sights, self._mode()))
 
     def _share(self, engines: list[Endpoint]) -> None:
         """Decides which engine of a pool serves which model."""
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -25,7 +25,7 @@
     "ReportRead",
     "SendOrder",
     "EngineObservation",
-    "SightsTaken",
+    "EnginesObserved",
     "StageCore",
     "VersionNamed",
 ]
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SightsTaken:
+class EnginesObserved:
     """The engines of a pool that may be ordered.
 
     Attributes:
@@ -192,7 +192,7 @@
             case VersionNamed():
                 known = self._named.get(event.model, 0)
                 self._named[event.model] = max(known, event.version)
-            case SightsTaken():
+            case EnginesObserved():
                 self._on_sights(event)
             case OrderAnswered():
                 self._on_answered(event, now_s)
@@ -204,7 +204,7 @@
                 raise TypeError(f"not a stage event: {event!r}")
         return self._look(now_s) + self._order(now_s)
 
-    def _on_sights(self, event: SightsTaken) -> None:
+    def _on_sights(self, event: EnginesObserved) -> None:
         self._mode = event.mode
         seen = {sight.endpoint_id: sight for sight in event.engines}
         for endpoint_id in [e for e in self._engines if e not in seen]:
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -6,13 +6,13 @@
     AskReport,
     EngineObservation,
     EngineReport,
+    EnginesObserved,
     LoadMode,
     OrderAnswered,
     OrderOutcome,
     ReportFailed,
     ReportRead,
     SendOrder,
-    SightsTaken,
     StageCore,
     VersionNamed,
     share_engines,
@@ -20,7 +20,7 @@
 
 
 def sights(versions, runs=None, model=""):
-    return SightsTaken(
+    return EnginesObserved(
         tuple(
             EngineObservation(
                 endpoint_id=e,
@@ -100,7 +100,9 @@
         core, _ = self.started({"a": 1}, share=1.0)
         core.handle(OrderAnswered("a", OrderOutcome.ACCEPTED), 0.1)
         reborn = EngineObservation("a", 2, {"m": 1}, 0)
-        actions = core.handle(SightsTaken((reborn,), LoadMode.CONTINUE), 0.5)
+        actions = core.handle(
+            EnginesObserved((reborn,), LoadMode.CONTINUE), 0.5
+        )
         self.assertEqual(actions, [AskReport("a")])
 
     def test_a_load_that_never_ends_keeps_no_other_waiting(self):
