--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -23,7 +23,7 @@
     "Admit",
     "RequestArrived",
     "RequestDeparted",
-    "Leave",
+    "RequestAbandoned",
     "PlacesChanged",
     "Shed",
     "places_for",
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leave:
+class RequestAbandoned:
     """A waiting request was given up by its caller."""
 
     request_id: str
@@ -190,7 +190,7 @@
                 return actions + self._on_arrive(event, now_s)
             case RequestDeparted():
                 return actions + self._on_depart(event)
-            case Leave():
+            case RequestAbandoned():
                 self._remove_waiting(event.request_id)
                 return actions
             case PlacesChanged():
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -15,8 +15,8 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Leave,
     PlacesChanged,
+    RequestAbandoned,
     RequestArrived,
     RequestDeparted,
     Shed,
@@ -140,7 +140,7 @@
         """Takes back a request whose caller went away while it waited."""
         now_s = time.monotonic()
         verdict = self._verdicts.pop(req.request_id, None)
-        event = Leave(req.request_id)
+        event = RequestAbandoned(req.request_id)
         if isinstance(verdict, Admit):
             event = RequestDeparted(req.request_id, 0.0)
         self._perform(self._core.handle(event, now_s))
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -19,8 +19,8 @@
     AdmissionCore,
     AdmissionTick,
     Admit,
-    Leave,
     PlacesChanged,
+    RequestAbandoned,
     RequestArrived,
     RequestDeparted,
     places_for,
@@ -145,7 +145,7 @@
         if nth < len(self.waiting):
             request_id = list(self.waiting)[nth]
             del self.waiting[request_id], self.open[request_id]
-            self.feed(Leave(request_id))
+            self.feed(RequestAbandoned(request_id))
 
     @rule(seconds=st.sampled_from([0.2, 3.5]))
     def pass_time(self, seconds):
