--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -10,9 +10,9 @@
 )
 from daisyhub.weights._sharing import share_engines
 from daisyhub.weights._stage_core import (
-    AskReport,
     EngineObservation,
     EnginesObserved,
+    FetchReport,
     OrderAnswered,
     ReportFailed,
     ReportRead,
@@ -22,7 +22,7 @@
 )
 
 __all__ = [
-    "AskReport",
+    "FetchReport",
     "EnginePort",
     "EngineReport",
     "LoadMode",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -20,9 +20,9 @@
 )
 from daisyhub.weights._sharing import share_engines
 from daisyhub.weights._stage_core import (
-    AskReport,
     EngineObservation,
     EnginesObserved,
+    FetchReport,
     OrderAnswered,
     ReportFailed,
     ReportRead,
@@ -208,7 +208,7 @@
         for action in core.handle(event, time.monotonic()):
             if isinstance(action, SendOrder):
                 self._tasks.start_soon(self._order, core, action)
-            elif isinstance(action, AskReport):
+            elif isinstance(action, FetchReport):
                 self._tasks.start_soon(self._report, core, action)
 
     async def _order(self, core: StageCore, action: SendOrder) -> None:
@@ -241,7 +241,7 @@
             self._duty.depose(f"{action.endpoint_id} saw a higher number")
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
-    async def _report(self, core: StageCore, action: AskReport) -> None:
+    async def _report(self, core: StageCore, action: FetchReport) -> None:
         endpoint = self._directory.get(action.endpoint_id)
         report = None
         if endpoint is not None:
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -19,7 +19,7 @@
 from daisyhub.weights._port import EngineReport, LoadMode, OrderOutcome
 
 __all__ = [
-    "AskReport",
+    "FetchReport",
     "OrderAnswered",
     "ReportFailed",
     "ReportRead",
@@ -117,7 +117,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskReport:
+class FetchReport:
     """Action: read an engine's report."""
 
     endpoint_id: str
@@ -187,7 +187,7 @@
         return engine is not None and engine.phase is not _Phase.IDLE
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one stage event; returns `SendOrder` and `AskReport`."""
+        """Takes one stage event; returns `SendOrder` and `FetchReport`."""
         match event:
             case VersionNamed():
                 known = self._named.get(event.model, 0)
@@ -330,7 +330,7 @@
             if engine.is_asked or now_s < engine.look_at_s:
                 continue
             engine.is_asked = True
-            asks.append(AskReport(endpoint_id))
+            asks.append(FetchReport(endpoint_id))
         return asks
 
     def _order(self, now_s: float) -> list[object]:
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -3,10 +3,10 @@
 import unittest
 
 from daisyhub.weights import (
-    AskReport,
     EngineObservation,
     EngineReport,
     EnginesObserved,
+    FetchReport,
     LoadMode,
     OrderAnswered,
     OrderOutcome,
@@ -49,7 +49,7 @@
         asks = core.handle(VersionNamed("m", 2), 0.0)
         orders = []
         for ask in asks:
-            self.assertIsInstance(ask, AskReport)
+            self.assertIsInstance(ask, FetchReport)
             orders += core.handle(
                 ReportRead(ask.endpoint_id, report(1, 0)), 0.0
             )
@@ -80,7 +80,7 @@
     def test_an_order_in_doubt_is_followed_up_before_it_is_repeated(self):
         core, orders = self.started({"a": 1}, share=1.0)
         (ask,) = core.handle(OrderAnswered("a", OrderOutcome.UNKNOWN), 0.1)
-        self.assertEqual(ask, AskReport("a"))
+        self.assertEqual(ask, FetchReport("a"))
         self.assertEqual(core.handle(ReportRead("a", report(1, 0)), 0.2), [])
         core.handle(sights({"a": 1}), 0.5)
         again = core.handle(ReportRead("a", report(1, 0)), 0.8)
@@ -103,7 +103,7 @@
         actions = core.handle(
             EnginesObserved((reborn,), LoadMode.CONTINUE), 0.5
         )
-        self.assertEqual(actions, [AskReport("a")])
+        self.assertEqual(actions, [FetchReport("a")])
 
     def test_a_load_that_never_ends_keeps_no_other_waiting(self):
         core, (order,) = self.started({"a": 1, "b": 1}, share=0.5)
