--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -6,7 +6,7 @@
 
 from daisyhub.balancing import EndpointState
 from daisyhub.exceptions import ErrorCode
-from daisyhub.filters import Admit, PlacesChanged, RequestArrived, Shed
+from daisyhub.filters import AdmitRequest, PlacesChanged, RequestArrived, Shed
 
 __all__ = [
     "MOST_PLACES",
@@ -90,7 +90,7 @@
                 actions.append(shed)
                 continue
             self._in_service.add(waiting.request_id)
-            actions.append(Admit(waiting.request_id))
+            actions.append(AdmitRequest(waiting.request_id))
         return actions
 
 
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -23,7 +23,7 @@
 from daisyhub.exceptions import Ran
 from daisyhub.filters import (
     AdmissionCore,
-    Admit,
+    AdmitRequest,
     PlacesChanged,
     RequestArrived,
     RequestDeparted,
@@ -138,7 +138,7 @@
     def feed(self, event: object) -> None:
         for action in self.admission.handle(event, self.run.clock.now_s):
             req = self.waiting.pop(action.request_id)
-            if isinstance(action, Admit):
+            if isinstance(action, AdmitRequest):
                 req.begin()
             else:
                 req.finish("refused")
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -13,7 +13,7 @@
 )
 from daisyhub.filters import AdmissionCore
 from daisyhub.filters._admission_core import (
-    Admit,
+    AdmitRequest,
     RequestArrived,
     RequestDeparted,
 )
@@ -200,10 +200,14 @@
     started_s = time.process_time()
     for number in range(count):
         actions = core.handle(_arrive(number, accounts), 0.0)
-        admitted += [a.request_id for a in actions if isinstance(a, Admit)]
+        admitted += [
+            a.request_id for a in actions if isinstance(a, AdmitRequest)
+        ]
         if len(admitted) >= 1 and core.waiting > 100:
             actions = core.handle(RequestDeparted(admitted.pop(0), 0.01), 0.0)
-            admitted += [a.request_id for a in actions if isinstance(a, Admit)]
+            admitted += [
+                a.request_id for a in actions if isinstance(a, AdmitRequest)
+            ]
     return (time.process_time() - started_s) / count * _US_PER_S
 
 
--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -4,7 +4,7 @@
 from daisyhub.filters._admission_core import (
     AdmissionCore,
     AdmissionTick,
-    Admit,
+    AdmitRequest,
     PlacesChanged,
     RequestAbandoned,
     RequestArrived,
@@ -63,7 +63,7 @@
     "PlacesChanged",
     "places_for",
     "AdmissionTick",
-    "Admit",
+    "AdmitRequest",
     "AdmitFilter",
     "RequestArrived",
     "AttemptAnswered",
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -20,7 +20,7 @@
 __all__ = [
     "AdmissionCore",
     "AdmissionTick",
-    "Admit",
+    "AdmitRequest",
     "RequestArrived",
     "RequestDeparted",
     "RequestAbandoned",
@@ -88,7 +88,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admit:
+class AdmitRequest:
     """Action: let the request go on."""
 
     request_id: str
@@ -183,7 +183,7 @@
         return len(self._accounts)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one admission event; returns `Admit` and `Shed` actions."""
+        """Takes one admission event; returns `AdmitRequest` and `Shed` actions."""
         actions = self._shed_expired(now_s)
         match event:
             case RequestArrived():
@@ -309,9 +309,9 @@
             actions.append(self._shed_waiting(first[1]))
         return actions
 
-    def _admit(self, request_id: str) -> Admit:
+    def _admit(self, request_id: str) -> AdmitRequest:
         self._in_service.add(request_id)
-        return Admit(request_id)
+        return AdmitRequest(request_id)
 
     def _on_depart(self, event: RequestDeparted) -> list[object]:
         if event.request_id not in self._in_service:
@@ -328,7 +328,7 @@
             actions.append(self._admit_next())
         return actions
 
-    def _admit_next(self) -> Admit:
+    def _admit_next(self) -> AdmitRequest:
         start_tag, name = self._start_tags.first()
         account = self._accounts[name]
         request_id = next(iter(account.queue))
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -14,7 +14,7 @@
 from daisyhub.filters._admission_core import (
     AdmissionCore,
     AdmissionTick,
-    Admit,
+    AdmitRequest,
     PlacesChanged,
     RequestAbandoned,
     RequestArrived,
@@ -141,7 +141,7 @@
         now_s = time.monotonic()
         verdict = self._verdicts.pop(req.request_id, None)
         event = RequestAbandoned(req.request_id)
-        if isinstance(verdict, Admit):
+        if isinstance(verdict, AdmitRequest):
             event = RequestDeparted(req.request_id, 0.0)
         self._perform(self._core.handle(event, now_s))
 
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -18,7 +18,7 @@
 from daisyhub.filters import (
     AdmissionCore,
     AdmissionTick,
-    Admit,
+    AdmitRequest,
     PlacesChanged,
     RequestAbandoned,
     RequestArrived,
@@ -58,7 +58,7 @@
             arrival = self.open.pop(action.request_id, None)
             assert arrival is not None, "two verdicts, or one for nobody"
             self.waiting.pop(action.request_id, None)
-            if isinstance(action, Admit):
+            if isinstance(action, AdmitRequest):
                 self.in_service[action.request_id] = arrival
                 self.count_service(arrival.account)
                 continue
