--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -25,7 +25,7 @@
     FetchReport,
     OrderAnswered,
     ReportFailed,
-    ReportRead,
+    ReportReceived,
     SendOrder,
     StageCore,
     VersionNamed,
@@ -250,4 +250,4 @@
             self._handle(core, ReportFailed(action.endpoint_id))
             return
         self._directory.record_versions(action.endpoint_id, report.versions)
-        self._handle(core, ReportRead(action.endpoint_id, report))
+        self._handle(core, ReportReceived(action.endpoint_id, report))
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -22,7 +22,7 @@
     "FetchReport",
     "OrderAnswered",
     "ReportFailed",
-    "ReportRead",
+    "ReportReceived",
     "SendOrder",
     "EngineObservation",
     "EnginesObserved",
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReportRead:
+class ReportReceived:
     """An engine reported."""
 
     endpoint_id: str
@@ -196,7 +196,7 @@
                 self._on_sights(event)
             case OrderAnswered():
                 self._on_answered(event, now_s)
-            case ReportRead():
+            case ReportReceived():
                 self._on_report(event, now_s)
             case ReportFailed():
                 self._on_report_failed(event, now_s)
@@ -246,7 +246,7 @@
         engine.since_s = now_s
         engine.look_at_s = now_s + _FIRST_LOOK_S
 
-    def _on_report(self, event: ReportRead, now_s: float) -> None:
+    def _on_report(self, event: ReportReceived, now_s: float) -> None:
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -11,7 +11,7 @@
     OrderAnswered,
     OrderOutcome,
     ReportFailed,
-    ReportRead,
+    ReportReceived,
     SendOrder,
     StageCore,
     VersionNamed,
@@ -51,7 +51,7 @@
         for ask in asks:
             self.assertIsInstance(ask, FetchReport)
             orders += core.handle(
-                ReportRead(ask.endpoint_id, report(1, 0)), 0.0
+                ReportReceived(ask.endpoint_id, report(1, 0)), 0.0
             )
         return core, [o for o in orders if isinstance(o, SendOrder)]
 
@@ -81,18 +81,20 @@
         core, orders = self.started({"a": 1}, share=1.0)
         (ask,) = core.handle(OrderAnswered("a", OrderOutcome.UNKNOWN), 0.1)
         self.assertEqual(ask, FetchReport("a"))
-        self.assertEqual(core.handle(ReportRead("a", report(1, 0)), 0.2), [])
+        self.assertEqual(
+            core.handle(ReportReceived("a", report(1, 0)), 0.2), []
+        )
         core.handle(sights({"a": 1}), 0.5)
-        again = core.handle(ReportRead("a", report(1, 0)), 0.8)
+        again = core.handle(ReportReceived("a", report(1, 0)), 0.8)
         self.assertEqual(again, orders)
         self.assertEqual(again[0].orders_taken, 0)
 
     def test_an_order_in_doubt_that_was_accepted_is_not_repeated(self):
         core, _ = self.started({"a": 1}, share=1.0)
         core.handle(OrderAnswered("a", OrderOutcome.UNKNOWN), 0.1)
-        core.handle(ReportRead("a", report(1, 1, busy=True)), 0.2)
+        core.handle(ReportReceived("a", report(1, 1, busy=True)), 0.2)
         self.assertTrue(core.is_loading("a"))
-        core.handle(ReportRead("a", report(2, 1)), 1.5)
+        core.handle(ReportReceived("a", report(2, 1)), 1.5)
         self.assertFalse(core.is_loading("a"))
         self.assertEqual(core.handle(sights({"a": 2}), 1.6), [])
 
