--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -6,7 +6,12 @@
 
 from daisyhub.balancing import EndpointState
 from daisyhub.exceptions import ErrorCode
-from daisyhub.filters import AdmitRequest, PlacesChanged, RequestArrived, Shed
+from daisyhub.filters import (
+    AdmitRequest,
+    PlacesChanged,
+    RequestArrived,
+    ShedRequest,
+)
 
 __all__ = [
     "MOST_PLACES",
@@ -78,7 +83,9 @@
             self.places = event.places
         elif isinstance(event, RequestArrived):
             if len(self._queue) >= 2 * self.places:
-                return [Shed(event.request_id, ErrorCode.OVERLOADED, 1.0)]
+                return [
+                    ShedRequest(event.request_id, ErrorCode.OVERLOADED, 1.0)
+                ]
             self._queue.append(event)
         else:
             self._in_service.discard(event.request_id)
@@ -86,7 +93,9 @@
         while self._queue and len(self._in_service) < self.places:
             waiting = self._queue.pop(0)
             if waiting.deadline_s <= now_s:
-                shed = Shed(waiting.request_id, ErrorCode.OVERLOADED, 1.0)
+                shed = ShedRequest(
+                    waiting.request_id, ErrorCode.OVERLOADED, 1.0
+                )
                 actions.append(shed)
                 continue
             self._in_service.add(waiting.request_id)
--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -9,7 +9,7 @@
     RequestAbandoned,
     RequestArrived,
     RequestDeparted,
-    Shed,
+    ShedRequest,
     places_for,
 )
 from daisyhub.filters._admit import AdmitFilter
@@ -102,7 +102,7 @@
     "RetryBudget",
     "RouteFilter",
     "RouteTable",
-    "Shed",
+    "ShedRequest",
     "StartAttempt",
     "ValidateFilter",
     "WriteClaim",
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -25,7 +25,7 @@
     "RequestDeparted",
     "RequestAbandoned",
     "PlacesChanged",
-    "Shed",
+    "ShedRequest",
     "places_for",
 ]
 
@@ -95,7 +95,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shed:
+class ShedRequest:
     """Action: refuse the request now."""
 
     request_id: str
@@ -183,7 +183,7 @@
         return len(self._accounts)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one admission event; returns `AdmitRequest` and `Shed` actions."""
+        """Takes one admission event; returns `AdmitRequest` and `ShedRequest` actions."""
         actions = self._shed_expired(now_s)
         match event:
             case RequestArrived():
@@ -255,7 +255,9 @@
         turns = min(fair_turns, len(self._waiting) + 1)
         return turns * self._service_s / self._open_places
 
-    def _overloaded(self, event: RequestArrived, account: _Account) -> Shed:
+    def _overloaded(
+        self, event: RequestArrived, account: _Account
+    ) -> ShedRequest:
         wait_s = self._service_s + self._expected_wait_s(account)
         return _shed(event, ErrorCode.OVERLOADED, wait_s)
 
@@ -291,12 +293,12 @@
         waiting_by_weight = len(account.queue) / account.weight
         self._overload.set(account.name, -waiting_by_weight)
 
-    def _shed_most_overloaded(self) -> Shed:
+    def _shed_most_overloaded(self) -> ShedRequest:
         """Refuses the newest request of the account furthest over share."""
         account = self._accounts[self._overload.first()[1]]
         return self._shed_waiting(next(reversed(account.queue)))
 
-    def _shed_waiting(self, request_id: str) -> Shed:
+    def _shed_waiting(self, request_id: str) -> ShedRequest:
         """Refuses a waiting request and gives its token back."""
         account = self._waiting[request_id]
         event = self._remove_waiting(request_id)
@@ -353,8 +355,10 @@
             self._idle_checks.append(name)
 
 
-def _shed(event: RequestArrived, error: ErrorCode, wait_s: float) -> Shed:
-    return Shed(event.request_id, error, max(_MIN_RETRY_S, wait_s))
+def _shed(
+    event: RequestArrived, error: ErrorCode, wait_s: float
+) -> ShedRequest:
+    return ShedRequest(event.request_id, error, max(_MIN_RETRY_S, wait_s))
 
 
 def places_for(capacity: int | None, daemons: int, most: int) -> int:
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -19,7 +19,7 @@
     RequestAbandoned,
     RequestArrived,
     RequestDeparted,
-    Shed,
+    ShedRequest,
 )
 from daisyhub.filters._stream_end import StreamEnd
 from daisyhub.messages import Request, Response
@@ -64,7 +64,7 @@
     async def handle(self, req: Request, call_next: Handler) -> Response:
         """Waits for a place, serves, and gives the place back at the end."""
         verdict = await self._wait_for_verdict(req)
-        if isinstance(verdict, Shed):
+        if isinstance(verdict, ShedRequest):
             raise Refusal(
                 verdict.error,
                 _DETAILS[verdict.error.label],
