--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -16,8 +16,8 @@
     EngineReport,
     LoadMode,
     OrderOutcome,
-    VersionNamed,
     VersionOrder,
+    VersionPublished,
     VersionReader,
 )
 
@@ -62,13 +62,13 @@
 
     kind = "versions"
 
-    def read(self, found: StoredObject) -> VersionNamed:
+    def read(self, found: StoredObject) -> VersionPublished:
         """Returns what an object names; see `VersionReader.read`."""
         try:
             named = msgspec.json.decode(found.spec, type=_Named)
         except msgspec.DecodeError as exc:
             raise ValueError(str(exc)) from exc
-        return VersionNamed(named.model, named.version)
+        return VersionPublished(named.model, named.version)
 
 
 class PlatformEnginePort(EnginePort):
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -18,7 +18,7 @@
     ReportReceived,
     SendOrder,
     StageCore,
-    VersionNamed,
+    VersionPublished,
 )
 
 __all__ = [
@@ -34,7 +34,7 @@
     "EngineObservation",
     "EnginesObserved",
     "StageCore",
-    "VersionNamed",
+    "VersionPublished",
     "VersionOrder",
     "VersionReader",
     "WeightStager",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -28,7 +28,7 @@
     ReportReceived,
     SendOrder,
     StageCore,
-    VersionNamed,
+    VersionPublished,
 )
 
 __all__ = ["VersionReader", "WeightStager"]
@@ -46,7 +46,7 @@
     kind: str
 
     @abc.abstractmethod
-    def read(self, found: StoredObject) -> VersionNamed:
+    def read(self, found: StoredObject) -> VersionPublished:
         """Returns what an object names.
 
         Raises:
@@ -99,7 +99,7 @@
         self._loads_share = loads_share
         self._log = log
         self._cores: dict[str, StageCore] = {}
-        self._named: dict[str, VersionNamed] = {}
+        self._named: dict[str, VersionPublished] = {}
         self._serves: dict[str, str] = {}
         self._tasks = None
 
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -27,7 +27,7 @@
     "EngineObservation",
     "EnginesObserved",
     "StageCore",
-    "VersionNamed",
+    "VersionPublished",
 ]
 
 # Seconds from an accepted order until its load may be over, and between looks
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionNamed:
+class VersionPublished:
     """A trainer named a version."""
 
     model: str
@@ -189,7 +189,7 @@
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes one stage event; returns `SendOrder` and `FetchReport`."""
         match event:
-            case VersionNamed():
+            case VersionPublished():
                 known = self._named.get(event.model, 0)
                 self._named[event.model] = max(known, event.version)
             case EnginesObserved():
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -14,7 +14,7 @@
     ReportReceived,
     SendOrder,
     StageCore,
-    VersionNamed,
+    VersionPublished,
     share_engines,
 )
 
@@ -46,7 +46,7 @@
         """A core whose engines reported their counts of orders."""
         core = StageCore(share)
         core.handle(sights(versions, runs), 0.0)
-        asks = core.handle(VersionNamed("m", 2), 0.0)
+        asks = core.handle(VersionPublished("m", 2), 0.0)
         orders = []
         for ask in asks:
             self.assertIsInstance(ask, FetchReport)
@@ -121,12 +121,12 @@
     def test_an_engine_of_one_model_loads_no_other(self):
         core = StageCore(1.0)
         core.handle(sights({"a": 1}, model="other"), 0.0)
-        self.assertEqual(core.handle(VersionNamed("m", 2), 0.0), [])
+        self.assertEqual(core.handle(VersionPublished("m", 2), 0.0), [])
 
     def test_a_newer_version_named_meanwhile_is_loaded_next(self):
         core, _ = self.started({"a": 1}, share=1.0)
         core.handle(OrderAnswered("a", OrderOutcome.ACCEPTED), 0.1)
-        core.handle(VersionNamed("m", 3), 0.2)
+        core.handle(VersionPublished("m", 3), 0.2)
         (order,) = core.handle(sights({"a": 2}), 1.0)
         self.assertEqual((order.version, order.orders_taken), (3, 1))
 
