--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -8,7 +8,7 @@
 from daisyhub.exceptions import ErrorCode
 from daisyhub.filters import (
     AdmitRequest,
-    PlacesChanged,
+    ConcurrencyLimitChanged,
     RequestArrived,
     ShedRequest,
 )
@@ -79,7 +79,7 @@
 
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes the events of `AdmissionCore`."""
-        if isinstance(event, PlacesChanged):
+        if isinstance(event, ConcurrencyLimitChanged):
             self.places = event.places
         elif isinstance(event, RequestArrived):
             if len(self._queue) >= 2 * self.places:
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -24,7 +24,7 @@
 from daisyhub.filters import (
     AdmissionCore,
     AdmitRequest,
-    PlacesChanged,
+    ConcurrencyLimitChanged,
     RequestArrived,
     RequestDeparted,
     places_for,
@@ -132,7 +132,9 @@
         if self.run.policy.is_site_wide:
             sharing = len(self.run.daemons)
         capacity = self.table.reported_capacity([_POOL])
-        self.feed(PlacesChanged(places_for(capacity, sharing, MOST_PLACES)))
+        self.feed(
+            ConcurrencyLimitChanged(places_for(capacity, sharing, MOST_PLACES))
+        )
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
     def feed(self, event: object) -> None:
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -24,7 +24,7 @@
     "RequestArrived",
     "RequestDeparted",
     "RequestAbandoned",
-    "PlacesChanged",
+    "ConcurrencyLimitChanged",
     "ShedRequest",
     "places_for",
 ]
@@ -61,7 +61,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlacesChanged:
+class ConcurrencyLimitChanged:
     """The endpoints can serve more or fewer requests than before."""
 
     places: int
@@ -147,7 +147,7 @@
     Times are seconds on a monotonic clock.
 
     Args:
-        places: Most requests in service at one time; `PlacesChanged` lowers
+        places: Most requests in service at one time; `ConcurrencyLimitChanged` lowers
             and raises the number below it.
     """
 
@@ -193,7 +193,7 @@
             case RequestAbandoned():
                 self._remove_waiting(event.request_id)
                 return actions
-            case PlacesChanged():
+            case ConcurrencyLimitChanged():
                 self._open_places = min(event.places, self.places)
                 return actions + self._admit_waiting()
             case AdmissionTick():
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -15,7 +15,7 @@
     AdmissionCore,
     AdmissionTick,
     AdmitRequest,
-    PlacesChanged,
+    ConcurrencyLimitChanged,
     RequestAbandoned,
     RequestArrived,
     RequestDeparted,
@@ -125,7 +125,7 @@
         if self._get_places is None or now_s < self._places_at_s:
             return
         self._places_at_s = now_s + _PLACES_INTERVAL_S
-        event = PlacesChanged(self._get_places())
+        event = ConcurrencyLimitChanged(self._get_places())
         self._perform(self._core.handle(event, now_s))
 
     async def _wait_until_deadline(self, req: Request, waiter) -> None:
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -19,7 +19,7 @@
     AdmissionCore,
     AdmissionTick,
     AdmitRequest,
-    PlacesChanged,
+    ConcurrencyLimitChanged,
     RequestAbandoned,
     RequestArrived,
     RequestDeparted,
@@ -138,7 +138,7 @@
     def change_places(self, places):
         self.places = places
         self.room = max(self.room, len(self.waiting))
-        self.feed(PlacesChanged(places))
+        self.feed(ConcurrencyLimitChanged(places))
 
     @rule(nth=st.integers(0, ROOM))
     def give_up(self, nth):
