--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -72,7 +72,7 @@
 from daisyhub.platform._store import PlatformStore
 from daisyhub.platform._wire import PlatformCallerWire, PlatformEndpointWire
 from daisyhub.serving import HttpServer, OperatorsApp
-from daisyhub.weights import WeightStager
+from daisyhub.weights import WeightLoadController
 
 __all__ = ["FleetDaemon"]
 
@@ -252,7 +252,7 @@
             status_s=self.cfg.status_s,
         )
         self.holder = LotHolder(self.rollouts, tools)
-        self.weights = WeightStager(
+        self.weights = WeightLoadController(
             self.rollouts,
             self.cfg.daemon_id,
             self.store,
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,6 +1,6 @@
 """New weight versions, brought to engines in stages."""
 
-from daisyhub.weights._controller import VersionReader, WeightStager
+from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._port import (
     EnginePort,
     EngineReport,
@@ -37,6 +37,6 @@
     "VersionPublished",
     "VersionOrder",
     "VersionReader",
-    "WeightStager",
+    "WeightLoadController",
     "share_engines",
 ]
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -31,7 +31,7 @@
     VersionPublished,
 )
 
-__all__ = ["VersionReader", "WeightStager"]
+__all__ = ["VersionReader", "WeightLoadController"]
 
 # Seconds between looks at the engines.
 _TICK_S = 0.1
@@ -54,7 +54,7 @@
         """
 
 
-class WeightStager(DutyBoundController):
+class WeightLoadController(DutyBoundController):
     """Orders engines to load what trainers name.
 
     Args:
