--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -27,7 +27,7 @@
     ConcurrencyLimitChanged,
     RequestArrived,
     RequestDeparted,
-    places_for,
+    compute_concurrency_limit,
 )
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
@@ -133,7 +133,9 @@
             sharing = len(self.run.daemons)
         capacity = self.table.reported_capacity([_POOL])
         self.feed(
-            ConcurrencyLimitChanged(places_for(capacity, sharing, MOST_PLACES))
+            ConcurrencyLimitChanged(
+                compute_concurrency_limit(capacity, sharing, MOST_PLACES)
+            )
         )
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -37,7 +37,7 @@
     RouteFilter,
     ValidateFilter,
     build_chain,
-    places_for,
+    compute_concurrency_limit,
 )
 from daisyhub.hosting import LeaseFactory, PlatformClient, rank_candidates
 from daisyhub.identity import KeyTable
@@ -222,7 +222,7 @@
     def _places(self) -> int:
         """Returns how many requests to have in service, by capacity."""
         routes = self.config.document.routes.values()
-        return places_for(
+        return compute_concurrency_limit(
             self.table.reported_capacity({route.pool for route in routes}),
             1 + len(self.peers.live_peers()),
             self.cfg.limits.concurrent_requests,
--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -10,7 +10,7 @@
     RequestArrived,
     RequestDeparted,
     ShedRequest,
-    places_for,
+    compute_concurrency_limit,
 )
 from daisyhub.filters._admit import AdmitFilter
 from daisyhub.filters._attempts import Outcome, run_attempts
@@ -61,7 +61,7 @@
     "AdmissionCore",
     "Outcome",
     "ConcurrencyLimitChanged",
-    "places_for",
+    "compute_concurrency_limit",
     "AdmissionTick",
     "AdmitRequest",
     "AdmitFilter",
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -26,7 +26,7 @@
     "RequestAbandoned",
     "ConcurrencyLimitChanged",
     "ShedRequest",
-    "places_for",
+    "compute_concurrency_limit",
 ]
 
 _PLACES_PER_CAPACITY = 2
@@ -361,7 +361,9 @@
     return ShedRequest(event.request_id, error, max(_MIN_RETRY_S, wait_s))
 
 
-def places_for(capacity: int | None, daemons: int, most: int) -> int:
+def compute_concurrency_limit(
+    capacity: int | None, daemons: int, most: int
+) -> int:
     """Returns how many requests one daemon should have in service.
 
     With more places than the endpoints work on at one time, queues form in
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -23,7 +23,7 @@
     RequestAbandoned,
     RequestArrived,
     RequestDeparted,
-    places_for,
+    compute_concurrency_limit,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -234,7 +234,7 @@
         self.assertLess(core.known_accounts, 10)
 
     def test_places_follow_what_the_endpoints_can_serve(self):
-        self.assertEqual(places_for(None, 2, 512), 512)
-        self.assertEqual(places_for(4, 2, 512), 4)
-        self.assertEqual(places_for(4, 28, 512), 2)
-        self.assertEqual(places_for(10_000, 2, 512), 512)
+        self.assertEqual(compute_concurrency_limit(None, 2, 512), 512)
+        self.assertEqual(compute_concurrency_limit(4, 2, 512), 4)
+        self.assertEqual(compute_concurrency_limit(4, 28, 512), 2)
+        self.assertEqual(compute_concurrency_limit(10_000, 2, 512), 512)
