--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -17,8 +17,8 @@
     ReportFailed,
     ReportReceived,
     SendOrder,
-    StageCore,
     VersionPublished,
+    WeightLoadCore,
 )
 
 __all__ = [
@@ -33,7 +33,7 @@
     "SendOrder",
     "EngineObservation",
     "EnginesObserved",
-    "StageCore",
+    "WeightLoadCore",
     "VersionPublished",
     "VersionOrder",
     "VersionReader",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -27,8 +27,8 @@
     ReportFailed,
     ReportReceived,
     SendOrder,
-    StageCore,
     VersionPublished,
+    WeightLoadCore,
 )
 
 __all__ = ["VersionReader", "WeightLoadController"]
@@ -98,7 +98,7 @@
         self._demand = demand
         self._loads_share = loads_share
         self._log = log
-        self._cores: dict[str, StageCore] = {}
+        self._cores: dict[str, WeightLoadCore] = {}
         self._named: dict[str, VersionPublished] = {}
         self._serves: dict[str, str] = {}
         self._tasks = None
@@ -163,7 +163,7 @@
         for pool, engines in pools.items():
             core = self._cores.get(pool)
             if core is None:
-                core = self._cores[pool] = StageCore(self._loads_share)
+                core = self._cores[pool] = WeightLoadCore(self._loads_share)
                 for named in self._named.values():
                     self._handle(core, named)
             self._share(engines)
@@ -204,14 +204,14 @@
             model=self._serves.get(entry.endpoint_id, ""),
         )
 
-    def _handle(self, core: StageCore, event: object) -> None:
+    def _handle(self, core: WeightLoadCore, event: object) -> None:
         for action in core.handle(event, time.monotonic()):
             if isinstance(action, SendOrder):
                 self._tasks.start_soon(self._order, core, action)
             elif isinstance(action, FetchReport):
                 self._tasks.start_soon(self._report, core, action)
 
-    async def _order(self, core: StageCore, action: SendOrder) -> None:
+    async def _order(self, core: WeightLoadCore, action: SendOrder) -> None:
         """Sends an order; the number is read as the last step before."""
         endpoint = self._directory.get(action.endpoint_id)
         fencing = self._duty.fencing
@@ -241,7 +241,7 @@
             self._duty.depose(f"{action.endpoint_id} saw a higher number")
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
-    async def _report(self, core: StageCore, action: FetchReport) -> None:
+    async def _report(self, core: WeightLoadCore, action: FetchReport) -> None:
         endpoint = self._directory.get(action.endpoint_id)
         report = None
         if endpoint is not None:
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -26,7 +26,7 @@
     "SendOrder",
     "EngineObservation",
     "EnginesObserved",
-    "StageCore",
+    "WeightLoadCore",
     "VersionPublished",
 ]
 
@@ -158,7 +158,7 @@
     is_asked: bool = False
 
 
-class StageCore(Core):
+class WeightLoadCore(Core):
     """Decides about one pool's engines.
 
     Args:
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -13,8 +13,8 @@
     ReportFailed,
     ReportReceived,
     SendOrder,
-    StageCore,
     VersionPublished,
+    WeightLoadCore,
     share_engines,
 )
 
@@ -44,7 +44,7 @@
 class StageCoreTest(unittest.TestCase):
     def started(self, versions, runs=None, share=0.5):
         """A core whose engines reported their counts of orders."""
-        core = StageCore(share)
+        core = WeightLoadCore(share)
         core.handle(sights(versions, runs), 0.0)
         asks = core.handle(VersionPublished("m", 2), 0.0)
         orders = []
@@ -119,7 +119,7 @@
             self.assertNotEqual(other.endpoint_id, name)
 
     def test_an_engine_of_one_model_loads_no_other(self):
-        core = StageCore(1.0)
+        core = WeightLoadCore(1.0)
         core.handle(sights({"a": 1}, model="other"), 0.0)
         self.assertEqual(core.handle(VersionPublished("m", 2), 0.0), [])
 
