--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -32,10 +32,10 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
-    Begin,
     Deliver,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     ForwardTick,
     RetryBudget,
     StartAttempt,
@@ -188,7 +188,7 @@
             self.daemon.choose, idempotent=self.idempotent
         )
         self.core = ForwardCore(plan, choose, self.daemon.budget)
-        self.feed(Begin())
+        self.feed(ForwardStarted())
         if not self._is_over and self.core.next_wakeup_s is not None:
             tick_s = self.core.next_wakeup_s
             self.run.clock.at(tick_s, lambda: self.feed(ForwardTick()))
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -10,9 +10,9 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
-    Begin,
     Deliver,
     ForwardCore,
+    ForwardStarted,
     ForwardTick,
     GiveUp,
     StartAttempt,
@@ -47,7 +47,7 @@
     if core.plan.hedge_after_s > 0:
         return await _run_hedged(core, attempt)
     outcome = None
-    actions = core.handle(Begin(), time.monotonic())
+    actions = core.handle(ForwardStarted(), time.monotonic())
     while isinstance(actions[0], StartAttempt):
         outcome = await attempt(actions[0])
         actions = core.handle(outcome.event, time.monotonic())
@@ -64,7 +64,7 @@
         await send.send(await attempt(action))
 
     async with anyio.create_task_group() as tasks:
-        actions = core.handle(Begin(), time.monotonic())
+        actions = core.handle(ForwardStarted(), time.monotonic())
         while final is None:
             for action in actions:
                 if isinstance(action, StartAttempt):
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -16,7 +16,7 @@
 __all__ = [
     "AttemptAnswered",
     "AttemptFailed",
-    "Begin",
+    "ForwardStarted",
     "Deliver",
     "ForwardCore",
     "ForwardPlan",
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Begin:
+class ForwardStarted:
     """The request is ready to be sent."""
 
 
@@ -179,7 +179,7 @@
         if self._is_over:
             return []
         match event:
-            case Begin():
+            case ForwardStarted():
                 return self._on_begin(now_s)
             case AttemptAnswered():
                 self._is_over = True
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -19,10 +19,10 @@
 from daisyhub.filters import (
     AttemptAnswered,
     AttemptFailed,
-    Begin,
     Deliver,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     ForwardTick,
     GiveUp,
     RetryBudget,
@@ -118,7 +118,7 @@
             self.count += 1
             request = Request(self.core_class(plan, self.choose, self.budget))
             self.requests.append(request)
-            self.feed(request, Begin())
+            self.feed(request, ForwardStarted())
             if outcome and 1 in request.open:
                 self.end(request, 1, outcome)
 
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -5,9 +5,9 @@
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
     AttemptFailed,
-    Begin,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     GiveUp,
     RetryBudget,
     StartAttempt,
@@ -38,7 +38,7 @@
     def test_the_third_endpoint_is_tried_though_two_attempts_are_allowed(self):
         """Cut off, a daemon refused with a good endpoint beside it."""
         forward = core("abc", 2)
-        (action,) = forward.handle(Begin(), 0.0)
+        (action,) = forward.handle(ForwardStarted(), 0.0)
         for expected in "bc":
             (action,) = forward.handle(unsent(action), 0.0)
             self.assertIsInstance(action, StartAttempt)
@@ -46,7 +46,7 @@
 
     def test_it_ends_when_no_endpoint_can_be_reached(self):
         forward = core("abc", 5)
-        (action,) = forward.handle(Begin(), 0.0)
+        (action,) = forward.handle(ForwardStarted(), 0.0)
         tries = 1
         while isinstance(action, StartAttempt):
             (action,) = forward.handle(unsent(action), 0.0)
@@ -57,7 +57,7 @@
 
     def test_endpoints_that_refused_count_as_attempts(self):
         forward = core("abc", 2)
-        (action,) = forward.handle(Begin(), 0.0)
+        (action,) = forward.handle(ForwardStarted(), 0.0)
         (action,) = forward.handle(refused(action), 0.0)
         (action,) = forward.handle(refused(action), 0.0)
         self.assertIsInstance(action, GiveUp)
@@ -68,6 +68,6 @@
         while budget.take():
             pass
         forward = core("ab", 2, budget)
-        (action,) = forward.handle(Begin(), 0.0)
+        (action,) = forward.handle(ForwardStarted(), 0.0)
         (action,) = forward.handle(unsent(action), 0.0)
         self.assertEqual(action.endpoint_id, "b")
