--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -12,7 +12,7 @@
 from daisyhub.objects import StoredObject
 from daisyhub.settings import Address
 from daisyhub.weights import (
-    EnginePort,
+    EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
@@ -71,7 +71,7 @@
         return VersionPublished(named.model, named.version)
 
 
-class PlatformEnginePort(EnginePort):
+class PlatformEnginePort(EngineClient):
     """Talks to the platform's engines.
 
     Args:
@@ -86,7 +86,7 @@
     async def order(
         self, address: Address, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order; see `EnginePort.order`."""
+        """Gives an order; see `EngineClient.order`."""
         body = msgspec.json.encode(
             {
                 "op-type": "version",
@@ -117,7 +117,7 @@
         return _OUTCOMES.get(answer.status, OrderOutcome.UNKNOWN)
 
     async def report(self, address: Address) -> EngineReport | None:
-        """Returns an engine's report; see `EnginePort.report`."""
+        """Returns an engine's report; see `EngineClient.report`."""
         try:
             answer = await self._http.request(
                 "GET", address, "/v1/report", timeout_s=_TIMEOUT_S
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -2,7 +2,7 @@
 
 from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._port import (
-    EnginePort,
+    EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
@@ -23,7 +23,7 @@
 
 __all__ = [
     "FetchReport",
-    "EnginePort",
+    "EngineClient",
     "EngineReport",
     "LoadMode",
     "OrderAnswered",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -13,7 +13,7 @@
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import KindWatcher, ObjectStore, StoredObject
 from daisyhub.weights._port import (
-    EnginePort,
+    EngineClient,
     LoadMode,
     OrderOutcome,
     VersionOrder,
@@ -79,7 +79,7 @@
         holder: str,
         store: ObjectStore,
         reader: VersionReader,
-        port: EnginePort,
+        port: EngineClient,
         directory: EndpointDirectory,
         manifests: ManifestController,
         open_run_count: Callable[[str], int],
--- a/daisyhub/weights/_port.py
+++ b/daisyhub/weights/_port.py
@@ -7,7 +7,7 @@
 from daisyhub.settings import Address
 
 __all__ = [
-    "EnginePort",
+    "EngineClient",
     "EngineReport",
     "LoadMode",
     "OrderOutcome",
@@ -76,7 +76,7 @@
     running: int = 0
 
 
-class EnginePort(abc.ABC):
+class EngineClient(abc.ABC):
     """Talks to engines."""
 
     @abc.abstractmethod
