--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -32,7 +32,7 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardPlan,
     ForwardStarted,
@@ -199,7 +199,7 @@
         for action in self.core.handle(event, self.run.clock.now_s):
             if isinstance(action, StartAttempt):
                 self._send(action)
-            elif isinstance(action, Deliver):
+            elif isinstance(action, DeliverResponse):
                 self.finish("answered", self._open.pop(action.attempt))
             else:
                 kind = "failed" if action.ran is Ran.NOT_RUN else "unknown"
--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -40,7 +40,7 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardPlan,
     ForwardStarted,
@@ -81,7 +81,7 @@
     "ClaimStored",
     "ClaimTick",
     "ClaimWriteUncertain",
-    "Deliver",
+    "DeliverResponse",
     "RequestDeparted",
     "ForwardCore",
     "ForwardFilter",
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -10,7 +10,7 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardStarted,
     ForwardTick,
@@ -78,7 +78,9 @@
         tasks.cancel_scope.cancel()
     send.close()
     receive.close()
-    return outcomes[final.attempt] if isinstance(final, Deliver) else final
+    return (
+        outcomes[final.attempt] if isinstance(final, DeliverResponse) else final
+    )
 
 
 async def _next_event(core, receive, outcomes) -> object:
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -17,7 +17,7 @@
     "AttemptAnswered",
     "AttemptFailed",
     "ForwardStarted",
-    "Deliver",
+    "DeliverResponse",
     "ForwardCore",
     "ForwardPlan",
     "ForwardTick",
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Deliver:
+class DeliverResponse:
     """Action: hand over this attempt's answer; drop the others."""
 
     attempt: int
@@ -183,7 +183,7 @@
                 return self._on_begin(now_s)
             case AttemptAnswered():
                 self._is_over = True
-                return [Deliver(event.attempt)]
+                return [DeliverResponse(event.attempt)]
             case AttemptFailed():
                 return self._on_failed(event, now_s)
             case ForwardTick():
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -19,7 +19,7 @@
 from daisyhub.filters import (
     AttemptAnswered,
     AttemptFailed,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardPlan,
     ForwardStarted,
@@ -92,7 +92,7 @@
     def on_final(self, request, action):
         assert request.final is None
         request.final = action
-        if isinstance(action, Deliver):
+        if isinstance(action, DeliverResponse):
             return
         assert isinstance(action, GiveUp)
         if action.ran is Ran.NOT_RUN:
@@ -129,7 +129,7 @@
         del request.open[attempt]
         request.runs += 1
         self.feed(request, AttemptAnswered(attempt))
-        assert request.final == Deliver(attempt)
+        assert request.final == DeliverResponse(attempt)
 
     def fail(self, request, attempt, ran, truly):
         del request.open[attempt]
