--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -58,7 +58,7 @@
 from daisyhub.peers import PeerNetwork
 from daisyhub.platform._desk import PlatformDesk
 from daisyhub.platform._engines import (
-    PlatformEnginePort,
+    PlatformEngineClient,
     PlatformVersionReader,
 )
 from daisyhub.platform._lots_json import PlatformLotWire
@@ -257,7 +257,7 @@
             self.cfg.daemon_id,
             self.store,
             PlatformVersionReader(),
-            PlatformEnginePort(self.http, self.log),
+            PlatformEngineClient(self.http, self.log),
             self.directory,
             self.manifests,
             self.holder.open_run_count,
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -21,7 +21,7 @@
     VersionReader,
 )
 
-__all__ = ["PlatformEnginePort", "PlatformVersionReader"]
+__all__ = ["PlatformEngineClient", "PlatformVersionReader"]
 
 _OUTCOMES = {
     200: OrderOutcome.HOLDS,
@@ -71,7 +71,7 @@
         return VersionPublished(named.model, named.version)
 
 
-class PlatformEnginePort(EngineClient):
+class PlatformEngineClient(EngineClient):
     """Talks to the platform's engines.
 
     Args:
