--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -11,10 +11,10 @@
     AttemptAnswered,
     AttemptFailed,
     DeliverResponse,
+    FailRequest,
     ForwardCore,
     ForwardStarted,
     ForwardTick,
-    GiveUp,
     StartAttempt,
 )
 
@@ -34,7 +34,9 @@
 Attempt = Callable[[StartAttempt], Awaitable[Outcome]]
 
 
-async def run_attempts(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
+async def run_attempts(
+    core: ForwardCore, attempt: Attempt
+) -> Outcome | FailRequest:
     """Runs attempts until one is delivered or the core gives up.
 
     Args:
@@ -51,10 +53,12 @@
     while isinstance(actions[0], StartAttempt):
         outcome = await attempt(actions[0])
         actions = core.handle(outcome.event, time.monotonic())
-    return actions[0] if isinstance(actions[0], GiveUp) else outcome
+    return actions[0] if isinstance(actions[0], FailRequest) else outcome
 
 
-async def _run_hedged(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
+async def _run_hedged(
+    core: ForwardCore, attempt: Attempt
+) -> Outcome | FailRequest:
     """Runs attempts side by side; the first whole answer wins."""
     outcomes: dict[int, Outcome] = {}
     send, receive = anyio.create_memory_object_stream[Outcome](_MOST_WAITING)
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -23,9 +23,9 @@
 from daisyhub.filters._forward_core import (
     AttemptAnswered,
     AttemptFailed,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
@@ -87,7 +87,7 @@
         outcome = await run_attempts(
             core, lambda action: self._attempt(req, action)
         )
-        if isinstance(outcome, GiveUp):
+        if isinstance(outcome, FailRequest):
             raise _refusal(outcome)
         return _response(outcome.answer)
 
@@ -183,7 +183,7 @@
     )
 
 
-def _refusal(action: GiveUp) -> Refusal:
+def _refusal(action: FailRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -21,7 +21,7 @@
     "ForwardCore",
     "ForwardPlan",
     "ForwardTick",
-    "GiveUp",
+    "FailRequest",
     "RetryBudget",
     "StartAttempt",
 ]
@@ -129,7 +129,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class GiveUp:
+class FailRequest:
     """Action: refuse now."""
 
     error: ErrorCode
@@ -257,10 +257,10 @@
             return ErrorCode.ANSWER_INCOMPLETE
         return ErrorCode.ENDPOINT_FAILED
 
-    def _give_up(self, error: ErrorCode) -> GiveUp:
+    def _give_up(self, error: ErrorCode) -> FailRequest:
         self._is_over = True
         makes_sense = self.plan.idempotent or self._worst is Ran.NOT_RUN
-        return GiveUp(
+        return FailRequest(
             error=error,
             ran=self._worst,
             retry_after_s=_RETRY_AFTER_S if makes_sense else None,
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -20,11 +20,11 @@
     AttemptAnswered,
     AttemptFailed,
     DeliverResponse,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
     ForwardStarted,
     ForwardTick,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
@@ -94,7 +94,7 @@
         request.final = action
         if isinstance(action, DeliverResponse):
             return
-        assert isinstance(action, GiveUp)
+        assert isinstance(action, FailRequest)
         if action.ran is Ran.NOT_RUN:
             assert not request.runs, "refused as not run though it ran"
             assert not any(request.open.values())
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -19,9 +19,9 @@
 from daisyhub.filters import (
     AttemptAnswered,
     AttemptFailed,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
     Outcome,
     RetryBudget,
     StartAttempt,
@@ -162,7 +162,7 @@
         outcome = await run_attempts(
             core, lambda action: self._attempt(way, action)
         )
-        is_refused = isinstance(outcome, GiveUp)
+        is_refused = isinstance(outcome, FailRequest)
         self._log.note(
             "sent",
             id=task.request_id,
@@ -316,7 +316,7 @@
     )
 
 
-def _refusal(action: GiveUp, usual_s: float) -> Refusal:
+def _refusal(action: FailRequest, usual_s: float) -> Refusal:
     """Says that it did not run where that is certain."""
     error = action.error
     if action.ran is Ran.NOT_RUN:
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -5,10 +5,10 @@
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
     AttemptFailed,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
     ForwardStarted,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
@@ -51,7 +51,7 @@
         while isinstance(action, StartAttempt):
             (action,) = forward.handle(unsent(action), 0.0)
             tries += 1
-        self.assertIsInstance(action, GiveUp)
+        self.assertIsInstance(action, FailRequest)
         self.assertIs(action.ran, Ran.NOT_RUN)
         self.assertLessEqual(tries, 6)
 
@@ -60,7 +60,7 @@
         (action,) = forward.handle(ForwardStarted(), 0.0)
         (action,) = forward.handle(refused(action), 0.0)
         (action,) = forward.handle(refused(action), 0.0)
-        self.assertIsInstance(action, GiveUp)
+        self.assertIsInstance(action, FailRequest)
         self.assertIs(action.error, ErrorCode.ENDPOINT_FAILED)
 
     def test_they_take_nothing_from_the_budget(self):
