--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -8,7 +8,7 @@
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import share_engines
+from daisyhub.weights._sharing import assign_engines
 from daisyhub.weights._stage_core import (
     EngineObservation,
     EnginesObserved,
@@ -38,5 +38,5 @@
     "VersionOrder",
     "VersionReader",
     "WeightLoadController",
-    "share_engines",
+    "assign_engines",
 ]
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -18,7 +18,7 @@
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import share_engines
+from daisyhub.weights._sharing import assign_engines
 from daisyhub.weights._stage_core import (
     EngineObservation,
     EnginesObserved,
@@ -175,7 +175,7 @@
         models = {m for e in engines for m in e.entry.versions}
         demand = self._demand()
         ids = [endpoint.entry.endpoint_id for endpoint in engines]
-        shared = share_engines(
+        shared = assign_engines(
             ids,
             {model: demand.get(model, 1.0) for model in models},
             self._serves,
--- a/daisyhub/weights/tests/test_stage_core.py
+++ b/daisyhub/weights/tests/test_stage_core.py
@@ -15,7 +15,7 @@
     SendOrder,
     VersionPublished,
     WeightLoadCore,
-    share_engines,
+    assign_engines,
 )
 
 
@@ -133,22 +133,22 @@
 
 class ShareEnginesTest(unittest.TestCase):
     def test_shares_follow_the_demand_and_each_model_gets_one(self):
-        shared = share_engines("abcde", {"x": 1.0, "y": 3.0}, {})
+        shared = assign_engines("abcde", {"x": 1.0, "y": 3.0}, {})
         counts = [list(shared.values()).count(m) for m in "xy"]
         self.assertEqual(sum(counts), 5)
         self.assertGreaterEqual(counts[0], 1)
         self.assertGreater(counts[1], counts[0])
 
     def test_engines_keep_their_model(self):
-        earlier = share_engines("abcde", {"x": 1.0, "y": 1.0}, {})
-        again = share_engines("abcde", {"x": 1.1, "y": 0.9}, earlier)
+        earlier = assign_engines("abcde", {"x": 1.0, "y": 1.0}, {})
+        again = assign_engines("abcde", {"x": 1.1, "y": 0.9}, earlier)
         self.assertEqual(earlier, again)
-        fewer = share_engines("abce", {"x": 1.0, "y": 1.0}, earlier)
+        fewer = assign_engines("abce", {"x": 1.0, "y": 1.0}, earlier)
         moved = [e for e in fewer if fewer[e] != earlier[e]]
         self.assertLessEqual(len(moved), 1)
 
     def test_too_few_engines_serve_all_models(self):
-        self.assertEqual(share_engines("a", {"x": 1.0, "y": 1.0}, {}), {})
+        self.assertEqual(assign_engines("a", {"x": 1.0, "y": 1.0}, {}), {})
 
     def test_equal_demand_that_engines_do_not_divide_settles(self):
         # Found on a pool of 19: one model was short by 0.75 of an engine,
@@ -157,13 +157,13 @@
             ids = [f"e{n}" for n in range(engines)]
             for models in range(1, 9):
                 demand = {f"m{n}": 1.0 for n in range(models)}
-                shared = share_engines(ids, demand, {})
-                self.assertEqual(share_engines(ids, demand, shared), shared)
+                shared = assign_engines(ids, demand, {})
+                self.assertEqual(assign_engines(ids, demand, shared), shared)
 
     def test_it_ends_for_any_demand(self):
         for engines in range(1, 12):
             ids = [f"e{n}" for n in range(engines)]
             for weight in (0.0, 0.01, 1.0, 500.0):
                 demand = {"x": weight, "y": 1.0, "z": 2.0}
-                shared = share_engines(ids, demand, dict.fromkeys(ids, "x"))
+                shared = assign_engines(ids, demand, dict.fromkeys(ids, "x"))
                 self.assertIn(len(shared), (0, engines))
