--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -30,7 +30,7 @@
     compute_concurrency_limit,
 )
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     DeliverResponse,
     ForwardCore,
@@ -238,7 +238,7 @@
             capacity=self.run.site.service_slots,
         )
         self.daemon.table.apply_update(news)
-        self.feed(AttemptAnswered(attempt))
+        self.feed(AttemptCompleted(attempt))
 
     def _fail(self, attempt: int, ran: Ran) -> None:
         if self._is_over or attempt not in self._open:
--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -38,7 +38,7 @@
 )
 from daisyhub.filters._forward import ForwardFilter
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     DeliverResponse,
     FailRequest,
@@ -66,7 +66,7 @@
     "AdmitRequest",
     "AdmitFilter",
     "RequestArrived",
-    "AttemptAnswered",
+    "AttemptCompleted",
     "AttemptFailed",
     "ForwardStarted",
     "ClaimRequested",
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -8,7 +8,7 @@
 
 from daisyhub.connections import HttpAnswer, StreamedAnswer
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     DeliverResponse,
     FailRequest,
@@ -27,7 +27,7 @@
 class Outcome:
     """What an attempt brought: an event for the core, and the answer."""
 
-    event: AttemptAnswered | AttemptFailed
+    event: AttemptCompleted | AttemptFailed
     answer: HttpAnswer | StreamedAnswer | None = None
 
 
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -21,7 +21,7 @@
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._attempts import Outcome, run_attempts
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     FailRequest,
     ForwardCore,
@@ -130,7 +130,7 @@
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
             return _failed(action, Ran.NOT_RUN)
-        return Outcome(AttemptAnswered(action.attempt), answer)
+        return Outcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -14,7 +14,7 @@
 from daisyhub.exceptions import ErrorCode, Ran
 
 __all__ = [
-    "AttemptAnswered",
+    "AttemptCompleted",
     "AttemptFailed",
     "ForwardStarted",
     "DeliverResponse",
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AttemptAnswered:
+class AttemptCompleted:
     """An attempt brought the endpoint's answer."""
 
     attempt: int
@@ -181,7 +181,7 @@
         match event:
             case ForwardStarted():
                 return self._on_begin(now_s)
-            case AttemptAnswered():
+            case AttemptCompleted():
                 self._is_over = True
                 return [DeliverResponse(event.attempt)]
             case AttemptFailed():
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -17,7 +17,7 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     DeliverResponse,
     FailRequest,
@@ -128,7 +128,7 @@
             return
         del request.open[attempt]
         request.runs += 1
-        self.feed(request, AttemptAnswered(attempt))
+        self.feed(request, AttemptCompleted(attempt))
         assert request.final == DeliverResponse(attempt)
 
     def fail(self, request, attempt, ran, truly):
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -17,7 +17,7 @@
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
     FailRequest,
     ForwardCore,
@@ -255,7 +255,7 @@
                 self._directory.record_answered(endpoint_id, token, now_s)
             else:
                 self._directory.record_closed(endpoint_id, token)
-            return Outcome(AttemptAnswered(action.attempt), answer)
+            return Outcome(AttemptCompleted(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
