--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -24,7 +24,7 @@
 __all__ = ["PlatformEngineClient", "PlatformVersionReader"]
 
 _OUTCOMES = {
-    200: OrderOutcome.HOLDS,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.REFUSED,
     409: OrderOutcome.CONFLICT,
--- a/daisyhub/weights/_port.py
+++ b/daisyhub/weights/_port.py
@@ -26,7 +26,7 @@
     """What an engine said to an order."""
 
     ACCEPTED = "accepted"
-    HOLDS = "holds"
+    ALREADY_LOADED = "holds"
     CONFLICT = "conflict"
     DEPOSED = "deposed"
     OTHER_ENDPOINT = "other_endpoint"
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -229,7 +229,7 @@
             case OrderOutcome.ACCEPTED:
                 engine.orders_taken = (engine.orders_taken or 0) + 1
                 self._load(engine, now_s)
-            case OrderOutcome.HOLDS:
+            case OrderOutcome.ALREADY_LOADED:
                 _rest(engine)
                 held = {**engine.sight.versions, engine.model: engine.target}
                 engine.sight = dataclasses.replace(engine.sight, versions=held)
