--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -13,7 +13,7 @@
     compute_concurrency_limit,
 )
 from daisyhub.filters._admit import AdmitFilter
-from daisyhub.filters._attempts import Outcome, run_attempts
+from daisyhub.filters._attempts import AttemptOutcome, run_attempts
 from daisyhub.filters._chain import build_chain
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_core import ClaimCore
@@ -59,7 +59,7 @@
 __all__ = [
     "AccountFilter",
     "AdmissionCore",
-    "Outcome",
+    "AttemptOutcome",
     "ConcurrencyLimitChanged",
     "compute_concurrency_limit",
     "AdmissionTick",
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -18,25 +18,25 @@
     StartAttempt,
 )
 
-__all__ = ["Outcome", "run_attempts"]
+__all__ = ["AttemptOutcome", "run_attempts"]
 
 _MOST_WAITING = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptOutcome:
     """What an attempt brought: an event for the core, and the answer."""
 
     event: AttemptCompleted | AttemptFailed
     answer: HttpAnswer | StreamedAnswer | None = None
 
 
-Attempt = Callable[[StartAttempt], Awaitable[Outcome]]
+Attempt = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
 
 
 async def run_attempts(
     core: ForwardCore, attempt: Attempt
-) -> Outcome | FailRequest:
+) -> AttemptOutcome | FailRequest:
     """Runs attempts until one is delivered or the core gives up.
 
     Args:
@@ -58,10 +58,12 @@
 
 async def _run_hedged(
     core: ForwardCore, attempt: Attempt
-) -> Outcome | FailRequest:
+) -> AttemptOutcome | FailRequest:
     """Runs attempts side by side; the first whole answer wins."""
-    outcomes: dict[int, Outcome] = {}
-    send, receive = anyio.create_memory_object_stream[Outcome](_MOST_WAITING)
+    outcomes: dict[int, AttemptOutcome] = {}
+    send, receive = anyio.create_memory_object_stream[AttemptOutcome](
+        _MOST_WAITING
+    )
     final = None
 
     async def run(action: StartAttempt) -> None:
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -19,7 +19,7 @@
     StreamedAnswer,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
-from daisyhub.filters._attempts import Outcome, run_attempts
+from daisyhub.filters._attempts import AttemptOutcome, run_attempts
 from daisyhub.filters._forward_core import (
     AttemptCompleted,
     AttemptFailed,
@@ -99,7 +99,9 @@
 
         return choose
 
-    async def _attempt(self, req: Request, action: StartAttempt) -> Outcome:
+    async def _attempt(
+        self, req: Request, action: StartAttempt
+    ) -> AttemptOutcome:
         """Sends the request to one endpoint and takes its news."""
         state = self._table.get(action.endpoint_id)
         if state is None:
@@ -130,7 +132,7 @@
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
             return _failed(action, Ran.NOT_RUN)
-        return Outcome(AttemptCompleted(action.attempt), answer)
+        return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
@@ -172,8 +174,8 @@
     *,
     timed_out: bool = False,
     incomplete: bool = False,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -19,10 +19,10 @@
 from daisyhub.filters import (
     AttemptCompleted,
     AttemptFailed,
+    AttemptOutcome,
     FailRequest,
     ForwardCore,
     ForwardPlan,
-    Outcome,
     RetryBudget,
     StartAttempt,
     run_attempts,
@@ -179,7 +179,9 @@
             raise _refusal(outcome, usual_s)
         return _response(outcome.answer)
 
-    async def _attempt(self, way: "_Way", action: StartAttempt) -> Outcome:
+    async def _attempt(
+        self, way: "_Way", action: StartAttempt
+    ) -> AttemptOutcome:
         """Sends the request to one endpoint and takes its news."""
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
@@ -245,7 +247,7 @@
         action: StartAttempt,
         token: int,
         answer: HttpAnswer | StreamedAnswer,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
         read = self._wire.read_answer(answer.status, answer.headers)
@@ -255,7 +257,7 @@
                 self._directory.record_answered(endpoint_id, token, now_s)
             else:
                 self._directory.record_closed(endpoint_id, token)
-            return Outcome(AttemptCompleted(action.attempt), answer)
+            return AttemptOutcome(AttemptCompleted(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
@@ -304,8 +306,8 @@
     timed_out: bool = False,
     incomplete: bool = False,
     was_sent: bool = True,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
