--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -162,7 +162,7 @@
             fencing=fencing,
             outcome=outcome.value,
         )
-        if outcome is DeskOutcome.DEPOSED:
+        if outcome is DeskOutcome.STALE_FENCING:
             self._duty.depose("the platform saw a higher number")
         is_done = outcome is DeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
--- a/daisyhub/billing/_desk.py
+++ b/daisyhub/billing/_desk.py
@@ -10,7 +10,7 @@
     """What the platform said to a call."""
 
     DONE = "done"
-    DEPOSED = "deposed"
+    STALE_FENCING = "deposed"
     REFUSED = "refused"
     UNKNOWN = "unknown"
 
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -39,7 +39,9 @@
     ) -> DeskOutcome:
         """Reports a window; see `OrderDesk.report_usage`."""
         body = {"window-id": window, "counts": counts}
-        return await self._call("/usage", body, fencing, DeskOutcome.DEPOSED)
+        return await self._call(
+            "/usage", body, fencing, DeskOutcome.STALE_FENCING
+        )
 
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -28,7 +28,7 @@
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.REFUSED,
     409: OrderOutcome.CONFLICT,
-    412: OrderOutcome.DEPOSED,
+    412: OrderOutcome.STALE_FENCING,
     421: OrderOutcome.OTHER_ENDPOINT,
     503: OrderOutcome.REFUSED,
 }
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -237,7 +237,7 @@
             fencing=fencing,
             outcome=outcome.value,
         )
-        if outcome is OrderOutcome.DEPOSED:
+        if outcome is OrderOutcome.STALE_FENCING:
             self._duty.depose(f"{action.endpoint_id} saw a higher number")
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
--- a/daisyhub/weights/_port.py
+++ b/daisyhub/weights/_port.py
@@ -28,7 +28,7 @@
     ACCEPTED = "accepted"
     ALREADY_LOADED = "holds"
     CONFLICT = "conflict"
-    DEPOSED = "deposed"
+    STALE_FENCING = "deposed"
     OTHER_ENDPOINT = "other_endpoint"
     REFUSED = "refused"
     UNKNOWN = "unknown"
