--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -16,7 +16,7 @@
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.controllers._peers import PeerController
 from daisyhub.exceptions import PlatformUnavailableError
-from daisyhub.filters._forward import news_from_headers
+from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.hosting import (
     EndpointRecord,
     PlatformClient,
@@ -180,7 +180,7 @@
             self._http.forget(state.address)
             return
         state.last_received_at_s = time.monotonic()
-        news = news_from_headers(state, answer.headers)
+        news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
         self._table.apply_update(news)
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -8,7 +8,7 @@
 from daisyhub.balancing import EndpointState, EndpointTable
 from daisyhub.base import Balancer
 from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
-from daisyhub.filters._forward import news_from_headers
+from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import EngineAnswer, Generate, LotSpec
 
@@ -116,7 +116,7 @@
             self._table.record_done(
                 state.endpoint_id, failed=has_failed, now_s=time.monotonic()
             )
-        self._table.apply_update(news_from_headers(state, answer.headers))
+        self._table.apply_update(parse_endpoint_headers(state, answer.headers))
         return None if has_failed else _decode(answer)
 
 
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -34,7 +34,7 @@
 from daisyhub.metrics import Metrics
 from daisyhub.settings import LimitSettings
 
-__all__ = ["ForwardFilter", "news_from_headers"]
+__all__ = ["ForwardFilter", "parse_endpoint_headers"]
 
 _NOT_RUN_HEADER = (b"endpoint-ran", b"no")
 _DETAILS = {
@@ -127,7 +127,7 @@
             self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.apply_update(news_from_headers(state, answer.headers))
+        self._table.apply_update(parse_endpoint_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
@@ -227,7 +227,7 @@
     return default
 
 
-def news_from_headers(
+def parse_endpoint_headers(
     state: EndpointState, headers: tuple[Header, ...]
 ) -> EndpointUpdate:
     """Reads the news that an endpoint's answer carries in its headers."""
