--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -11,10 +11,10 @@
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
     DutyFound,
     DutyRecord,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -90,7 +90,7 @@
     def depose(self, reason: str) -> None:
         """Gives the duty up at once: a receiver refused its number."""
         self._log.note("duty_refused", duty=self.duty, reason=reason)
-        self._core.handle(DutyDeposed(), boot_time_s())
+        self._core.handle(FencingRejected(), boot_time_s())
         self._tell()
 
     async def run(self) -> None:
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -20,7 +20,7 @@
 __all__ = [
     "DutyCallFailed",
     "DutyCore",
-    "DutyDeposed",
+    "FencingRejected",
     "DutyFound",
     "DutyRecord",
     "DutyTick",
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutyDeposed:
+class FencingRejected:
     """A receiver refused the number: another daemon used a higher one."""
 
 
@@ -164,7 +164,7 @@
                 self._is_waiting = False
                 self._revision = None
                 self._paused_until_s = now_s + _FAILED_PAUSE_S
-            case DutyDeposed():
+            case FencingRejected():
                 self._on_deposed(now_s)
             case _:
                 raise TypeError(f"not a duty event: {event!r}")
--- a/daisyhub/duties/tests/test_proof_duties.py
+++ b/daisyhub/duties/tests/test_proof_duties.py
@@ -18,9 +18,9 @@
 from daisyhub.duties import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
     DutyFound,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -135,7 +135,7 @@
         if not fencing:
             return
         if self.is_checked and fencing < self.highest:
-            self.cores[number].handle(DutyDeposed(), self.now_s)
+            self.cores[number].handle(FencingRejected(), self.now_s)
             return
         self.highest = max(self.highest, fencing)
         known = self.holder_of.setdefault(fencing, number)
