--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -40,7 +40,7 @@
     def __init__(self):
         self._balance = _BUDGET_RESERVE
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Counts a first attempt."""
         self._balance = min(_BUDGET_RESERVE, self._balance + _BUDGET_SHARE)
 
@@ -193,7 +193,7 @@
     def _on_begin(self, now_s: float) -> list[object]:
         if now_s >= self.plan.deadline_s:
             return [self._give_up(ErrorCode.DEADLINE_EXCEEDED)]
-        self.budget.note_request()
+        self.budget.record_request()
         endpoint_id = self.choose(_NONE)
         if endpoint_id is None:
             return [self._give_up(ErrorCode.NO_ENDPOINT)]
