--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -163,7 +163,7 @@
             outcome=outcome.value,
         )
         if outcome is DeskOutcome.STALE_FENCING:
-            self._duty.depose("the platform saw a higher number")
+            self._duty.step_down("the platform saw a higher number")
         is_done = outcome is DeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
 
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -87,7 +87,7 @@
             "fencing": self.fencing,
         }
 
-    def depose(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Gives the duty up at once: a receiver refused its number."""
         self._log.note("duty_refused", duty=self.duty, reason=reason)
         self._core.handle(FencingRejected(), boot_time_s())
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -238,7 +238,7 @@
             outcome=outcome.value,
         )
         if outcome is OrderOutcome.STALE_FENCING:
-            self._duty.depose(f"{action.endpoint_id} saw a higher number")
+            self._duty.step_down(f"{action.endpoint_id} saw a higher number")
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
     async def _report(self, core: WeightLoadCore, action: FetchReport) -> None:
