--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -44,7 +44,7 @@
         """Counts a first attempt."""
         self._balance = min(_BUDGET_RESERVE, self._balance + _BUDGET_SHARE)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one retry out of the budget, or returns False."""
         if self._balance < 1:
             return False
@@ -232,7 +232,7 @@
         candidate = self.choose(frozenset(self._tried))
         if candidate is None and self._attempts < plan.max_attempts:
             candidate = self.choose(_NONE)
-        if candidate is None or not (is_free or self.budget.take()):
+        if candidate is None or not (is_free or self.budget.try_acquire()):
             return []
         return self._start(candidate, fresh=True)
 
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -217,7 +217,7 @@
 class BoundlessBudget(RetryBudget):
     """Broken: every retry is allowed."""
 
-    def take(self):
+    def try_acquire(self):
         return True
 
 
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -65,7 +65,7 @@
 
     def test_they_take_nothing_from_the_budget(self):
         budget = RetryBudget()
-        while budget.take():
+        while budget.try_acquire():
             pass
         forward = core("ab", 2, budget)
         (action,) = forward.handle(ForwardStarted(), 0.0)
