--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from daisyhub.billing._book import UsageBook
-from daisyhub.billing._desk import DeskOutcome, OrderDesk
+from daisyhub.billing._desk import DeskOutcome, OrderDeskClient
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
@@ -60,7 +60,7 @@
         book: UsageBook,
         live,
         store: ObjectStore,
-        desk: OrderDesk,
+        desk: OrderDeskClient,
         clock,
         window_s: float,
         late_s: float,
--- a/daisyhub/billing/_desk.py
+++ b/daisyhub/billing/_desk.py
@@ -3,7 +3,7 @@
 import abc
 import enum
 
-__all__ = ["DeskOutcome", "OrderDesk"]
+__all__ = ["DeskOutcome", "OrderDeskClient"]
 
 
 class DeskOutcome(enum.Enum):
@@ -15,7 +15,7 @@
     UNKNOWN = "unknown"
 
 
-class OrderDesk(abc.ABC):
+class OrderDeskClient(abc.ABC):
     """Calls the platform; each call names its sender and fencing number."""
 
     @abc.abstractmethod
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from daisyhub.billing import DeskOutcome, OrderDesk
+from daisyhub.billing import DeskOutcome, OrderDeskClient
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.logs import DecisionLog
@@ -16,7 +16,7 @@
 _TIMEOUT_S = 1.0
 
 
-class PlatformDesk(OrderDesk):
+class PlatformDesk(OrderDeskClient):
     """Calls the platform's `cloud-api`.
 
     Args:
@@ -37,7 +37,7 @@
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> DeskOutcome:
-        """Reports a window; see `OrderDesk.report_usage`."""
+        """Reports a window; see `OrderDeskClient.report_usage`."""
         body = {"window-id": window, "counts": counts}
         return await self._call(
             "/usage", body, fencing, DeskOutcome.STALE_FENCING
