--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -56,7 +56,7 @@
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
 from daisyhub.peers import PeerNetwork
-from daisyhub.platform._desk import PlatformDesk
+from daisyhub.platform._desk import PlatformOrderDeskClient
 from daisyhub.platform._engines import (
     PlatformEngineClient,
     PlatformVersionReader,
@@ -197,7 +197,7 @@
             self.book,
             self._live_incarnations,
             self.store,
-            PlatformDesk(
+            PlatformOrderDeskClient(
                 address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
             ),
             self.clock.now_s,
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -8,7 +8,7 @@
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 
-__all__ = ["PlatformDesk"]
+__all__ = ["PlatformOrderDeskClient"]
 
 _OK = 200
 _CONFLICT = 409
@@ -16,7 +16,7 @@
 _TIMEOUT_S = 1.0
 
 
-class PlatformDesk(OrderDeskClient):
+class PlatformOrderDeskClient(OrderDeskClient):
     """Calls the platform's `cloud-api`.
 
     Args:
