--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -2,7 +2,7 @@
 
 from daisyhub.billing._book import UsageBook
 from daisyhub.billing._controller import UsageReporter
-from daisyhub.billing._desk import DeskOutcome, OrderDeskClient
+from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
 from daisyhub.billing._meter import UsageMeter, WindowCounts
 from daisyhub.billing._window_core import (
     ReportWindow,
@@ -15,7 +15,7 @@
 )
 
 __all__ = [
-    "DeskOutcome",
+    "OrderDeskOutcome",
     "OrderDeskClient",
     "ReportWindow",
     "SealFailed",
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -4,7 +4,7 @@
 import msgspec
 
 from daisyhub.billing._book import UsageBook
-from daisyhub.billing._desk import DeskOutcome, OrderDeskClient
+from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
@@ -162,9 +162,9 @@
             fencing=fencing,
             outcome=outcome.value,
         )
-        if outcome is DeskOutcome.STALE_FENCING:
+        if outcome is OrderDeskOutcome.STALE_FENCING:
             self._duty.step_down("the platform saw a higher number")
-        is_done = outcome is DeskOutcome.DONE
+        is_done = outcome is OrderDeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
 
     async def _delete_old(self, window: int) -> None:
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from daisyhub.billing import DeskOutcome, OrderDeskClient
+from daisyhub.billing import OrderDeskClient, OrderDeskOutcome
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.logs import DecisionLog
@@ -36,25 +36,27 @@
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
-    ) -> DeskOutcome:
+    ) -> OrderDeskOutcome:
         """Reports a window; see `OrderDeskClient.report_usage`."""
         body = {"window-id": window, "counts": counts}
         return await self._call(
-            "/usage", body, fencing, DeskOutcome.STALE_FENCING
+            "/usage", body, fencing, OrderDeskOutcome.STALE_FENCING
         )
 
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
-    ) -> DeskOutcome:
+    ) -> OrderDeskOutcome:
         """Orders endpoints; a conflict here means that none are to be had."""
         body = {"service": pool, "zone": domain, "desired-count": count}
         if cheap:
             body["spot"] = True
-        return await self._call("/scale", body, fencing, DeskOutcome.REFUSED)
+        return await self._call(
+            "/scale", body, fencing, OrderDeskOutcome.REFUSED
+        )
 
     async def _call(
-        self, path: str, body: dict, fencing: int, on_conflict: DeskOutcome
-    ) -> DeskOutcome:
+        self, path: str, body: dict, fencing: int, on_conflict: OrderDeskOutcome
+    ) -> OrderDeskOutcome:
         headers = (
             (b"content-type", b"application/json"),
             (b"daisyhub-duty-holder", self._holder.encode()),
@@ -72,7 +74,15 @@
         except RequestFailedError as exc:
             self._log.note("desk_call_failed", path=path, reason=str(exc))
             is_sent = exc.ran is not Ran.NOT_RUN
-            return DeskOutcome.UNKNOWN if is_sent else DeskOutcome.REFUSED
+            return (
+                OrderDeskOutcome.UNKNOWN
+                if is_sent
+                else OrderDeskOutcome.REFUSED
+            )
         if answer.status == _CONFLICT:
             return on_conflict
-        return DeskOutcome.DONE if answer.status == _OK else DeskOutcome.REFUSED
+        return (
+            OrderDeskOutcome.DONE
+            if answer.status == _OK
+            else OrderDeskOutcome.REFUSED
+        )
