--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,6 +1,6 @@
 """Requests of client accounts, counted and reported by windows."""
 
-from daisyhub.billing._book import UsageBook
+from daisyhub.billing._book import UsageAggregator
 from daisyhub.billing._controller import UsageReporter
 from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
 from daisyhub.billing._meter import UsageMeter, WindowCounts
@@ -20,7 +20,7 @@
     "ReportWindow",
     "SealFailed",
     "SealWindow",
-    "UsageBook",
+    "UsageAggregator",
     "UsageMeter",
     "UsageReporter",
     "WindowCore",
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -3,7 +3,7 @@
 import anyio
 import msgspec
 
-from daisyhub.billing._book import UsageBook
+from daisyhub.billing._book import UsageAggregator
 from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
 from daisyhub.billing._window_core import (
     ReportWindow,
@@ -57,7 +57,7 @@
     def __init__(
         self,
         duty,
-        book: UsageBook,
+        book: UsageAggregator,
         live,
         store: ObjectStore,
         desk: OrderDeskClient,
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -9,7 +9,7 @@
 
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.base import Controller
-from daisyhub.billing import UsageBook, UsageMeter, UsageReporter
+from daisyhub.billing import UsageAggregator, UsageMeter, UsageReporter
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
@@ -158,7 +158,7 @@
             self._ping,
             self.log,
         )
-        self.book = UsageBook()
+        self.book = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
         self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
