--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -158,7 +158,7 @@
             self._ping,
             self.log,
         )
-        self.book = UsageAggregator()
+        self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
         self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
@@ -194,7 +194,7 @@
         self.retirements = Retirements(self.accounts, self.store, self.log)
         self.reporter = UsageReporter(
             self.accounts,
-            self.book,
+            self.usage_aggregator,
             self._live_incarnations,
             self.store,
             PlatformOrderDeskClient(
@@ -209,13 +209,15 @@
     def _live_incarnations(self) -> dict[str, int]:
         """Returns who counts; the own counts are brought up to date."""
         own = (self.cfg.daemon_id, self.incarnation)
-        self.book.note(*own, self.meter.snapshot(), self.meter.closed_before())
+        self.usage_aggregator.note(
+            *own, self.meter.snapshot(), self.meter.closed_before()
+        )
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
         return {**live, self.cfg.daemon_id: self.incarnation}
 
     def _note_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
-            self.book.note(
+            self.usage_aggregator.note(
                 envelope.sender,
                 envelope.incarnation,
                 message.usage,
