--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -72,17 +72,17 @@
 class FirstComeFirstServed:
     """One queue with the same bound; the plain baseline of admission."""
 
-    def __init__(self, places: int):
-        self.places = places
+    def __init__(self, concurrency_limit: int):
+        self.concurrency_limit = concurrency_limit
         self._in_service: set[str] = set()
         self._queue: list[RequestArrived] = []
 
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes the events of `AdmissionCore`."""
         if isinstance(event, ConcurrencyLimitChanged):
-            self.places = event.places
+            self.concurrency_limit = event.concurrency_limit
         elif isinstance(event, RequestArrived):
-            if len(self._queue) >= 2 * self.places:
+            if len(self._queue) >= 2 * self.concurrency_limit:
                 return [
                     ShedRequest(event.request_id, ErrorCode.OVERLOADED, 1.0)
                 ]
@@ -90,7 +90,7 @@
         else:
             self._in_service.discard(event.request_id)
         actions = []
-        while self._queue and len(self._in_service) < self.places:
+        while self._queue and len(self._in_service) < self.concurrency_limit:
             waiting = self._queue.pop(0)
             if waiting.deadline_s <= now_s:
                 shed = ShedRequest(
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -64,7 +64,7 @@
 class ConcurrencyLimitChanged:
     """The endpoints can serve more or fewer requests than before."""
 
-    places: int
+    concurrency_limit: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -151,9 +151,9 @@
             and raises the number below it.
     """
 
-    def __init__(self, places: int):
-        self.places = places
-        self._open_places = places
+    def __init__(self, concurrency_limit: int):
+        self.concurrency_limit = concurrency_limit
+        self._open_places = concurrency_limit
         self._accounts: dict[str, _Account] = {}
         self._idle_checks: collections.deque[str] = collections.deque()
         self._in_service: set[str] = set()
@@ -194,7 +194,9 @@
                 self._remove_waiting(event.request_id)
                 return actions
             case ConcurrencyLimitChanged():
-                self._open_places = min(event.places, self.places)
+                self._open_places = min(
+                    event.concurrency_limit, self.concurrency_limit
+                )
                 return actions + self._admit_waiting()
             case AdmissionTick():
                 return actions
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -49,7 +49,7 @@
         self.in_service = {}
         self.served_while = {}
         self.accepted = 0
-        self.places = PLACES
+        self.concurrency_limit = PLACES
         self.room = ROOM
 
     def feed(self, event):
@@ -82,7 +82,7 @@
         # The queues are full: the victim's queue exceeds its fair part.
         queued = [a.account for a in [*before, event]]
         weights = sum(WEIGHTS[name] for name in set(queued))
-        room = self.places * 2
+        room = self.concurrency_limit * 2
         share = room * WEIGHTS[arrival.account] / weights
         assert len(queued) > room, "refused though there is room"
         assert queued.count(arrival.account) > share, "shed within its share"
@@ -134,11 +134,11 @@
             del self.in_service[request_id]
             self.feed(RequestDeparted(request_id, 0.05))
 
-    @rule(places=st.sampled_from([1, PLACES]))
-    def change_places(self, places):
-        self.places = places
+    @rule(concurrency_limit=st.sampled_from([1, PLACES]))
+    def change_places(self, concurrency_limit):
+        self.concurrency_limit = concurrency_limit
         self.room = max(self.room, len(self.waiting))
-        self.feed(ConcurrencyLimitChanged(places))
+        self.feed(ConcurrencyLimitChanged(concurrency_limit))
 
     @rule(nth=st.integers(0, ROOM))
     def give_up(self, nth):
@@ -165,9 +165,13 @@
             return
         assert len(self.in_service) <= PLACES
         # After places were taken away, the queue may be longer for a while.
-        self.room = max(self.places * 2, min(self.room, len(self.waiting)))
+        self.room = max(
+            self.concurrency_limit * 2, min(self.room, len(self.waiting))
+        )
         assert self.core.waiting == len(self.waiting) <= self.room
-        assert not self.waiting or len(self.in_service) >= self.places
+        assert (
+            not self.waiting or len(self.in_service) >= self.concurrency_limit
+        )
         for arrival in self.waiting.values():
             assert arrival.deadline_s > self.now_s, "no answer in time"
         assert self.accepted <= BURST + 1e-9, "more than the account's rate"
