--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -97,21 +97,21 @@
         return actions
 
     def run(self, is_pulled: bool = True) -> "_LotRun":
-        waiting = self.feed(LotTick())
+        waiting_count = self.feed(LotTick())
         if is_pulled:
-            waiting += self._ask(())
-        while waiting:
-            action = waiting.pop(0)
+            waiting_count += self._ask(())
+        while waiting_count:
+            action = waiting_count.pop(0)
             match action:
                 case ReadState():
-                    waiting += self.feed(StateRead(LotState(), 0))
+                    waiting_count += self.feed(StateRead(LotState(), 0))
                 case Generate():
                     ready = SampleReceived(action.attempt, _answer())
-                    waiting += self.feed(ready)
+                    waiting_count += self.feed(ready)
                 case WriteState():
-                    waiting += self._commit(action)
+                    waiting_count += self._commit(action)
                 case DeliverGroups() if action.remaining:
-                    waiting += self._ask((action.pull_id,))
+                    waiting_count += self._ask((action.pull_id,))
         return self
 
     def _ask(self, acks: tuple[str, ...]) -> list[object]:
@@ -203,7 +203,7 @@
         admitted += [
             a.request_id for a in actions if isinstance(a, AdmitRequest)
         ]
-        if len(admitted) >= 1 and core.waiting > 100:
+        if len(admitted) >= 1 and core.waiting_count > 100:
             actions = core.handle(RequestDeparted(admitted.pop(0), 0.01), 0.0)
             admitted += [
                 a.request_id for a in actions if isinstance(a, AdmitRequest)
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -173,7 +173,7 @@
         return first[0] if first else None
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many requests wait."""
         return len(self._waiting)
 
