--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -168,7 +168,7 @@
         self.room = max(
             self.concurrency_limit * 2, min(self.room, len(self.waiting))
         )
-        assert self.core.waiting == len(self.waiting) <= self.room
+        assert self.core.waiting_count == len(self.waiting) <= self.room
         assert (
             not self.waiting or len(self.in_service) >= self.concurrency_limit
         )
