--- a/daisyhub/billing/_book.py
+++ b/daisyhub/billing/_book.py
@@ -27,7 +27,7 @@
     def __init__(self):
         self._pages: dict[tuple[str, int], _Page] = {}
 
-    def note(
+    def update(
         self,
         daemon_id: str,
         incarnation: int,
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -146,7 +146,7 @@
         """
         started_s = time.monotonic()
         pools = _choose_pools(task.route)
-        usual_s = self._directory.usual_s(task.route.name)
+        usual_s = self._directory.median_latency_s(task.route.name)
         plan = ForwardPlan(
             idempotent=task.route.idempotent,
             deadline_s=task.deadline_s,
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -209,7 +209,7 @@
     def _live_incarnations(self) -> dict[str, int]:
         """Returns who counts; the own counts are brought up to date."""
         own = (self.cfg.daemon_id, self.incarnation)
-        self.usage_aggregator.note(
+        self.usage_aggregator.update(
             *own, self.meter.snapshot(), self.meter.closed_before()
         )
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
@@ -217,7 +217,7 @@
 
     def _note_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
-            self.usage_aggregator.note(
+            self.usage_aggregator.update(
                 envelope.sender,
                 envelope.incarnation,
                 message.usage,
@@ -406,7 +406,7 @@
             )
             return
         known = self.directory.get(found.name)
-        self.directory.adopt(entry)
+        self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
             self.log.note(
                 "endpoint",
