--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,9 +1,9 @@
 """Requests of client accounts, counted and reported by windows."""
 
-from daisyhub.billing._book import UsageAggregator
 from daisyhub.billing._controller import UsageReporter
 from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
 from daisyhub.billing._meter import UsageMeter, WindowCounts
+from daisyhub.billing._usage_aggregator import UsageAggregator
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -3,8 +3,8 @@
 import anyio
 import msgspec
 
-from daisyhub.billing._book import UsageAggregator
 from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
+from daisyhub.billing._usage_aggregator import UsageAggregator
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
