--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -3,7 +3,10 @@
 import anyio
 import msgspec
 
-from daisyhub.billing._desk import OrderDeskClient, OrderDeskOutcome
+from daisyhub.billing._order_desk_client import (
+    OrderDeskClient,
+    OrderDeskOutcome,
+)
 from daisyhub.billing._usage_aggregator import UsageAggregator
 from daisyhub.billing._window_core import (
     ReportWindow,
