--- a/daisyhub/billing/_usage_aggregator.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from daisyhub.billing._meter import WindowCounts
+from daisyhub.billing._usage_meter import WindowCounts
 
 __all__ = ["UsageAggregator"]
 
