--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,7 +1,7 @@
 """New weight versions, brought to engines in stages."""
 
 from daisyhub.weights._controller import VersionReader, WeightLoadController
-from daisyhub.weights._port import (
+from daisyhub.weights._engine_client import (
     EngineClient,
     EngineReport,
     LoadMode,
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -12,7 +12,7 @@
 from daisyhub.duty_bound import DutyBoundController
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import KindWatcher, ObjectStore, StoredObject
-from daisyhub.weights._port import (
+from daisyhub.weights._engine_client import (
     EngineClient,
     LoadMode,
     OrderOutcome,
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_stage_core.py
@@ -16,7 +16,7 @@
 import math
 
 from daisyhub.base import Core
-from daisyhub.weights._port import EngineReport, LoadMode, OrderOutcome
+from daisyhub.weights._engine_client import EngineReport, LoadMode, OrderOutcome
 
 __all__ = [
     "FetchReport",
