--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -8,8 +8,7 @@
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import assign_engines
-from daisyhub.weights._stage_core import (
+from daisyhub.weights._load_core import (
     EngineObservation,
     EnginesObserved,
     FetchReport,
@@ -20,6 +19,7 @@
     VersionPublished,
     WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
     "FetchReport",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -18,8 +18,7 @@
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import assign_engines
-from daisyhub.weights._stage_core import (
+from daisyhub.weights._load_core import (
     EngineObservation,
     EnginesObserved,
     FetchReport,
@@ -30,6 +29,7 @@
     VersionPublished,
     WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = ["VersionReader", "WeightLoadController"]
 
