--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,5 +1,6 @@
 """New weight versions, brought to engines in stages."""
 
+from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._engine_client import (
     EngineClient,
@@ -19,7 +20,6 @@
     VersionPublished,
     WeightLoadCore,
 )
-from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
     "FetchReport",
