--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -97,21 +97,21 @@
         return actions
 
     def run(self, is_pulled: bool = True) -> "_LotRun":
-        waiting_count = self.feed(LotTick())
+        waiting = self.feed(LotTick())
         if is_pulled:
-            waiting_count += self._ask(())
-        while waiting_count:
-            action = waiting_count.pop(0)
+            waiting += self._ask(())
+        while waiting:
+            action = waiting.pop(0)
             match action:
                 case ReadState():
-                    waiting_count += self.feed(StateRead(LotState(), 0))
+                    waiting += self.feed(StateRead(LotState(), 0))
                 case Generate():
                     ready = SampleReceived(action.attempt, _answer())
-                    waiting_count += self.feed(ready)
+                    waiting += self.feed(ready)
                 case WriteState():
-                    waiting_count += self._commit(action)
+                    waiting += self._commit(action)
                 case DeliverGroups() if action.remaining:
-                    waiting_count += self._ask((action.pull_id,))
+                    waiting += self._ask((action.pull_id,))
         return self
 
     def _ask(self, acks: tuple[str, ...]) -> list[object]:
