--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -82,9 +82,9 @@
 class _RestartingSlots(SlotTable):
     """Plain baseline: a lost sample takes its whole group with it."""
 
-    def fail(self, attempt: int, now_s: float) -> None:
+    def fail_attempt(self, attempt: int, now_s: float) -> None:
         place = self.place_of(attempt)
-        super().fail(attempt, now_s)
+        super().fail_attempt(attempt, now_s)
         if place is None:
             return
         group = place[0]
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -125,7 +125,7 @@
             case SampleReceived():
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
-                self._slots.fail(event.attempt, now_s)
+                self._slots.fail_attempt(event.attempt, now_s)
             case (
                 PullRequested()
                 | OpenRequested()
@@ -209,7 +209,7 @@
             return []
         if not check_spans(event.answer):
             self.invalid_answers += 1
-            self._slots.fail(event.attempt, now_s)
+            self._slots.fail_attempt(event.attempt, now_s)
             return []
         answer = event.answer
         sample = Sample(
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -111,7 +111,7 @@
         """Returns the group and index of a running attempt."""
         return self._running.get(attempt)
 
-    def fail(self, attempt: int, now_s: float) -> None:
+    def fail_attempt(self, attempt: int, now_s: float) -> None:
         """Ends an attempt without a sample; tries again after a pause."""
         place = self._running.pop(attempt, None)
         slot = self._slot(*place) if place else None
