--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -83,7 +83,7 @@
     """Plain baseline: a lost sample takes its whole group with it."""
 
     def fail_attempt(self, attempt: int, now_s: float) -> None:
-        place = self.place_of(attempt)
+        place = self.slot_of(attempt)
         super().fail_attempt(attempt, now_s)
         if place is None:
             return
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -204,7 +204,7 @@
         self._must_read = True
 
     def _on_ready(self, event: SampleReceived, now_s: float) -> list[object]:
-        place = self._slots.place_of(event.attempt)
+        place = self._slots.slot_of(event.attempt)
         if place is None:
             return []
         if not check_spans(event.answer):
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -107,7 +107,7 @@
         self._missing[place[0]] -= 1
         return self._cancel_attempts(slot)
 
-    def place_of(self, attempt: int) -> tuple[int, int] | None:
+    def slot_of(self, attempt: int) -> tuple[int, int] | None:
         """Returns the group and index of a running attempt."""
         return self._running.get(attempt)
 
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -412,7 +412,7 @@
     """Broken: takes whatever spans an engine names."""
 
     def _on_ready(self, event, now_s):
-        place = self._slots.place_of(event.attempt)
+        place = self._slots.slot_of(event.attempt)
         spans = event.answer.spans or (Span(version=99, start=0, end=1),)
         if place is None:
             return []
