--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -94,7 +94,7 @@
             slot.sample = None
             self._missing[group] += 1
             self.dropped_samples += 1
-            self._try_later(group, index, now_s)
+            self._schedule_retry(group, index, now_s)
 
 
 class _GroupRestartingCore(LotCore):
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -119,7 +119,7 @@
             return
         slot.attempts.discard(attempt)
         if slot.sample is None and not slot.attempts:
-            self._try_later(*place, now_s)
+            self._schedule_retry(*place, now_s)
 
     def is_fresh(self, group: int, oldest_version: int, now_s: float) -> bool:
         """Whether a group is whole; drops its samples that are too old."""
@@ -130,7 +130,7 @@
                 slot.sample = None
                 self._missing[group] += 1
                 self.dropped_samples += 1
-                self._try_later(group, index, now_s)
+                self._schedule_retry(group, index, now_s)
         return self._missing.get(group) == 0
 
     def group(self, group: int) -> Group:
@@ -149,7 +149,7 @@
         slot.is_queued = True
         heapq.heappush(self._queue, (rank, group, index))
 
-    def _try_later(self, group: int, index: int, now_s: float) -> None:
+    def _schedule_retry(self, group: int, index: int, now_s: float) -> None:
         entry = (now_s + _RETRY_PAUSE_S, _RANK_REPEAT, group, index)
         heapq.heappush(self._later, entry)
 
