--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -92,7 +92,7 @@
             if slot.sample is None:
                 continue
             slot.sample = None
-            self._missing[group] += 1
+            self._missing_samples[group] += 1
             self.dropped_samples += 1
             self._schedule_retry(group, index, now_s)
 
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -35,7 +35,7 @@
         self.spec = spec
         self.dropped_samples = 0
         self._groups: dict[int, list[_Slot]] = {}
-        self._missing: dict[int, int] = {}
+        self._missing_samples: dict[int, int] = {}
         self._running: dict[int, tuple[int, int]] = {}
         self._queue: list[tuple[int, int, int]] = []
         self._later: list[tuple[float, int, int, int]] = []
@@ -55,7 +55,9 @@
     @property
     def whole_groups(self) -> list[int]:
         """Groups that have all samples, oldest first."""
-        return sorted(g for g, missing in self._missing.items() if not missing)
+        return sorted(
+            g for g, missing in self._missing_samples.items() if not missing
+        )
 
     def want(self, groups: Iterable[int], *, is_repeat: bool = False) -> None:
         """Generates what these groups miss; repeats go first."""
@@ -65,7 +67,7 @@
             if group in self._groups:
                 continue
             self._groups[group] = [_Slot() for _ in range(size)]
-            self._missing[group] = size
+            self._missing_samples[group] = size
             for index in range(size):
                 self._push(rank, group, index)
 
@@ -73,7 +75,7 @@
         """Drops groups with their samples and attempts."""
         cancelled = []
         for group in groups:
-            self._missing.pop(group, None)
+            self._missing_samples.pop(group, None)
             for slot in self._groups.pop(group, ()):
                 cancelled += self._cancel_attempts(slot)
         return cancelled
@@ -104,7 +106,7 @@
         slot.attempts.discard(attempt)
         slot.sample = sample
         slot.is_queued = False
-        self._missing[place[0]] -= 1
+        self._missing_samples[place[0]] -= 1
         return self._cancel_attempts(slot)
 
     def slot_of(self, attempt: int) -> tuple[int, int] | None:
@@ -128,10 +130,10 @@
                 continue
             if slot.sample.oldest_version < oldest_version:
                 slot.sample = None
-                self._missing[group] += 1
+                self._missing_samples[group] += 1
                 self.dropped_samples += 1
                 self._schedule_retry(group, index, now_s)
-        return self._missing.get(group) == 0
+        return self._missing_samples.get(group) == 0
 
     def group(self, group: int) -> Group:
         """Returns a whole group."""
@@ -163,7 +165,7 @@
     def _start_spares(self) -> list[Generate]:
         """Starts second attempts for groups that miss only a few samples."""
         started = []
-        for group, missing in sorted(self._missing.items()):
+        for group, missing in sorted(self._missing_samples.items()):
             if not 0 < missing <= self.spec.spare_samples:
                 continue
             for index, slot in enumerate(self._groups[group]):
