--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -23,19 +23,19 @@
 from daisyhub.exceptions import Ran
 from daisyhub.filters import (
     AdmissionCore,
-    Admit,
-    Arrive,
-    Depart,
-    PlacesChanged,
-    places_for,
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestArrived,
+    RequestDeparted,
+    compute_concurrency_limit,
 )
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
-    Begin,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     ForwardTick,
     RetryBudget,
     StartAttempt,
@@ -131,14 +131,18 @@
         sharing = _DAEMONS_EACH
         if self.run.policy.is_site_wide:
             sharing = len(self.run.daemons)
-        capacity = self.table.told_capacity([_POOL])
-        self.feed(PlacesChanged(places_for(capacity, sharing, MOST_PLACES)))
+        capacity = self.table.reported_capacity([_POOL])
+        self.feed(
+            ConcurrencyLimitChanged(
+                compute_concurrency_limit(capacity, sharing, MOST_PLACES)
+            )
+        )
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
     def feed(self, event: object) -> None:
         for action in self.admission.handle(event, self.run.clock.now_s):
             req = self.waiting.pop(action.request_id)
-            if isinstance(action, Admit):
+            if isinstance(action, AdmitRequest):
                 req.begin()
             else:
                 req.finish("refused")
@@ -162,7 +166,7 @@
     def arrive(self) -> None:
         self.daemon.waiting[self.request_id] = self
         self.daemon.feed(
-            Arrive(
+            RequestArrived(
                 request_id=self.request_id,
                 account=f"account-{self.account}",
                 weight=1,
@@ -184,7 +188,7 @@
             self.daemon.choose, idempotent=self.idempotent
         )
         self.core = ForwardCore(plan, choose, self.daemon.budget)
-        self.feed(Begin())
+        self.feed(ForwardStarted())
         if not self._is_over and self.core.next_wakeup_s is not None:
             tick_s = self.core.next_wakeup_s
             self.run.clock.at(tick_s, lambda: self.feed(ForwardTick()))
@@ -195,7 +199,7 @@
         for action in self.core.handle(event, self.run.clock.now_s):
             if isinstance(action, StartAttempt):
                 self._send(action)
-            elif isinstance(action, Deliver):
+            elif isinstance(action, DeliverResponse):
                 self.finish("answered", self._open.pop(action.attempt))
             else:
                 kind = "failed" if action.ran is Ran.NOT_RUN else "unknown"
@@ -234,7 +238,7 @@
             capacity=self.run.site.service_slots,
         )
         self.daemon.table.apply_update(news)
-        self.feed(AttemptAnswered(attempt))
+        self.feed(AttemptCompleted(attempt))
 
     def _fail(self, attempt: int, ran: Ran) -> None:
         if self._is_over or attempt not in self._open:
@@ -262,7 +266,7 @@
             )
         if self.admitted_s is not None:
             service_s = now_s - self.admitted_s
-            self.daemon.feed(Depart(self.request_id, service_s))
+            self.daemon.feed(RequestDeparted(self.request_id, service_s))
 
 
 class _Run:
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -16,7 +16,7 @@
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.controllers._peers import PeerController
 from daisyhub.exceptions import PlatformUnavailableError
-from daisyhub.filters._forward import news_from_headers
+from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.hosting import (
     EndpointRecord,
     PlatformClient,
@@ -152,7 +152,7 @@
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
-                if state.heard_s > oldest_s:
+                if state.last_received_at_s > oldest_s:
                     continue
                 if self._is_watched_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
@@ -179,8 +179,8 @@
         except RequestFailedError:
             self._http.forget(state.address)
             return
-        state.heard_s = time.monotonic()
-        news = news_from_headers(state, answer.headers)
+        state.last_received_at_s = time.monotonic()
+        news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
         self._table.apply_update(news)
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -21,8 +21,8 @@
     "ForwardRequest",
     "StoredResponse",
     "ReadClaim",
-    "RefuseRepeat",
-    "ReplayAnswer",
+    "RefuseRequest",
+    "ReplayResponse",
     "RequestEnded",
     "WriteClaim",
 ]
@@ -166,7 +166,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReplayAnswer:
+class ReplayResponse:
     """Action: give the first attempt's answer."""
 
     attempt: str
@@ -174,7 +174,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RefuseRepeat:
+class RefuseRequest:
     """Action: refuse; `ran` speaks of the key's request so far."""
 
     attempt: str
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -12,8 +12,8 @@
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
     ClaimRequested,
-    RefuseRepeat,
-    ReplayAnswer,
+    RefuseRequest,
+    ReplayResponse,
     RequestEnded,
     StoredResponse,
 )
@@ -62,9 +62,9 @@
         )
         try:
             action = await self._claims.claim(event, req.deadline_s)
-            if isinstance(action, ReplayAnswer):
+            if isinstance(action, ReplayResponse):
                 return _replay(action.answer)
-            if isinstance(action, RefuseRepeat):
+            if isinstance(action, RefuseRequest):
                 raise _refusal(action)
             return await self._run(req, call_next)
         except BaseException:
@@ -117,7 +117,7 @@
     )
 
 
-def _refusal(action: RefuseRepeat) -> Refusal:
+def _refusal(action: RefuseRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -24,8 +24,8 @@
     ClaimWriteUncertain,
     ForwardRequest,
     ReadClaim,
-    RefuseRepeat,
-    ReplayAnswer,
+    RefuseRequest,
+    ReplayResponse,
     RequestEnded,
     ReturnOutcome,
     StoredResponse,
@@ -70,11 +70,11 @@
         if isinstance(action, (ReadClaim, WriteClaim, ForwardRequest)):
             return
         del self.steps[action.attempt]
-        if isinstance(action, ReplayAnswer):
+        if isinstance(action, ReplayResponse):
             assert action.answer == self.answers[key]
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.NOT_RUN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.NOT_RUN:
             assert action.attempt not in self.ran
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.RAN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.RAN:
             assert self.runs[key] == 1
 
     @rule(
@@ -276,4 +276,4 @@
         settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
         self.assertEqual(settled, [ReturnOutcome("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
-        self.assertEqual(action, ReplayAnswer("a2", answer))
+        self.assertEqual(action, ReplayResponse("a2", answer))
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -9,7 +9,7 @@
 
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.base import Controller
-from daisyhub.billing import UsageBook, UsageMeter, UsageReporter
+from daisyhub.billing import UsageAggregator, UsageMeter, UsageReporter
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
@@ -56,9 +56,9 @@
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
 from daisyhub.peers import PeerNetwork
-from daisyhub.platform._desk import PlatformDesk
+from daisyhub.platform._desk import PlatformOrderDeskClient
 from daisyhub.platform._engines import (
-    PlatformEnginePort,
+    PlatformEngineClient,
     PlatformVersionReader,
 )
 from daisyhub.platform._lots_json import PlatformLotWire
@@ -72,7 +72,7 @@
 from daisyhub.platform._store import PlatformStore
 from daisyhub.platform._wire import PlatformCallerWire, PlatformEndpointWire
 from daisyhub.serving import HttpServer, OperatorsApp
-from daisyhub.weights import WeightStager
+from daisyhub.weights import WeightLoadController
 
 __all__ = ["FleetDaemon"]
 
@@ -158,7 +158,7 @@
             self._ping,
             self.log,
         )
-        self.book = UsageBook()
+        self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
         self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
@@ -194,10 +194,10 @@
         self.retirements = Retirements(self.accounts, self.store, self.log)
         self.reporter = UsageReporter(
             self.accounts,
-            self.book,
+            self.usage_aggregator,
             self._live_incarnations,
             self.store,
-            PlatformDesk(
+            PlatformOrderDeskClient(
                 address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
             ),
             self.clock.now_s,
@@ -209,13 +209,15 @@
     def _live_incarnations(self) -> dict[str, int]:
         """Returns who counts; the own counts are brought up to date."""
         own = (self.cfg.daemon_id, self.incarnation)
-        self.book.note(*own, self.meter.snapshot(), self.meter.closed_before())
+        self.usage_aggregator.update(
+            *own, self.meter.snapshot(), self.meter.closed_before()
+        )
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
         return {**live, self.cfg.daemon_id: self.incarnation}
 
     def _note_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
-            self.book.note(
+            self.usage_aggregator.update(
                 envelope.sender,
                 envelope.incarnation,
                 message.usage,
@@ -252,12 +254,12 @@
             status_s=self.cfg.status_s,
         )
         self.holder = LotHolder(self.rollouts, tools)
-        self.weights = WeightStager(
+        self.weights = WeightLoadController(
             self.rollouts,
             self.cfg.daemon_id,
             self.store,
             PlatformVersionReader(),
-            PlatformEnginePort(self.http, self.log),
+            PlatformEngineClient(self.http, self.log),
             self.directory,
             self.manifests,
             self.holder.open_run_count,
@@ -404,7 +406,7 @@
             )
             return
         known = self.directory.get(found.name)
-        self.directory.adopt(entry)
+        self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
             self.log.note(
                 "endpoint",
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -12,23 +12,23 @@
 from daisyhub.objects import StoredObject
 from daisyhub.settings import Address
 from daisyhub.weights import (
-    EnginePort,
+    EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
-    VersionNamed,
     VersionOrder,
+    VersionPublished,
     VersionReader,
 )
 
-__all__ = ["PlatformEnginePort", "PlatformVersionReader"]
+__all__ = ["PlatformEngineClient", "PlatformVersionReader"]
 
 _OUTCOMES = {
-    200: OrderOutcome.HOLDS,
+    200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.REFUSED,
     409: OrderOutcome.CONFLICT,
-    412: OrderOutcome.DEPOSED,
+    412: OrderOutcome.STALE_FENCING,
     421: OrderOutcome.OTHER_ENDPOINT,
     503: OrderOutcome.REFUSED,
 }
@@ -62,16 +62,16 @@
 
     kind = "versions"
 
-    def read(self, found: StoredObject) -> VersionNamed:
+    def read(self, found: StoredObject) -> VersionPublished:
         """Returns what an object names; see `VersionReader.read`."""
         try:
             named = msgspec.json.decode(found.spec, type=_Named)
         except msgspec.DecodeError as exc:
             raise ValueError(str(exc)) from exc
-        return VersionNamed(named.model, named.version)
+        return VersionPublished(named.model, named.version)
 
 
-class PlatformEnginePort(EnginePort):
+class PlatformEngineClient(EngineClient):
     """Talks to the platform's engines.
 
     Args:
@@ -86,7 +86,7 @@
     async def order(
         self, address: Address, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order; see `EnginePort.order`."""
+        """Gives an order; see `EngineClient.order`."""
         body = msgspec.json.encode(
             {
                 "op-type": "version",
@@ -117,7 +117,7 @@
         return _OUTCOMES.get(answer.status, OrderOutcome.UNKNOWN)
 
     async def report(self, address: Address) -> EngineReport | None:
-        """Returns an engine's report; see `EnginePort.report`."""
+        """Returns an engine's report; see `EngineClient.report`."""
         try:
             answer = await self._http.request(
                 "GET", address, "/v1/report", timeout_s=_TIMEOUT_S
