--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,7 +1,7 @@
 """Requests of client accounts, counted and reported by windows."""
 
 from daisyhub.billing._controller import UsageReporter
-from daisyhub.billing._order_desk_client import (
+from daisyhub.billing._desk import (
     OrderDeskClient,
     OrderDeskOutcome,
 )
