--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -20,13 +20,13 @@
 __all__ = [
     "AdmissionCore",
     "AdmissionTick",
-    "Admit",
-    "Arrive",
-    "Depart",
-    "Leave",
-    "PlacesChanged",
-    "Shed",
-    "places_for",
+    "AdmitRequest",
+    "RequestArrived",
+    "RequestDeparted",
+    "RequestAbandoned",
+    "ConcurrencyLimitChanged",
+    "ShedRequest",
+    "compute_concurrency_limit",
 ]
 
 _PLACES_PER_CAPACITY = 2
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Arrive:
+class RequestArrived:
     """A request arrived.
 
     Attributes:
@@ -61,14 +61,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PlacesChanged:
+class ConcurrencyLimitChanged:
     """The endpoints can serve more or fewer requests than before."""
 
-    places: int
+    concurrency_limit: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Depart:
+class RequestDeparted:
     """An admitted request ended after `service_s` seconds."""
 
     request_id: str
@@ -76,7 +76,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Leave:
+class RequestAbandoned:
     """A waiting request was given up by its caller."""
 
     request_id: str
@@ -88,14 +88,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Admit:
+class AdmitRequest:
     """Action: let the request go on."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shed:
+class ShedRequest:
     """Action: refuse the request now."""
 
     request_id: str
@@ -125,7 +125,7 @@
     tokens: float
     refilled_s: float
     finish_tag: float = 0.0
-    queue: collections.OrderedDict[str, Arrive] = dataclasses.field(
+    queue: collections.OrderedDict[str, RequestArrived] = dataclasses.field(
         default_factory=collections.OrderedDict
     )
 
@@ -147,13 +147,13 @@
     Times are seconds on a monotonic clock.
 
     Args:
-        places: Most requests in service at one time; `PlacesChanged` lowers
+        places: Most requests in service at one time; `ConcurrencyLimitChanged` lowers
             and raises the number below it.
     """
 
-    def __init__(self, places: int):
-        self.places = places
-        self._open_places = places
+    def __init__(self, concurrency_limit: int):
+        self.concurrency_limit = concurrency_limit
+        self._open_places = concurrency_limit
         self._accounts: dict[str, _Account] = {}
         self._idle_checks: collections.deque[str] = collections.deque()
         self._in_service: set[str] = set()
@@ -173,7 +173,7 @@
         return first[0] if first else None
 
     @property
-    def waiting(self) -> int:
+    def waiting_count(self) -> int:
         """How many requests wait."""
         return len(self._waiting)
 
@@ -183,24 +183,26 @@
         return len(self._accounts)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one admission event; returns `Admit` and `Shed` actions."""
+        """Takes one admission event; returns `AdmitRequest` and `ShedRequest` actions."""
         actions = self._shed_expired(now_s)
         match event:
-            case Arrive():
+            case RequestArrived():
                 return actions + self._on_arrive(event, now_s)
-            case Depart():
+            case RequestDeparted():
                 return actions + self._on_depart(event)
-            case Leave():
+            case RequestAbandoned():
                 self._remove_waiting(event.request_id)
                 return actions
-            case PlacesChanged():
-                self._open_places = min(event.places, self.places)
+            case ConcurrencyLimitChanged():
+                self._open_places = min(
+                    event.concurrency_limit, self.concurrency_limit
+                )
                 return actions + self._admit_waiting()
             case AdmissionTick():
                 return actions
         raise TypeError(f"not an admission event: {event!r}")
 
-    def _on_arrive(self, event: Arrive, now_s: float) -> list[object]:
+    def _on_arrive(self, event: RequestArrived, now_s: float) -> list[object]:
         self._forget_idle(now_s)
         account = self._account(event, now_s)
         if event.rate > 0 and account.tokens < _WHOLE_TOKEN:
@@ -217,7 +219,7 @@
             return []
         return [self._shed_most_overloaded()]
 
-    def _account(self, event: Arrive, now_s: float) -> _Account:
+    def _account(self, event: RequestArrived, now_s: float) -> _Account:
         """Returns the account, refilled, with the newest limits."""
         account = self._accounts.get(event.account)
         if account is None:
@@ -255,11 +257,13 @@
         turns = min(fair_turns, len(self._waiting) + 1)
         return turns * self._service_s / self._open_places
 
-    def _overloaded(self, event: Arrive, account: _Account) -> Shed:
+    def _overloaded(
+        self, event: RequestArrived, account: _Account
+    ) -> ShedRequest:
         wait_s = self._service_s + self._expected_wait_s(account)
         return _shed(event, ErrorCode.OVERLOADED, wait_s)
 
-    def _enqueue(self, account: _Account, event: Arrive) -> None:
+    def _enqueue(self, account: _Account, event: RequestArrived) -> None:
         if not account.queue:
             self._waiting_weight += account.weight
             start_tag = max(self._virtual_time, account.finish_tag)
@@ -269,7 +273,7 @@
         self._deadlines.set(event.request_id, event.deadline_s)
         self._note_overload(account)
 
-    def _remove_waiting(self, request_id: str) -> Arrive | None:
+    def _remove_waiting(self, request_id: str) -> RequestArrived | None:
         account = self._waiting.pop(request_id, None)
         if account is None:
             return None
@@ -291,12 +295,12 @@
         waiting_by_weight = len(account.queue) / account.weight
         self._overload.set(account.name, -waiting_by_weight)
 
-    def _shed_most_overloaded(self) -> Shed:
+    def _shed_most_overloaded(self) -> ShedRequest:
         """Refuses the newest request of the account furthest over share."""
         account = self._accounts[self._overload.first()[1]]
         return self._shed_waiting(next(reversed(account.queue)))
 
-    def _shed_waiting(self, request_id: str) -> Shed:
+    def _shed_waiting(self, request_id: str) -> ShedRequest:
         """Refuses a waiting request and gives its token back."""
         account = self._waiting[request_id]
         event = self._remove_waiting(request_id)
@@ -309,11 +313,11 @@
             actions.append(self._shed_waiting(first[1]))
         return actions
 
-    def _admit(self, request_id: str) -> Admit:
+    def _admit(self, request_id: str) -> AdmitRequest:
         self._in_service.add(request_id)
-        return Admit(request_id)
+        return AdmitRequest(request_id)
 
-    def _on_depart(self, event: Depart) -> list[object]:
+    def _on_depart(self, event: RequestDeparted) -> list[object]:
         if event.request_id not in self._in_service:
             return []
         self._in_service.remove(event.request_id)
@@ -328,7 +332,7 @@
             actions.append(self._admit_next())
         return actions
 
-    def _admit_next(self) -> Admit:
+    def _admit_next(self) -> AdmitRequest:
         start_tag, name = self._start_tags.first()
         account = self._accounts[name]
         request_id = next(iter(account.queue))
@@ -353,11 +357,15 @@
             self._idle_checks.append(name)
 
 
-def _shed(event: Arrive, error: ErrorCode, wait_s: float) -> Shed:
-    return Shed(event.request_id, error, max(_MIN_RETRY_S, wait_s))
+def _shed(
+    event: RequestArrived, error: ErrorCode, wait_s: float
+) -> ShedRequest:
+    return ShedRequest(event.request_id, error, max(_MIN_RETRY_S, wait_s))
 
 
-def places_for(capacity: int | None, daemons: int, most: int) -> int:
+def compute_concurrency_limit(
+    capacity: int | None, daemons: int, most: int
+) -> int:
     """Returns how many requests one daemon should have in service.
 
     With more places than the endpoints work on at one time, queues form in
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -14,12 +14,12 @@
 from daisyhub.filters._admission_core import (
     AdmissionCore,
     AdmissionTick,
-    Admit,
-    Arrive,
-    Depart,
-    Leave,
-    PlacesChanged,
-    Shed,
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestAbandoned,
+    RequestArrived,
+    RequestDeparted,
+    ShedRequest,
 )
 from daisyhub.filters._stream_end import StreamEnd
 from daisyhub.messages import Request, Response
@@ -64,7 +64,7 @@
     async def handle(self, req: Request, call_next: Handler) -> Response:
         """Waits for a place, serves, and gives the place back at the end."""
         verdict = await self._wait_for_verdict(req)
-        if isinstance(verdict, Shed):
+        if isinstance(verdict, ShedRequest):
             raise Refusal(
                 verdict.error,
                 _DETAILS[verdict.error.label],
@@ -74,7 +74,7 @@
 
         def depart(_: bool = False) -> None:
             now_s = time.monotonic()
-            event = Depart(req.request_id, now_s - started_s)
+            event = RequestDeparted(req.request_id, now_s - started_s)
             self._perform(self._core.handle(event, now_s))
 
         try:
@@ -96,7 +96,7 @@
         share = self._shares.share(
             req.account, account.requests_per_s, boot_time_s()
         )
-        event = Arrive(
+        event = RequestArrived(
             request_id=req.request_id,
             account=req.account,
             weight=account.weight,
@@ -125,7 +125,7 @@
         if self._get_places is None or now_s < self._places_at_s:
             return
         self._places_at_s = now_s + _PLACES_INTERVAL_S
-        event = PlacesChanged(self._get_places())
+        event = ConcurrencyLimitChanged(self._get_places())
         self._perform(self._core.handle(event, now_s))
 
     async def _wait_until_deadline(self, req: Request, waiter) -> None:
@@ -140,9 +140,9 @@
         """Takes back a request whose caller went away while it waited."""
         now_s = time.monotonic()
         verdict = self._verdicts.pop(req.request_id, None)
-        event = Leave(req.request_id)
-        if isinstance(verdict, Admit):
-            event = Depart(req.request_id, 0.0)
+        event = RequestAbandoned(req.request_id)
+        if isinstance(verdict, AdmitRequest):
+            event = RequestDeparted(req.request_id, 0.0)
         self._perform(self._core.handle(event, now_s))
 
     def _perform(self, actions: list[object]) -> None:
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -8,33 +8,35 @@
 
 from daisyhub.connections import HttpAnswer, StreamedAnswer
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
-    Begin,
-    Deliver,
+    DeliverResponse,
+    FailRequest,
     ForwardCore,
+    ForwardStarted,
     ForwardTick,
-    GiveUp,
     StartAttempt,
 )
 
-__all__ = ["Outcome", "run_attempts"]
+__all__ = ["AttemptOutcome", "run_attempts"]
 
 _MOST_WAITING = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outcome:
+class AttemptOutcome:
     """What an attempt brought: an event for the core, and the answer."""
 
-    event: AttemptAnswered | AttemptFailed
+    event: AttemptCompleted | AttemptFailed
     answer: HttpAnswer | StreamedAnswer | None = None
 
 
-Attempt = Callable[[StartAttempt], Awaitable[Outcome]]
+Attempt = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
 
 
-async def run_attempts(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
+async def run_attempts(
+    core: ForwardCore, attempt: Attempt
+) -> AttemptOutcome | FailRequest:
     """Runs attempts until one is delivered or the core gives up.
 
     Args:
@@ -47,24 +49,28 @@
     if core.plan.hedge_after_s > 0:
         return await _run_hedged(core, attempt)
     outcome = None
-    actions = core.handle(Begin(), time.monotonic())
+    actions = core.handle(ForwardStarted(), time.monotonic())
     while isinstance(actions[0], StartAttempt):
         outcome = await attempt(actions[0])
         actions = core.handle(outcome.event, time.monotonic())
-    return actions[0] if isinstance(actions[0], GiveUp) else outcome
+    return actions[0] if isinstance(actions[0], FailRequest) else outcome
 
 
-async def _run_hedged(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
+async def _run_hedged(
+    core: ForwardCore, attempt: Attempt
+) -> AttemptOutcome | FailRequest:
     """Runs attempts side by side; the first whole answer wins."""
-    outcomes: dict[int, Outcome] = {}
-    send, receive = anyio.create_memory_object_stream[Outcome](_MOST_WAITING)
+    outcomes: dict[int, AttemptOutcome] = {}
+    send, receive = anyio.create_memory_object_stream[AttemptOutcome](
+        _MOST_WAITING
+    )
     final = None
 
     async def run(action: StartAttempt) -> None:
         await send.send(await attempt(action))
 
     async with anyio.create_task_group() as tasks:
-        actions = core.handle(Begin(), time.monotonic())
+        actions = core.handle(ForwardStarted(), time.monotonic())
         while final is None:
             for action in actions:
                 if isinstance(action, StartAttempt):
@@ -78,7 +84,9 @@
         tasks.cancel_scope.cancel()
     send.close()
     receive.close()
-    return outcomes[final.attempt] if isinstance(final, Deliver) else final
+    return (
+        outcomes[final.attempt] if isinstance(final, DeliverResponse) else final
+    )
 
 
 async def _next_event(core, receive, outcomes) -> object:
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -14,15 +14,15 @@
 )
 from daisyhub.filters._claim_core import ClaimCore
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
-    ClaimConflict,
-    ClaimDropped,
-    ClaimFound,
-    ClaimReadLost,
+    ClaimCancelled,
+    ClaimReadCompleted,
+    ClaimReadFailed,
     ClaimRecord,
+    ClaimRequested,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
+    ClaimWriteRejected,
+    ClaimWriteUncertain,
     ReadClaim,
     RequestEnded,
     WriteClaim,
@@ -49,7 +49,7 @@
         self._write_ids = itertools.count(1)
         self._changed = anyio.Event()
 
-    async def claim(self, event: ClaimAsked, deadline_s: float) -> object:
+    async def claim(self, event: ClaimRequested, deadline_s: float) -> object:
         """Asks for a key; returns what to do with its request."""
         return await self._decide(event, deadline_s)
 
@@ -59,7 +59,7 @@
 
     def drop(self, attempt: str) -> None:
         """Notes that an attempt was cancelled."""
-        self._core.handle(ClaimDropped(attempt), time.monotonic())
+        self._core.handle(ClaimCancelled(attempt), time.monotonic())
         self._wake()
 
     async def run(self) -> None:
@@ -116,9 +116,9 @@
                 write_id=f"{action.attempt}-{next(self._write_ids)}",
             )
         except PlatformConflictError:
-            return ClaimConflict(action.attempt)
+            return ClaimWriteRejected(action.attempt)
         except PlatformUnavailableError:
-            return ClaimWriteLost(action.attempt)
+            return ClaimWriteUncertain(action.attempt)
         return ClaimStored(action.attempt, version)
 
     async def _read(self, action: ReadClaim) -> object:
@@ -127,13 +127,13 @@
         ):
             found = await self._client.get(action.name)
             if found is None:
-                return ClaimFound(action.attempt, None, 0)
+                return ClaimReadCompleted(action.attempt, None, 0)
             record = msgspec.convert(found.value, ClaimRecord)
-            return ClaimFound(action.attempt, record, found.version)
-        return ClaimReadLost(action.attempt)
+            return ClaimReadCompleted(action.attempt, record, found.version)
+        return ClaimReadFailed(action.attempt)
 
 
 def _lost(action: ReadClaim | WriteClaim) -> object:
     if isinstance(action, ReadClaim):
-        return ClaimReadLost(action.attempt)
-    return ClaimWriteLost(action.attempt)
+        return ClaimReadFailed(action.attempt)
+    return ClaimWriteUncertain(action.attempt)
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -17,21 +17,21 @@
 from daisyhub.base import Core
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
-    ClaimConflict,
-    ClaimDropped,
-    ClaimFound,
-    ClaimReadLost,
+    ClaimCancelled,
+    ClaimReadCompleted,
+    ClaimReadFailed,
     ClaimRecord,
-    ClaimSettled,
+    ClaimRequested,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
+    ClaimWriteRejected,
+    ClaimWriteUncertain,
     ForwardRequest,
     ReadClaim,
-    RefuseRepeat,
-    ReplayAnswer,
+    RefuseRequest,
+    ReplayResponse,
     RequestEnded,
+    ReturnOutcome,
     WriteClaim,
 )
 
@@ -94,19 +94,19 @@
         match event:
             case ClaimTick():
                 return self._on_tick(now_s)
-            case ClaimAsked():
+            case ClaimRequested():
                 return self._on_asked(event)
-            case ClaimDropped():
+            case ClaimCancelled():
                 return self._on_dropped(event, now_s)
             case RequestEnded():
                 return self._on_ended(event)
-            case ClaimStored() | ClaimConflict() | ClaimWriteLost():
+            case ClaimStored() | ClaimWriteRejected() | ClaimWriteUncertain():
                 return self._on_written(event, now_s)
-            case ClaimFound() | ClaimReadLost():
+            case ClaimReadCompleted() | ClaimReadFailed():
                 return self._on_read(event)
         raise TypeError(f"not a claim event: {event!r}")
 
-    def _on_asked(self, event: ClaimAsked) -> list[object]:
+    def _on_asked(self, event: ClaimRequested) -> list[object]:
         known = self._find_known(event.name)
         if known is not None:
             if known.record.request_digest != event.request_digest:
@@ -167,7 +167,7 @@
                 claim.expected_version = event.version
                 self._running[event.attempt] = claim
                 return [ForwardRequest(event.attempt)]
-            case ClaimConflict():
+            case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
         # The write may take effect later: this process alone knows that the
         # attempt never runs.
@@ -181,7 +181,7 @@
             return self._on_pending_read(event)
         if event.attempt not in self._claiming:
             return []
-        if isinstance(event, ClaimReadLost):
+        if isinstance(event, ClaimReadFailed):
             return [self._leave(event.attempt, _unavailable(event.attempt))]
         if event.record is None:
             return self._write_claim(event.attempt, 0)
@@ -211,15 +211,15 @@
         del self._open_names[claim.name]
         if not isinstance(event, ClaimStored):
             self._add_pending(event.attempt, claim, now_s)
-        return [ClaimSettled(event.attempt)]
+        return [ReturnOutcome(event.attempt)]
 
-    def _on_dropped(self, event: ClaimDropped, now_s: float) -> list[object]:
+    def _on_dropped(self, event: ClaimCancelled, now_s: float) -> list[object]:
         if event.attempt in self._claiming:
-            self._on_claim_written(ClaimWriteLost(event.attempt), now_s)
+            self._on_claim_written(ClaimWriteUncertain(event.attempt), now_s)
         if event.attempt in self._running:
             self._on_ended(RequestEnded(event.attempt, Ran.UNKNOWN))
         if event.attempt in self._storing:
-            self._on_final_written(ClaimWriteLost(event.attempt), now_s)
+            self._on_final_written(ClaimWriteUncertain(event.attempt), now_s)
         return []
 
     def _add_pending(self, attempt: str, claim: _Claim, now_s: float) -> None:
@@ -264,14 +264,14 @@
             case ClaimStored():
                 self._drop_pending(event.attempt)
                 return []
-            case ClaimConflict():
+            case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
         self._postpone(event.attempt)
         return []
 
     def _on_pending_read(self, event) -> list[object]:
         claim = self._pending[event.attempt]
-        if isinstance(event, ClaimReadLost):
+        if isinstance(event, ClaimReadFailed):
             self._postpone(event.attempt)
             return []
         if event.version == claim.expected_version:
@@ -311,26 +311,26 @@
 def _answer_repeat(attempt: str, record: ClaimRecord) -> object:
     match record.state:
         case "done":
-            return ReplayAnswer(attempt, record.answer)
+            return ReplayResponse(attempt, record.answer)
         case "ran":
-            return RefuseRepeat(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
+            return RefuseRequest(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
         case "claimed":
             # Its daemon may still be at work, or be gone.
-            return RefuseRepeat(
+            return RefuseRequest(
                 attempt,
                 ErrorCode.OUTCOME_UNKNOWN,
                 Ran.UNKNOWN,
                 _RETRY_IN_PROGRESS_S,
             )
-    return RefuseRepeat(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+    return RefuseRequest(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
 
 
-def _mismatch(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
+def _mismatch(attempt: str) -> RefuseRequest:
+    return RefuseRequest(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
 
 
-def _in_progress(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(
+def _in_progress(attempt: str) -> RefuseRequest:
+    return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_IN_PROGRESS,
         Ran.UNKNOWN,
@@ -338,8 +338,8 @@
     )
 
 
-def _unavailable(attempt: str) -> RefuseRepeat:
-    return RefuseRepeat(
+def _unavailable(attempt: str) -> RefuseRequest:
+    return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_UNAVAILABLE,
         Ran.NOT_RUN,
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -8,27 +8,27 @@
 from daisyhub.exceptions import ErrorCode, Ran
 
 __all__ = [
-    "ClaimAsked",
-    "ClaimConflict",
-    "ClaimDropped",
-    "ClaimFound",
-    "ClaimReadLost",
+    "ClaimRequested",
+    "ClaimWriteRejected",
+    "ClaimCancelled",
+    "ClaimReadCompleted",
+    "ClaimReadFailed",
     "ClaimRecord",
-    "ClaimSettled",
+    "ReturnOutcome",
     "ClaimStored",
     "ClaimTick",
-    "ClaimWriteLost",
+    "ClaimWriteUncertain",
     "ForwardRequest",
-    "KeptAnswer",
+    "StoredResponse",
     "ReadClaim",
-    "RefuseRepeat",
-    "ReplayAnswer",
+    "RefuseRequest",
+    "ReplayResponse",
     "RequestEnded",
     "WriteClaim",
 ]
 
 
-class KeptAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class StoredResponse(msgspec.Struct, frozen=True, kw_only=True):
     """An answer as it is kept for repeats.
 
     Attributes:
@@ -57,11 +57,11 @@
     request_digest: str
     state: Literal["claimed", "free", "done", "ran", "unknown"]
     attempt: str
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimAsked:
+class ClaimRequested:
     """A request with an idempotency key came.
 
     Attributes:
@@ -84,21 +84,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimConflict:
+class ClaimWriteRejected:
     """The attempt's last write met another version: it had no effect."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimWriteLost:
+class ClaimWriteUncertain:
     """The attempt's last write may or may not take effect, even later."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimFound:
+class ClaimReadCompleted:
     """A read was answered; `record` is None if there is no object."""
 
     attempt: str
@@ -107,7 +107,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimReadLost:
+class ClaimReadFailed:
     """A read was not answered."""
 
     attempt: str
@@ -125,11 +125,11 @@
 
     attempt: str
     ran: Ran
-    answer: KeptAnswer | None = None
+    answer: StoredResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimDropped:
+class ClaimCancelled:
     """The attempt was cancelled in the midst of whatever it was doing."""
 
     attempt: str
@@ -166,15 +166,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReplayAnswer:
+class ReplayResponse:
     """Action: give the first attempt's answer."""
 
     attempt: str
-    answer: KeptAnswer
+    answer: StoredResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RefuseRepeat:
+class RefuseRequest:
     """Action: refuse; `ran` speaks of the key's request so far."""
 
     attempt: str
@@ -184,7 +184,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ClaimSettled:
+class ReturnOutcome:
     """Action: nothing is left to do; hand over the request's outcome."""
 
     attempt: str
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -5,9 +5,9 @@
 import anyio
 
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
@@ -19,13 +19,13 @@
     StreamedAnswer,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
-from daisyhub.filters._attempts import Outcome, run_attempts
+from daisyhub.filters._attempts import AttemptOutcome, run_attempts
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
@@ -34,7 +34,7 @@
 from daisyhub.metrics import Metrics
 from daisyhub.settings import LimitSettings
 
-__all__ = ["ForwardFilter", "news_from_headers"]
+__all__ = ["ForwardFilter", "parse_endpoint_headers"]
 
 _NOT_RUN_HEADER = (b"endpoint-ran", b"no")
 _DETAILS = {
@@ -87,7 +87,7 @@
         outcome = await run_attempts(
             core, lambda action: self._attempt(req, action)
         )
-        if isinstance(outcome, GiveUp):
+        if isinstance(outcome, FailRequest):
             raise _refusal(outcome)
         return _response(outcome.answer)
 
@@ -99,12 +99,14 @@
 
         return choose
 
-    async def _attempt(self, req: Request, action: StartAttempt) -> Outcome:
+    async def _attempt(
+        self, req: Request, action: StartAttempt
+    ) -> AttemptOutcome:
         """Sends the request to one endpoint and takes its news."""
         state = self._table.get(action.endpoint_id)
         if state is None:
             return _failed(action, Ran.NOT_RUN)
-        self._table.note_sent(state.endpoint_id)
+        self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
         try:
@@ -122,15 +124,15 @@
             failed = False
             raise
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
+        self._table.apply_update(parse_endpoint_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
             return _failed(action, Ran.NOT_RUN)
-        return Outcome(AttemptAnswered(action.attempt), answer)
+        return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
@@ -172,8 +174,8 @@
     *,
     timed_out: bool = False,
     incomplete: bool = False,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
@@ -183,7 +185,7 @@
     )
 
 
-def _refusal(action: GiveUp) -> Refusal:
+def _refusal(action: FailRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
@@ -225,11 +227,11 @@
     return default
 
 
-def news_from_headers(
+def parse_endpoint_headers(
     state: EndpointState, headers: tuple[Header, ...]
-) -> EndpointNews:
+) -> EndpointUpdate:
     """Reads the news that an endpoint's answer carries in its headers."""
-    return EndpointNews(
+    return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
         is_leaving=(b"endpoint-state", b"leaving") in headers,
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -14,14 +14,14 @@
 from daisyhub.exceptions import ErrorCode, Ran
 
 __all__ = [
-    "AttemptAnswered",
+    "AttemptCompleted",
     "AttemptFailed",
-    "Begin",
-    "Deliver",
+    "ForwardStarted",
+    "DeliverResponse",
     "ForwardCore",
     "ForwardPlan",
     "ForwardTick",
-    "GiveUp",
+    "FailRequest",
     "RetryBudget",
     "StartAttempt",
 ]
@@ -40,11 +40,11 @@
     def __init__(self):
         self._balance = _BUDGET_RESERVE
 
-    def note_request(self) -> None:
+    def record_request(self) -> None:
         """Counts a first attempt."""
         self._balance = min(_BUDGET_RESERVE, self._balance + _BUDGET_SHARE)
 
-    def take(self) -> bool:
+    def try_acquire(self) -> bool:
         """Takes one retry out of the budget, or returns False."""
         if self._balance < 1:
             return False
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Begin:
+class ForwardStarted:
     """The request is ready to be sent."""
 
 
@@ -100,7 +100,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AttemptAnswered:
+class AttemptCompleted:
     """An attempt brought the endpoint's answer."""
 
     attempt: int
@@ -122,14 +122,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Deliver:
+class DeliverResponse:
     """Action: hand over this attempt's answer; drop the others."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class GiveUp:
+class FailRequest:
     """Action: refuse now."""
 
     error: ErrorCode
@@ -179,11 +179,11 @@
         if self._is_over:
             return []
         match event:
-            case Begin():
+            case ForwardStarted():
                 return self._on_begin(now_s)
-            case AttemptAnswered():
+            case AttemptCompleted():
                 self._is_over = True
-                return [Deliver(event.attempt)]
+                return [DeliverResponse(event.attempt)]
             case AttemptFailed():
                 return self._on_failed(event, now_s)
             case ForwardTick():
@@ -193,7 +193,7 @@
     def _on_begin(self, now_s: float) -> list[object]:
         if now_s >= self.plan.deadline_s:
             return [self._give_up(ErrorCode.DEADLINE_EXCEEDED)]
-        self.budget.note_request()
+        self.budget.record_request()
         endpoint_id = self.choose(_NONE)
         if endpoint_id is None:
             return [self._give_up(ErrorCode.NO_ENDPOINT)]
@@ -232,7 +232,7 @@
         candidate = self.choose(frozenset(self._tried))
         if candidate is None and self._attempts < plan.max_attempts:
             candidate = self.choose(_NONE)
-        if candidate is None or not (is_free or self.budget.take()):
+        if candidate is None or not (is_free or self.budget.try_acquire()):
             return []
         return self._start(candidate, fresh=True)
 
@@ -257,10 +257,10 @@
             return ErrorCode.ANSWER_INCOMPLETE
         return ErrorCode.ENDPOINT_FAILED
 
-    def _give_up(self, error: ErrorCode) -> GiveUp:
+    def _give_up(self, error: ErrorCode) -> FailRequest:
         self._is_over = True
         makes_sense = self.plan.idempotent or self._worst is Ran.NOT_RUN
-        return GiveUp(
+        return FailRequest(
             error=error,
             ran=self._worst,
             retry_after_s=_RETRY_AFTER_S if makes_sense else None,
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -11,11 +11,11 @@
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
-    ClaimAsked,
-    KeptAnswer,
-    RefuseRepeat,
-    ReplayAnswer,
+    ClaimRequested,
+    RefuseRequest,
+    ReplayResponse,
     RequestEnded,
+    StoredResponse,
 )
 from daisyhub.messages import Request, Response
 
@@ -55,16 +55,16 @@
         keys = req.header_values(b"idempotency-key")
         if not keys or req.route is None or req.route.idempotent:
             return await call_next(req)
-        event = ClaimAsked(
+        event = ClaimRequested(
             attempt=req.request_id,
             name=_claim_name(req.account, keys[0]),
             request_digest=_request_digest(req),
         )
         try:
             action = await self._claims.claim(event, req.deadline_s)
-            if isinstance(action, ReplayAnswer):
+            if isinstance(action, ReplayResponse):
                 return _replay(action.answer)
-            if isinstance(action, RefuseRepeat):
+            if isinstance(action, RefuseRequest):
                 raise _refusal(action)
             return await self._run(req, call_next)
         except BaseException:
@@ -96,19 +96,19 @@
     return hashlib.sha256(text).hexdigest()
 
 
-def _kept_answer(resp: Response) -> KeptAnswer | None:
+def _kept_answer(resp: Response) -> StoredResponse | None:
     """Returns what repeats get; None for streams and large answers."""
     if resp.stream is not None or len(resp.body) > _KEPT_ANSWER_BYTES:
         return None
     types = resp.header_values(b"content-type")
-    return KeptAnswer(
+    return StoredResponse(
         status=resp.status,
         content_type=types[0].decode("latin-1") if types else "",
         body=resp.body,
     )
 
 
-def _replay(answer: KeptAnswer) -> Response:
+def _replay(answer: StoredResponse) -> Response:
     headers = [(b"idempotency-replayed", b"true")]
     if answer.content_type:
         headers.append((b"content-type", answer.content_type.encode("latin-1")))
@@ -117,7 +117,7 @@
     )
 
 
-def _refusal(action: RefuseRepeat) -> Refusal:
+def _refusal(action: RefuseRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
--- a/daisyhub/filters/_identify.py
+++ b/daisyhub/filters/_identify.py
@@ -39,7 +39,7 @@
         key = self._read_key(req)
         if key is None:
             return await call_next(req)
-        account = self._keys.account_of(key)
+        account = self._keys.authenticate(key)
         return await call_next(
             dataclasses.replace(req, account=account, key_id=key.key_id)
         )
--- a/daisyhub/filters/tests/test_admit.py
+++ b/daisyhub/filters/tests/test_admit.py
@@ -57,7 +57,7 @@
                 await self.serve(request(2, patience_s=0.2))
             self.assertEqual(caught.exception.error, ErrorCode.OVERLOADED)
             self.assertGreater(caught.exception.retry_after_s, 0)
-            self.assertEqual(self.core.waiting, 0)
+            self.assertEqual(self.core.waiting_count, 0)
             await held.stream.aclose()
 
         anyio.run(scenario)
@@ -67,11 +67,11 @@
             first = await self.serve(request(1))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.serve, request(2))
-                while not self.core.waiting:
+                while not self.core.waiting_count:
                     await anyio.sleep(0)
                 self.assertEqual(self.counters.unkept_requests, 0)
                 self.assertEqual([c async for c in first.stream][-1], b"two")
-            self.assertEqual(self.core.waiting, 0)
+            self.assertEqual(self.core.waiting_count, 0)
             self.assertEqual(self.counters.unkept_requests, 1)
 
         anyio.run(scenario)
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -18,12 +18,12 @@
 from daisyhub.filters import (
     AdmissionCore,
     AdmissionTick,
-    Admit,
-    Arrive,
-    Depart,
-    Leave,
-    PlacesChanged,
-    places_for,
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestAbandoned,
+    RequestArrived,
+    RequestDeparted,
+    compute_concurrency_limit,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -49,7 +49,7 @@
         self.in_service = {}
         self.served_while = {}
         self.accepted = 0
-        self.places = PLACES
+        self.concurrency_limit = PLACES
         self.room = ROOM
 
     def feed(self, event):
@@ -58,7 +58,7 @@
             arrival = self.open.pop(action.request_id, None)
             assert arrival is not None, "two verdicts, or one for nobody"
             self.waiting.pop(action.request_id, None)
-            if isinstance(action, Admit):
+            if isinstance(action, AdmitRequest):
                 self.in_service[action.request_id] = arrival
                 self.count_service(arrival.account)
                 continue
@@ -75,14 +75,14 @@
             return
         if arrival.deadline_s <= self.now_s:
             return
-        assert isinstance(event, Arrive), "refused before its deadline"
+        assert isinstance(event, RequestArrived), "refused before its deadline"
         patience_s = arrival.deadline_s - self.now_s
         if arrival is event and patience_s < 2 * NO_TIME_S:
             return
         # The queues are full: the victim's queue exceeds its fair part.
         queued = [a.account for a in [*before, event]]
         weights = sum(WEIGHTS[name] for name in set(queued))
-        room = self.places * 2
+        room = self.concurrency_limit * 2
         share = room * WEIGHTS[arrival.account] / weights
         assert len(queued) > room, "refused though there is room"
         assert queued.count(arrival.account) > share, "shed within its share"
@@ -111,7 +111,7 @@
     def arrive(self, account, count, patience_s):
         for _ in range(count):
             self.number += 1
-            event = Arrive(
+            event = RequestArrived(
                 request_id=f"r{self.number}",
                 account=account,
                 weight=WEIGHTS[account],
@@ -132,20 +132,20 @@
                 return
             request_id = next(iter(self.in_service))
             del self.in_service[request_id]
-            self.feed(Depart(request_id, 0.05))
+            self.feed(RequestDeparted(request_id, 0.05))
 
-    @rule(places=st.sampled_from([1, PLACES]))
-    def change_places(self, places):
-        self.places = places
+    @rule(concurrency_limit=st.sampled_from([1, PLACES]))
+    def change_places(self, concurrency_limit):
+        self.concurrency_limit = concurrency_limit
         self.room = max(self.room, len(self.waiting))
-        self.feed(PlacesChanged(places))
+        self.feed(ConcurrencyLimitChanged(concurrency_limit))
 
     @rule(nth=st.integers(0, ROOM))
     def give_up(self, nth):
         if nth < len(self.waiting):
             request_id = list(self.waiting)[nth]
             del self.waiting[request_id], self.open[request_id]
-            self.feed(Leave(request_id))
+            self.feed(RequestAbandoned(request_id))
 
     @rule(seconds=st.sampled_from([0.2, 3.5]))
     def pass_time(self, seconds):
@@ -165,9 +165,13 @@
             return
         assert len(self.in_service) <= PLACES
         # After places were taken away, the queue may be longer for a while.
-        self.room = max(self.places * 2, min(self.room, len(self.waiting)))
+        self.room = max(
+            self.concurrency_limit * 2, min(self.room, len(self.waiting))
+        )
         assert self.core.waiting == len(self.waiting) <= self.room
-        assert not self.waiting or len(self.in_service) >= self.places
+        assert (
+            not self.waiting or len(self.in_service) >= self.concurrency_limit
+        )
         for arrival in self.waiting.values():
             assert arrival.deadline_s > self.now_s, "no answer in time"
         assert self.accepted <= BURST + 1e-9, "more than the account's rate"
@@ -221,7 +225,7 @@
     def test_idle_accounts_are_forgotten(self):
         core = AdmissionCore(PLACES)
         for number in range(10_000):
-            event = Arrive(
+            event = RequestArrived(
                 request_id=f"r{number}",
                 account=f"a{number}",
                 weight=1,
@@ -230,11 +234,11 @@
                 deadline_s=1e9,
             )
             core.handle(event, float(number))
-            core.handle(Depart(event.request_id, 0.01), float(number))
+            core.handle(RequestDeparted(event.request_id, 0.01), float(number))
         self.assertLess(core.known_accounts, 10)
 
     def test_places_follow_what_the_endpoints_can_serve(self):
-        self.assertEqual(places_for(None, 2, 512), 512)
-        self.assertEqual(places_for(4, 2, 512), 4)
-        self.assertEqual(places_for(4, 28, 512), 2)
-        self.assertEqual(places_for(10_000, 2, 512), 512)
+        self.assertEqual(compute_concurrency_limit(None, 2, 512), 512)
+        self.assertEqual(compute_concurrency_limit(4, 2, 512), 4)
+        self.assertEqual(compute_concurrency_limit(4, 28, 512), 2)
+        self.assertEqual(compute_concurrency_limit(10_000, 2, 512), 512)
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -13,22 +13,22 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
-    ClaimAsked,
-    ClaimConflict,
+    ClaimCancelled,
     ClaimCore,
-    ClaimDropped,
-    ClaimFound,
-    ClaimReadLost,
-    ClaimSettled,
+    ClaimReadCompleted,
+    ClaimReadFailed,
+    ClaimRequested,
     ClaimStored,
     ClaimTick,
-    ClaimWriteLost,
+    ClaimWriteRejected,
+    ClaimWriteUncertain,
     ForwardRequest,
-    KeptAnswer,
     ReadClaim,
-    RefuseRepeat,
-    ReplayAnswer,
+    RefuseRequest,
+    ReplayResponse,
     RequestEnded,
+    ReturnOutcome,
+    StoredResponse,
     WriteClaim,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -70,11 +70,11 @@
         if isinstance(action, (ReadClaim, WriteClaim, ForwardRequest)):
             return
         del self.steps[action.attempt]
-        if isinstance(action, ReplayAnswer):
+        if isinstance(action, ReplayResponse):
             assert action.answer == self.answers[key]
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.NOT_RUN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.NOT_RUN:
             assert action.attempt not in self.ran
-        if isinstance(action, RefuseRepeat) and action.ran is Ran.RAN:
+        if isinstance(action, RefuseRequest) and action.ran is Ran.RAN:
             assert self.runs[key] == 1
 
     @rule(
@@ -87,7 +87,7 @@
         """A caller sends or repeats a request; it gets as far as faults."""
         self.count += 1
         attempt = f"a{self.count}"
-        self.feed(process, key, ClaimAsked(attempt, key, "digest"))
+        self.feed(process, key, ClaimRequested(attempt, key, "digest"))
         for fault in faults:
             self.go_on(attempt, fault, ending)
 
@@ -110,12 +110,12 @@
         self.feed(process, key, event)
 
     def reach_store(self, action, fault):
-        lost = ClaimWriteLost(action.attempt)
+        lost = ClaimWriteUncertain(action.attempt)
         if isinstance(action, ReadClaim):
             if fault:
-                return ClaimReadLost(action.attempt)
+                return ClaimReadFailed(action.attempt)
             version, record = self.store.get(action.name, (0, None))
-            return ClaimFound(action.attempt, record, version)
+            return ClaimReadCompleted(action.attempt, record, version)
         if fault == "late":
             self.late.append(action)
             return lost
@@ -125,7 +125,7 @@
         if fault == "landed":
             return lost
         if not version:
-            return ClaimConflict(action.attempt)
+            return ClaimWriteRejected(action.attempt)
         return ClaimStored(action.attempt, version)
 
     def land(self, action):
@@ -149,8 +149,8 @@
         if ending == "large":
             return RequestEnded(attempt, Ran.RAN)
         if ending == "cut":
-            return ClaimDropped(attempt)
-        self.answers[key] = KeptAnswer(status=201, body=attempt.encode())
+            return ClaimCancelled(attempt)
+        self.answers[key] = StoredResponse(status=201, body=attempt.encode())
         return RequestEnded(attempt, Ran.RAN, self.answers[key])
 
     @rule(data=st.data())
@@ -217,7 +217,7 @@
     """Broken: sends although the claim's effect is unknown."""
 
     def _on_claim_written(self, event, now_s):
-        if isinstance(event, ClaimWriteLost):
+        if isinstance(event, ClaimWriteUncertain):
             event = ClaimStored(event.attempt, 1)
         return super()._on_claim_written(event, now_s)
 
@@ -259,21 +259,21 @@
 
     def test_a_concurrent_repeat_and_another_body_are_refused(self):
         core = ClaimCore()
-        core.handle(ClaimAsked("a1", "k", "digest"), 0.0)
+        core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         for digest, error in (
             ("digest", ErrorCode.CLAIM_IN_PROGRESS),
             ("other", ErrorCode.CLAIM_MISMATCH),
         ):
-            (action,) = core.handle(ClaimAsked("a2", "k", digest), 0.0)
+            (action,) = core.handle(ClaimRequested("a2", "k", digest), 0.0)
             self.assertEqual(action.error, error)
 
     def test_an_answer_is_replayed_while_the_store_is_down(self):
         core = ClaimCore()
-        answer = KeptAnswer(status=201, body=b"one")
-        core.handle(ClaimAsked("a1", "k", "digest"), 0.0)
+        answer = StoredResponse(status=201, body=b"one")
+        core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
         core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
-        settled = core.handle(ClaimWriteLost("a1"), 0.0)
-        self.assertEqual(settled, [ClaimSettled("a1")])
-        (action,) = core.handle(ClaimAsked("a2", "k", "digest"), 1.0)
-        self.assertEqual(action, ReplayAnswer("a2", answer))
+        settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
+        self.assertEqual(settled, [ReturnOutcome("a1")])
+        (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
+        self.assertEqual(action, ReplayResponse("a2", answer))
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -17,14 +17,14 @@
 
 from daisyhub.exceptions import ErrorCode, Ran
 from daisyhub.filters import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
-    Begin,
-    Deliver,
+    DeliverResponse,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     ForwardTick,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
@@ -92,9 +92,9 @@
     def on_final(self, request, action):
         assert request.final is None
         request.final = action
-        if isinstance(action, Deliver):
+        if isinstance(action, DeliverResponse):
             return
-        assert isinstance(action, GiveUp)
+        assert isinstance(action, FailRequest)
         if action.ran is Ran.NOT_RUN:
             assert not request.runs, "refused as not run though it ran"
             assert not any(request.open.values())
@@ -118,7 +118,7 @@
             self.count += 1
             request = Request(self.core_class(plan, self.choose, self.budget))
             self.requests.append(request)
-            self.feed(request, Begin())
+            self.feed(request, ForwardStarted())
             if outcome and 1 in request.open:
                 self.end(request, 1, outcome)
 
@@ -128,8 +128,8 @@
             return
         del request.open[attempt]
         request.runs += 1
-        self.feed(request, AttemptAnswered(attempt))
-        assert request.final == Deliver(attempt)
+        self.feed(request, AttemptCompleted(attempt))
+        assert request.final == DeliverResponse(attempt)
 
     def fail(self, request, attempt, ran, truly):
         del request.open[attempt]
@@ -217,7 +217,7 @@
 class BoundlessBudget(RetryBudget):
     """Broken: every retry is allowed."""
 
-    def take(self):
+    def try_acquire(self):
         return True
 
 
