--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -10,18 +10,18 @@
 import msgspec
 
 from daisyhub.rollouts import (
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
-    SampleReady,
+    PullRequested,
+    SampleReceived,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 
@@ -68,7 +68,7 @@
     )
     for action in actions:
         if isinstance(action, Generate):
-            core.handle(SampleReady(action.attempt, answer), 0.0)
+            core.handle(SampleReceived(action.attempt, answer), 0.0)
     return core
 
 
@@ -80,7 +80,7 @@
     pulls = GROUPS // GROUPS_A_PULL
     for number in range(pulls):
         pull_id = f"step-1042-{number}"
-        asked = PullAsked(
+        asked = PullRequested(
             call=number,
             pull_id=pull_id,
             version=1,
@@ -93,8 +93,8 @@
         mid_s = time.process_time()
         body = msgspec.json.encode(msgspec.to_builtins(write.state))
         end_s = time.process_time()
-        done = WriteDone(write.write_id, write.expected_version + 1)
-        given = _only(core.handle(done, 1.0), HandOver)
+        done = StateWritten(write.write_id, write.expected_version + 1)
+        given = _only(core.handle(done, 1.0), DeliverGroups)
         last_s = time.process_time()
         samples = msgspec.json.encode(given.groups)
         sums["hand_over_us"] += (time.process_time() - last_s) * _US
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -9,15 +9,15 @@
 from daisyhub.base import Controller
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.controllers._config import ConfigController
-from daisyhub.hosting import LeaseKeeper, PlatformObject
+from daisyhub.hosting import LeaseFactory, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     OrderFailed,
     OrderNotSent,
-    RolloutRule,
+    RolloutPolicy,
     SendOrder,
     VersionPublished,
     WeightCore,
@@ -67,7 +67,7 @@
     def __init__(
         self,
         cfg: DaemonSettings,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         http: HttpClient,
         table: EndpointTable,
         config: ConfigController,
@@ -76,7 +76,7 @@
         self._http = http
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty(f"weights/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"weights/{cfg.failure_domain}")
         self._core = WeightCore(_extra_margin_s(cfg.timing))
         self._published: dict[str, int] = {}
         self._wakeup = anyio.Event()
@@ -87,7 +87,7 @@
             "wanted": self._core.wanted,
             "behind": self._core.behind,
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
         }
 
     async def on_weights(self, found: PlatformObject) -> None:
@@ -128,10 +128,10 @@
         left_s = wakeup_s - time.monotonic()
         return min(pause_s, max(_SHORTEST_STEP_S, left_s))
 
-    def _engines_seen(self) -> EnginesSeen:
+    def _engines_seen(self) -> EnginesListed:
         now_s = time.monotonic()
         rules = {
-            name: RolloutRule(pool.weight_loads_at_once, pool.checks_fencing)
+            name: RolloutPolicy(pool.weight_loads_at_once, pool.checks_fencing)
             for name, pool in self._config.document.endpoint_pools.items()
             if pool.kind == "engine"
         }
@@ -142,7 +142,7 @@
             for name in rules
             for state in self._table.candidates(name, now_s)
         )
-        return EnginesSeen(engines, rules)
+        return EnginesListed(engines, rules)
 
     async def _load(self, order: SendOrder) -> None:
         self._feed(await self._send(order))
@@ -179,7 +179,7 @@
             )
             return OrderFailed(order.attempt)
         state.weight_version = max(state.weight_version, order.version)
-        return OrderDone(order.attempt)
+        return OrderCompleted(order.attempt)
 
 
 def _extra_margin_s(timing: TimingSettings) -> float:
