--- a/daisyhub/filters/_account.py
+++ b/daisyhub/filters/_account.py
@@ -1,18 +1,22 @@
-"""Counts usage of served requests."""
+"""Counts the usage of client accounts."""
 
 import dataclasses
 
 from daisyhub.accounting import UsageCounters
 from daisyhub.base import Filter, Handler
 from daisyhub.clocks import wall_time_s
-from daisyhub.filters._stream_end import StreamEnd
+from daisyhub.filters._observed_stream import ObservedStream
 from daisyhub.messages import Request, Response
 
 __all__ = ["AccountFilter"]
 
 
 class AccountFilter(Filter):
-    """Counts each whole answer for the account of its key."""
+    """Counts each complete response for the account of the request.
+
+    Args:
+        counters: Usage counters of this daemon.
+    """
 
     name = "account"
 
@@ -20,7 +24,11 @@
         self._counters = counters
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Counts after the answer, a stream at its end; no refusal."""
+        """Counts the response, a stream once it is complete.
+
+        Refusals, incomplete streams and requests without an account are not
+        counted.
+        """
         resp = await call_next(req)
         if not req.account:
             return resp
@@ -28,11 +36,11 @@
             self._count(req, resp)
             return resp
 
-        def on_end(is_whole: bool) -> None:
-            if is_whole:
+        def on_end(is_complete: bool) -> None:
+            if is_complete:
                 self._count(req, resp)
 
-        stream = StreamEnd(resp.stream, on_end)
+        stream = ObservedStream(resp.stream, on_end)
         return dataclasses.replace(resp, stream=stream)
 
     def _count(self, req: Request, resp: Response) -> None:
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -1,12 +1,13 @@
-"""Admission decided by a deterministic core.
-
-Each account has a token bucket for its rate. Under contention for the
-daemon's places, requests wait in one queue for each account and are admitted
-by start-time fair queueing over the accounts' weights, so that a large
-account can't starve a small one. What can't be served in time is refused at
-once; when the queues are full, the account with the most waiting requests
-for its weight loses its newest. An event costs time with the logarithm of
-the number of accounts.
+"""A deterministic core for admission control.
+
+Each account has a token bucket that limits its rate. When the daemon's
+concurrency limit is reached, requests wait in one queue for each account and
+are admitted by start-time fair queueing over the accounts' weights, so that a
+large account can't starve a small one. A request that is not expected to be
+admitted by its deadline is refused on arrival. When the queues are full, the
+account with the most waiting requests relative to its weight loses its newest
+one. An event takes amortized time logarithmic in the number of accounts and of
+waiting requests.
 """
 
 import collections
@@ -21,21 +22,26 @@
     "AdmissionCore",
     "AdmissionTick",
     "AdmitRequest",
+    "ConcurrencyLimitChanged",
+    "RequestAbandoned",
     "RequestArrived",
     "RequestDeparted",
-    "RequestAbandoned",
-    "ConcurrencyLimitChanged",
     "ShedRequest",
     "compute_concurrency_limit",
 ]
 
-_PLACES_PER_CAPACITY = 2
-_LEAST_PLACES = 2
-_QUEUE_PER_PLACE = 2
-_FIRST_SERVICE_S = 0.05
-_SERVICE_SMOOTHING = 0.05
-_MIN_RETRY_S = 0.1
-_WHOLE_TOKEN = 1 - 1e-10  # Rounding must not refuse a whole token.
+# Concurrent requests of all daemons for each request that the endpoints can
+# serve at one time.
+_CAPACITY_FACTOR = 2
+_MIN_CONCURRENCY_LIMIT = 2
+# Waiting requests allowed for each unit of the concurrency limit.
+_QUEUED_PER_SLOT = 2
+# Mean service time assumed before the first measurement.
+_INITIAL_SERVICE_TIME_S = 0.05
+# Weight of a new sample in the exponential moving average.
+_SERVICE_TIME_SMOOTHING = 0.05
+_MIN_RETRY_DELAY_S = 0.1
+_MIN_TOKENS = 1 - 1e-10  # Tolerates rounding errors of a full token.
 _IDLE_CHECKS_PER_ARRIVAL = 2
 
 
@@ -45,11 +51,11 @@
 
     Attributes:
         request_id: Unique id.
-        account: Its account; empty on open routes.
-        weight: Share of the account under contention.
-        rate: Sustained requests a second of the account; 0 for no bound.
-        burst: Size of the account's bucket.
-        deadline_s: When the caller stops waiting.
+        account: The client account; empty on open routes.
+        weight: Fair-queueing weight of the account.
+        rate: Sustained requests per second of the account; 0 for no limit.
+        burst: Size of the account's token bucket.
+        deadline_s: Time at which the caller stops waiting.
     """
 
     request_id: str
@@ -62,14 +68,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConcurrencyLimitChanged:
-    """The endpoints can serve more or fewer requests than before."""
+    """The number of requests that may be in service has changed."""
 
     concurrency_limit: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestDeparted:
-    """An admitted request ended after `service_s` seconds."""
+    """An admitted request left service after `service_s` seconds."""
 
     request_id: str
     service_s: float
@@ -77,26 +83,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RequestAbandoned:
-    """A waiting request was given up by its caller."""
+    """The caller of a waiting request stopped waiting."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionTick:
-    """Time has passed."""
+    """The wake-up time of the core has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmitRequest:
-    """Action: let the request go on."""
+    """Action: pass the request on."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ShedRequest:
-    """Action: refuse the request now."""
+    """Action: refuse the request.
+
+    Attributes:
+        request_id: Id of the request.
+        error: The error code.
+        retry_after_s: Seconds after which to retry.
+    """
 
     request_id: str
     error: ErrorCode
@@ -105,16 +117,17 @@
 
 @dataclasses.dataclass(slots=True)
 class _Account:
-    """State of one account.
+    """State of one account; its limits are those of its last arrival.
 
     Attributes:
         name: The account.
-        weight: As of its last arrival.
-        rate: Tokens a second, as of its last arrival; 0 for no bound.
-        burst: Most tokens, as of its last arrival.
-        tokens: Requests that it may send at once.
-        refilled_s: When `tokens` held.
-        finish_tag: Virtual time when its last admission is paid for.
+        weight: Fair-queueing weight.
+        rate: Tokens per second; 0 for no limit.
+        burst: Maximum number of tokens.
+        tokens: Tokens available at `refilled_s`.
+        refilled_s: Time of the last refill.
+        finish_tag: Virtual finish time of the last request admitted from the
+            queue.
         queue: Waiting requests by id, oldest first.
     """
 
@@ -130,30 +143,30 @@
     )
 
     def refill(self, now_s: float) -> None:
-        """Adds the tokens gained since the last refill."""
+        """Adds the tokens accrued since the last refill."""
         gained = (now_s - self.refilled_s) * self.rate
         self.tokens = min(self.burst, self.tokens + gained)
         self.refilled_s = now_s
 
     def take_token(self) -> None:
-        """Pays for one request, unless the rate has no bound."""
+        """Takes the token for one request, unless the rate is unlimited."""
         if self.rate > 0:
             self.tokens -= 1
 
 
 class AdmissionCore(Core):
-    """Admits at most `places` requests at one time.
+    """Decides which requests are admitted, wait or are refused.
 
     Times are seconds on a monotonic clock.
 
     Args:
-        places: Most requests in service at one time; `ConcurrencyLimitChanged` lowers
-            and raises the number below it.
+        max_concurrency: Maximum number of requests in service at one time. A
+            `ConcurrencyLimitChanged` sets a limit at or below it.
     """
 
-    def __init__(self, concurrency_limit: int):
-        self.concurrency_limit = concurrency_limit
-        self._open_places = concurrency_limit
+    def __init__(self, max_concurrency: int):
+        self.max_concurrency = max_concurrency
+        self._concurrency_limit = max_concurrency
         self._accounts: dict[str, _Account] = {}
         self._idle_checks: collections.deque[str] = collections.deque()
         self._in_service: set[str] = set()
@@ -164,63 +177,66 @@
         self._deadlines = PriorityMap()
         self._virtual_time = 0.0
         self._last_finish_tag = 0.0
-        self._service_s = _FIRST_SERVICE_S
+        self._mean_service_time_s = _INITIAL_SERVICE_TIME_S
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """The earliest deadline of a waiting request."""
+        """Earliest deadline of a waiting request; None if none waits."""
         first = self._deadlines.first()
         return first[0] if first else None
 
     @property
     def waiting_count(self) -> int:
-        """How many requests wait."""
+        """Number of waiting requests."""
         return len(self._waiting)
 
     @property
-    def known_accounts(self) -> int:
-        """How many accounts have state here."""
+    def account_count(self) -> int:
+        """Number of accounts with state in the core."""
         return len(self._accounts)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one admission event; returns `AdmitRequest` and `ShedRequest` actions."""
+        """Handles one event; returns admissions and refusals of requests."""
         actions = self._shed_expired(now_s)
         match event:
             case RequestArrived():
-                return actions + self._on_arrive(event, now_s)
+                return actions + self._on_arrived(event, now_s)
             case RequestDeparted():
-                return actions + self._on_depart(event)
+                return actions + self._on_departed(event)
             case RequestAbandoned():
                 self._remove_waiting(event.request_id)
                 return actions
             case ConcurrencyLimitChanged():
-                self._open_places = min(
-                    event.concurrency_limit, self.concurrency_limit
+                self._concurrency_limit = min(
+                    event.concurrency_limit, self.max_concurrency
                 )
                 return actions + self._admit_waiting()
             case AdmissionTick():
                 return actions
         raise TypeError(f"not an admission event: {event!r}")
 
-    def _on_arrive(self, event: RequestArrived, now_s: float) -> list[object]:
-        self._forget_idle(now_s)
-        account = self._account(event, now_s)
-        if event.rate > 0 and account.tokens < _WHOLE_TOKEN:
-            missing_s = (1 - account.tokens) / event.rate
-            return [_shed(event, ErrorCode.RATE_LIMITED, missing_s)]
-        if len(self._in_service) < self._open_places and not self._waiting:
+    def _on_arrived(self, event: RequestArrived, now_s: float) -> list[object]:
+        self._evict_idle_accounts(now_s)
+        account = self._get_account(event, now_s)
+        if event.rate > 0 and account.tokens < _MIN_TOKENS:
+            refill_wait_s = (1 - account.tokens) / event.rate
+            return [_make_shed(event, ErrorCode.RATE_LIMITED, refill_wait_s)]
+        if (
+            len(self._in_service) < self._concurrency_limit
+            and not self._waiting
+        ):
             account.take_token()
             return [self._admit(event.request_id)]
         if event.deadline_s - now_s < self._expected_wait_s(account):
-            return [self._overloaded(event, account)]
+            return [self._make_overloaded_shed(event, account)]
         account.take_token()
         self._enqueue(account, event)
-        if len(self._waiting) <= self._open_places * _QUEUE_PER_PLACE:
+        if len(self._waiting) <= self._concurrency_limit * _QUEUED_PER_SLOT:
             return []
         return [self._shed_most_overloaded()]
 
-    def _account(self, event: RequestArrived, now_s: float) -> _Account:
-        """Returns the account, refilled, with the newest limits."""
+    def _get_account(self, event: RequestArrived, now_s: float) -> _Account:
+        """Returns the account of an arrival, refilled, with updated limits."""
         account = self._accounts.get(event.account)
         if account is None:
             account = _Account(
@@ -245,23 +261,23 @@
         if account.queue:
             self._waiting_weight += weight - account.weight
         account.weight = weight
-        self._note_overload(account)
+        self._update_overload(account)
 
     def _expected_wait_s(self, account: _Account) -> float:
-        """Returns the wait for a new request's turn by the fair order."""
+        """Returns the expected wait, in seconds, of a new request."""
         others = self._waiting_weight
         if account.queue:
             others -= account.weight
         own_turns = len(account.queue) + 1
         fair_turns = own_turns * (1 + others / account.weight)
         turns = min(fair_turns, len(self._waiting) + 1)
-        return turns * self._service_s / self._open_places
+        return turns * self._mean_service_time_s / self._concurrency_limit
 
-    def _overloaded(
+    def _make_overloaded_shed(
         self, event: RequestArrived, account: _Account
     ) -> ShedRequest:
-        wait_s = self._service_s + self._expected_wait_s(account)
-        return _shed(event, ErrorCode.OVERLOADED, wait_s)
+        wait_s = self._mean_service_time_s + self._expected_wait_s(account)
+        return _make_shed(event, ErrorCode.OVERLOADED, wait_s)
 
     def _enqueue(self, account: _Account, event: RequestArrived) -> None:
         if not account.queue:
@@ -271,7 +287,7 @@
         account.queue[event.request_id] = event
         self._waiting[event.request_id] = account
         self._deadlines.set(event.request_id, event.deadline_s)
-        self._note_overload(account)
+        self._update_overload(account)
 
     def _remove_waiting(self, request_id: str) -> RequestArrived | None:
         account = self._waiting.pop(request_id, None)
@@ -282,13 +298,14 @@
         if not account.queue:
             self._waiting_weight -= account.weight
             self._start_tags.discard(account.name)
-        self._note_overload(account)
+        self._update_overload(account)
         if not self._waiting:
-            # Shares count while requests wait; the past is forgotten.
+            # Fairness applies only among waiting requests. Moving virtual time
+            # past all finish tags drops the history when the queues are empty.
             self._virtual_time = self._last_finish_tag
         return event
 
-    def _note_overload(self, account: _Account) -> None:
+    def _update_overload(self, account: _Account) -> None:
         if not account.queue:
             self._overload.discard(account.name)
             return
@@ -296,16 +313,16 @@
         self._overload.set(account.name, -waiting_by_weight)
 
     def _shed_most_overloaded(self) -> ShedRequest:
-        """Refuses the newest request of the account furthest over share."""
+        """Refuses the newest request of the account furthest over its share."""
         account = self._accounts[self._overload.first()[1]]
         return self._shed_waiting(next(reversed(account.queue)))
 
     def _shed_waiting(self, request_id: str) -> ShedRequest:
-        """Refuses a waiting request and gives its token back."""
+        """Refuses a waiting request and returns its token to the bucket."""
         account = self._waiting[request_id]
         event = self._remove_waiting(request_id)
         account.tokens = min(account.burst, account.tokens + 1)
-        return self._overloaded(event, account)
+        return self._make_overloaded_shed(event, account)
 
     def _shed_expired(self, now_s: float) -> list[object]:
         actions = []
@@ -317,18 +334,18 @@
         self._in_service.add(request_id)
         return AdmitRequest(request_id)
 
-    def _on_depart(self, event: RequestDeparted) -> list[object]:
+    def _on_departed(self, event: RequestDeparted) -> list[object]:
         if event.request_id not in self._in_service:
             return []
         self._in_service.remove(event.request_id)
-        self._service_s += _SERVICE_SMOOTHING * (
-            event.service_s - self._service_s
+        self._mean_service_time_s += _SERVICE_TIME_SMOOTHING * (
+            event.service_s - self._mean_service_time_s
         )
         return self._admit_waiting()
 
     def _admit_waiting(self) -> list[object]:
         actions = []
-        while self._waiting and len(self._in_service) < self._open_places:
+        while self._waiting and len(self._in_service) < self._concurrency_limit:
             actions.append(self._admit_next())
         return actions
 
@@ -343,41 +360,47 @@
         self._remove_waiting(request_id)
         return self._admit(request_id)
 
-    def _forget_idle(self, now_s: float) -> None:
-        """Looks at a few accounts, and forgets those that lose nothing."""
+    def _evict_idle_accounts(self, now_s: float) -> None:
+        """Checks a few accounts and removes those whose state is redundant.
+
+        An account whose bucket is full, whose finish tag has passed and which
+        has no waiting request would be recreated with equal state.
+        """
         for _ in range(min(_IDLE_CHECKS_PER_ARRIVAL, len(self._idle_checks))):
             name = self._idle_checks.popleft()
             account = self._accounts[name]
             account.refill(now_s)
-            is_full = account.rate <= 0 or account.tokens >= account.burst
-            is_paid = account.finish_tag <= self._virtual_time
-            if is_full and is_paid and not account.queue:
+            has_full_bucket = (
+                account.rate <= 0 or account.tokens >= account.burst
+            )
+            has_finished = account.finish_tag <= self._virtual_time
+            if has_full_bucket and has_finished and not account.queue:
                 del self._accounts[name]
                 continue
             self._idle_checks.append(name)
 
 
-def _shed(
+def _make_shed(
     event: RequestArrived, error: ErrorCode, wait_s: float
 ) -> ShedRequest:
-    return ShedRequest(event.request_id, error, max(_MIN_RETRY_S, wait_s))
+    return ShedRequest(event.request_id, error, max(_MIN_RETRY_DELAY_S, wait_s))
 
 
 def compute_concurrency_limit(
-    capacity: int | None, daemons: int, most: int
+    capacity: int | None, daemon_count: int, max_limit: int
 ) -> int:
-    """Returns how many requests one daemon should have in service.
+    """Returns the maximum number of requests in service in one daemon.
 
-    With more places than the endpoints work on at one time, queues form in
-    the endpoints, in order of arrival, where no account's weight counts.
+    A limit far above the capacity of the endpoints would move the queues into
+    the endpoints, which serve in order of arrival and ignore account weights.
 
     Args:
-        capacity: Requests that the endpoints serve at one time in all; None
-            if not all of them tell it.
-        daemons: Live daemons that share the endpoints.
-        most: The daemon's own bound.
+        capacity: Total number of requests that the endpoints can serve at one
+            time; None if not all endpoints report it.
+        daemon_count: Number of live daemons that share the endpoints.
+        max_limit: Upper bound on the limit, set for each daemon.
     """
     if capacity is None:
-        return most
-    share = math.ceil(capacity * _PLACES_PER_CAPACITY / max(1, daemons))
-    return min(most, max(_LEAST_PLACES, share))
+        return max_limit
+    share = math.ceil(capacity * _CAPACITY_FACTOR / max(1, daemon_count))
+    return min(max_limit, max(_MIN_CONCURRENCY_LIMIT, share))
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -1,4 +1,4 @@
-"""Admits, queues or refuses requests as the admission core decides."""
+"""Admits, queues or refuses requests by decision of the admission core."""
 
 import dataclasses
 import time
@@ -21,27 +21,28 @@
     RequestDeparted,
     ShedRequest,
 )
-from daisyhub.filters._stream_end import StreamEnd
+from daisyhub.filters._observed_stream import ObservedStream
 from daisyhub.messages import Request, Response
 
 __all__ = ["AdmitFilter"]
 
 _DETAILS = {
     "rate_limited": "the account's rate is used up",
-    "overloaded": "no place is free in time",
+    "overloaded": "the request can't be admitted in time",
 }
-_PLACES_INTERVAL_S = 1.0
+_LIMIT_UPDATE_INTERVAL_S = 1.0
 _OPEN_ACCOUNT = ClientAccount()
 
 
 class AdmitFilter(Filter):
-    """Carries out the decisions of an `AdmissionCore`.
+    """Executes the decisions of an `AdmissionCore`.
 
     Args:
-        core: The core.
-        get_document: Returns the document in force.
-        shares: This daemon's shares of the accounts' limits.
-        get_places: Returns how many requests may be in service now.
+        core: The admission core.
+        get_document: Returns the active configuration document.
+        shares: This daemon's shares of the accounts' rate limits.
+        get_concurrency_limit: Returns the number of requests that may be in
+            service at one time; None for a constant limit.
     """
 
     name = "admit"
@@ -51,45 +52,52 @@
         core: AdmissionCore,
         get_document: Callable[[], Document],
         shares: RateShares,
-        get_places: Callable[[], int] | None = None,
+        get_concurrency_limit: Callable[[], int] | None = None,
     ):
         self._core = core
         self._get_document = get_document
         self._shares = shares
-        self._get_places = get_places
-        self._places_at_s = 0.0
-        self._verdicts: dict[str, object] = {}
+        self._get_concurrency_limit = get_concurrency_limit
+        self._limit_update_at_s = 0.0
+        self._decisions: dict[str, object] = {}
         self._waiters: dict[str, anyio.Event] = {}
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Waits for a place, serves, and gives the place back at the end."""
-        verdict = await self._wait_for_verdict(req)
-        if isinstance(verdict, ShedRequest):
+        """Passes the request on once it is admitted.
+
+        A streamed response stays in service until its stream ends or is closed.
+
+        Raises:
+            Refusal: The account's rate is used up, or the request can't be
+                admitted by its deadline.
+        """
+        decision = await self._wait_for_decision(req)
+        if isinstance(decision, ShedRequest):
             raise Refusal(
-                verdict.error,
-                _DETAILS[verdict.error.label],
-                retry_after_s=verdict.retry_after_s,
+                decision.error,
+                _DETAILS[decision.error.label],
+                retry_after_s=decision.retry_after_s,
             )
         started_s = time.monotonic()
 
-        def depart(_: bool = False) -> None:
+        def release_slot(_: bool = False) -> None:
             now_s = time.monotonic()
             event = RequestDeparted(req.request_id, now_s - started_s)
-            self._perform(self._core.handle(event, now_s))
+            self._apply(self._core.handle(event, now_s))
 
         try:
             resp = await call_next(req)
         except BaseException:
-            depart()
+            release_slot()
             raise
         if resp.stream is None:
-            depart()
+            release_slot()
             return resp
-        stream = StreamEnd(resp.stream, depart)
+        stream = ObservedStream(resp.stream, release_slot)
         return dataclasses.replace(resp, stream=stream)
 
-    async def _wait_for_verdict(self, req: Request) -> object:
-        self._follow_capacity()
+    async def _wait_for_decision(self, req: Request) -> object:
+        self._update_concurrency_limit()
         account = self._get_document().client_accounts.get(
             req.account, _OPEN_ACCOUNT
         )
@@ -104,50 +112,53 @@
             burst=max(1, int(account.burst * share)),
             deadline_s=req.deadline_s,
         )
-        self._perform(self._core.handle(event, time.monotonic()))
-        verdict = self._verdicts.pop(req.request_id, None)
-        if verdict is not None:
-            return verdict
+        self._apply(self._core.handle(event, time.monotonic()))
+        decision = self._decisions.pop(req.request_id, None)
+        if decision is not None:
+            return decision
         waiter = anyio.Event()
         self._waiters[req.request_id] = waiter
         try:
             await self._wait_until_deadline(req, waiter)
-            return self._verdicts.pop(req.request_id)
+            return self._decisions.pop(req.request_id)
         except BaseException:
-            self._give_up(req)
+            self._abandon(req)
             raise
         finally:
             del self._waiters[req.request_id]
 
-    def _follow_capacity(self) -> None:
-        """Tells the core once a second how many places there are."""
+    def _update_concurrency_limit(self) -> None:
+        """Passes the current concurrency limit to the core once a second."""
         now_s = time.monotonic()
-        if self._get_places is None or now_s < self._places_at_s:
+        if (
+            self._get_concurrency_limit is None
+            or now_s < self._limit_update_at_s
+        ):
             return
-        self._places_at_s = now_s + _PLACES_INTERVAL_S
-        event = ConcurrencyLimitChanged(self._get_places())
-        self._perform(self._core.handle(event, now_s))
+        self._limit_update_at_s = now_s + _LIMIT_UPDATE_INTERVAL_S
+        event = ConcurrencyLimitChanged(self._get_concurrency_limit())
+        self._apply(self._core.handle(event, now_s))
 
     async def _wait_until_deadline(self, req: Request, waiter) -> None:
-        """Waits for a verdict; the core gives one at the deadline."""
+        """Waits for a decision, which the core makes by the deadline."""
         while not waiter.is_set():
             with anyio.move_on_after(req.deadline_s - time.monotonic()):
                 await waiter.wait()
             actions = self._core.handle(AdmissionTick(), time.monotonic())
-            self._perform(actions)
+            self._apply(actions)
 
-    def _give_up(self, req: Request) -> None:
-        """Takes back a request whose caller went away while it waited."""
+    def _abandon(self, req: Request) -> None:
+        """Withdraws a request whose caller stopped waiting for a decision."""
         now_s = time.monotonic()
-        verdict = self._verdicts.pop(req.request_id, None)
+        decision = self._decisions.pop(req.request_id, None)
         event = RequestAbandoned(req.request_id)
-        if isinstance(verdict, AdmitRequest):
+        if isinstance(decision, AdmitRequest):
             event = RequestDeparted(req.request_id, 0.0)
-        self._perform(self._core.handle(event, now_s))
+        self._apply(self._core.handle(event, now_s))
 
-    def _perform(self, actions: list[object]) -> None:
+    def _apply(self, actions: list[object]) -> None:
         for action in actions:
-            self._verdicts[action.request_id] = action
+            self._decisions[action.request_id] = action
             waiter = self._waiters.get(action.request_id)
             if waiter is not None:
                 waiter.set()
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -1,4 +1,4 @@
-"""Carries out what the forward core decides, side by side if it hedges."""
+"""Executes the attempts of the forward core, concurrently if it hedges."""
 
 import dataclasses
 import time
@@ -20,54 +20,60 @@
 
 __all__ = ["AttemptOutcome", "run_attempts"]
 
-_MOST_WAITING = 4
+# Outcomes of concurrent attempts that wait for the core.
+_OUTCOME_BUFFER_SIZE = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """What an attempt brought: an event for the core, and the answer."""
+    """The result of one attempt.
+
+    Attributes:
+        event: The event for the core.
+        answer: The response of the endpoint; None if the attempt failed.
+    """
 
     event: AttemptCompleted | AttemptFailed
     answer: HttpAnswer | StreamedAnswer | None = None
 
 
-Attempt = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
+AttemptSender = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
 
 
 async def run_attempts(
-    core: ForwardCore, attempt: Attempt
+    core: ForwardCore, send_attempt: AttemptSender
 ) -> AttemptOutcome | FailRequest:
-    """Runs attempts until one is delivered or the core gives up.
+    """Runs attempts until the core delivers a response or fails the request.
 
     Args:
-        core: Decides about one request.
-        attempt: Sends the request to one endpoint.
+        core: The forward core of one request.
+        send_attempt: Sends the request to one endpoint.
 
     Returns:
-        The outcome whose answer is to be delivered, or the refusal.
+        The outcome with the response to deliver, or the core's `FailRequest`.
     """
     if core.plan.hedge_after_s > 0:
-        return await _run_hedged(core, attempt)
+        return await _run_hedged(core, send_attempt)
     outcome = None
     actions = core.handle(ForwardStarted(), time.monotonic())
     while isinstance(actions[0], StartAttempt):
-        outcome = await attempt(actions[0])
+        outcome = await send_attempt(actions[0])
         actions = core.handle(outcome.event, time.monotonic())
     return actions[0] if isinstance(actions[0], FailRequest) else outcome
 
 
 async def _run_hedged(
-    core: ForwardCore, attempt: Attempt
+    core: ForwardCore, send_attempt: AttemptSender
 ) -> AttemptOutcome | FailRequest:
-    """Runs attempts side by side; the first whole answer wins."""
+    """Runs attempts concurrently; delivers the first complete response."""
     outcomes: dict[int, AttemptOutcome] = {}
     send, receive = anyio.create_memory_object_stream[AttemptOutcome](
-        _MOST_WAITING
+        _OUTCOME_BUFFER_SIZE
     )
     final = None
 
     async def run(action: StartAttempt) -> None:
-        await send.send(await attempt(action))
+        await send.send(await send_attempt(action))
 
     async with anyio.create_task_group() as tasks:
         actions = core.handle(ForwardStarted(), time.monotonic())
@@ -79,7 +85,7 @@
                     final = action
             if final is not None:
                 break
-            event = await _next_event(core, receive, outcomes)
+            event = await _wait_for_event(core, receive, outcomes)
             actions = core.handle(event, time.monotonic())
         tasks.cancel_scope.cancel()
     send.close()
@@ -89,7 +95,8 @@
     )
 
 
-async def _next_event(core, receive, outcomes) -> object:
+async def _wait_for_event(core, receive, outcomes) -> object:
+    """Returns the next outcome's event, or a tick at the core's wake-up."""
     wakeup_s = core.next_wakeup_s
     wait_s = None
     if wakeup_s is not None:
--- a/daisyhub/filters/_chain.py
+++ b/daisyhub/filters/_chain.py
@@ -1,4 +1,4 @@
-"""Builds one handler out of filters."""
+"""Combines filters into one request handler."""
 
 import functools
 from collections.abc import Sequence
@@ -11,12 +11,15 @@
 
 
 async def _end_of_chain(req: Request) -> Response:
-    raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"nothing serves {req.path}")
+    raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"no filter handles {req.path}")
 
 
 def build_chain(filters: Sequence[Filter]) -> Handler:
-    """Returns a handler that passes a request through all filters in order."""
+    """Returns a handler that passes each request through all filters in order.
+
+    A request that no filter answers is refused with `ROUTE_UNKNOWN`.
+    """
     handler = _end_of_chain
-    for step in reversed(filters):
-        handler = functools.partial(step.handle, call_next=handler)
+    for request_filter in reversed(filters):
+        handler = functools.partial(request_filter.handle, call_next=handler)
     return handler
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -1,4 +1,4 @@
-"""Carries out the claim core's actions, and settles pending claims."""
+"""Executes the claim core's actions and reconciles pending claims."""
 
 import contextlib
 import itertools
@@ -31,14 +31,14 @@
 
 __all__ = ["ClaimController"]
 
-_RELEASE_S = 5.0
+_RELEASE_TIMEOUT_S = 5.0
 
 
 class ClaimController(Controller):
-    """Keeps the claims of this process.
+    """Runs the claim core of this process.
 
     Args:
-        client: The platform.
+        client: Client of the platform's store.
     """
 
     name = "claims"
@@ -47,65 +47,84 @@
         self._client = client
         self._core = ClaimCore()
         self._write_ids = itertools.count(1)
-        self._changed = anyio.Event()
+        self._pending_added = anyio.Event()
 
     async def claim(self, event: ClaimRequested, deadline_s: float) -> object:
-        """Asks for a key; returns what to do with its request."""
-        return await self._decide(event, deadline_s)
+        """Claims an idempotency key.
 
-    async def end(self, event: RequestEnded, deadline_s: float) -> None:
-        """Stores how a forwarded request ended, at the latest later on."""
-        await self._decide(event, deadline_s)
+        Args:
+            event: The request for the claim.
+            deadline_s: Monotonic time after which the store is not awaited.
 
-    def drop(self, attempt: str) -> None:
-        """Notes that an attempt was cancelled."""
+        Returns:
+            `ForwardRequest`, `ReplayResponse` or `RefuseRequest`.
+        """
+        return await self._run_to_decision(event, deadline_s)
+
+    async def store_outcome(
+        self, event: RequestEnded, deadline_s: float
+    ) -> None:
+        """Stores the outcome of a forwarded request.
+
+        If that fails before the deadline, the claim becomes pending and `run`
+        stores it later.
+        """
+        await self._run_to_decision(event, deadline_s)
+
+    def cancel(self, attempt: str) -> None:
+        """Cancels an attempt; has no effect if the attempt has ended."""
         self._core.handle(ClaimCancelled(attempt), time.monotonic())
-        self._wake()
+        self._notify_run()
 
     async def run(self) -> None:
-        """Settles pending claims until cancelled."""
+        """Reconciles pending claims until cancelled."""
         while True:
             wakeup_s = self._core.next_wakeup_s
             if wakeup_s is None:
-                self._changed = anyio.Event()
-                await self._changed.wait()
+                self._pending_added = anyio.Event()
+                await self._pending_added.wait()
                 continue
             await anyio.sleep(max(0.0, wakeup_s - time.monotonic()))
-            await self._settle()
+            await self._reconcile()
 
     async def release(self) -> None:
-        """Tries to settle what is pending before the daemon ends."""
-        with anyio.move_on_after(_RELEASE_S):
-            while self._core.pending:
+        """Waits a few seconds for pending claims before the daemon stops."""
+        with anyio.move_on_after(_RELEASE_TIMEOUT_S):
+            while self._core.pending_count:
                 await anyio.sleep(0.05)
 
     def status(self) -> dict[str, object]:
-        """Tells how many claims wait to be settled."""
-        return {"pending": self._core.pending}
+        """Returns the number of pending claims."""
+        return {"pending": self._core.pending_count}
 
-    async def _settle(self) -> None:
+    async def _reconcile(self) -> None:
         actions = self._core.handle(ClaimTick(), time.monotonic())
         while actions:
-            event = await self._perform(actions.pop(0))
+            event = await self._execute(actions.pop(0))
             actions += self._core.handle(event, time.monotonic())
 
-    async def _decide(self, event: object, deadline_s: float) -> object:
-        """Feeds the core until it wants something else than the store."""
+    async def _run_to_decision(
+        self, event: object, deadline_s: float
+    ) -> object:
+        """Runs the core's store actions; returns its first other action.
+
+        A store action not completed by the deadline counts as failed.
+        """
         while True:
             action = self._core.handle(event, time.monotonic())[0]
             if not isinstance(action, (ReadClaim, WriteClaim)):
-                self._wake()
+                self._notify_run()
                 return action
-            event = _lost(action)
+            event = _make_failure_event(action)
             wait_s = deadline_s - time.monotonic()
             with anyio.move_on_after(max(0.0, wait_s)):
-                event = await self._perform(action)
+                event = await self._execute(action)
 
-    def _wake(self) -> None:
+    def _notify_run(self) -> None:
         if self._core.next_wakeup_s is not None:
-            self._changed.set()
+            self._pending_added.set()
 
-    async def _perform(self, action: ReadClaim | WriteClaim) -> object:
+    async def _execute(self, action: ReadClaim | WriteClaim) -> object:
         if isinstance(action, ReadClaim):
             return await self._read(action)
         try:
@@ -133,7 +152,7 @@
         return ClaimReadFailed(action.attempt)
 
 
-def _lost(action: ReadClaim | WriteClaim) -> object:
+def _make_failure_event(action: ReadClaim | WriteClaim) -> object:
     if isinstance(action, ReadClaim):
         return ClaimReadFailed(action.attempt)
     return ClaimWriteUncertain(action.attempt)
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -1,13 +1,14 @@
-"""Claims of idempotency keys decided by a deterministic core.
+"""A deterministic core that decides on claims of idempotency keys.
 
-A key is claimed by conditional write before its request is sent. A claim is
-taken over only if it says `free`, or if it is this process's own attempt of
-which the process knows that it was never sent. Every other claim of another
-attempt bars the key: a dead daemon's claim stays unknown for good.
+A key is claimed by a conditional write before its request is sent. A stored
+claim is taken over only if its state is `free`, or if it belongs to an attempt
+of this process whose request was never sent. Every other claim of another
+attempt blocks the key. The claim of a daemon that died blocks it permanently,
+since it is unknown whether the request ran.
 
-A write whose effect is unknown, and a final state that couldn't be stored,
-are pending: the process knows the truth, answers repeats from it, and
-settles the stored claim once the store answers again.
+A claim is pending if the effect of its write is uncertain, or if its final
+state could not be stored. The process knows the correct state, answers repeats
+from it, and reconciles the stored claim once the store is available again.
 """
 
 import dataclasses
@@ -37,11 +38,14 @@
 
 __all__ = ["ClaimCore"]
 
-_CLAIM_TRIES = 3
-_RETRY_IN_PROGRESS_S = 1.0
-_RETRY_PLATFORM_S = 2.0
-_SETTLE_AGAIN_S = 1.0
-_SETTLES_PER_TICK = 16
+# Writes of a claim after which the key is refused as in use by other attempts.
+_MAX_CLAIM_WRITES = 3
+_IN_PROGRESS_RETRY_DELAY_S = 1.0
+_UNAVAILABLE_RETRY_DELAY_S = 2.0
+_RECONCILE_INTERVAL_S = 1.0
+_MAX_RECONCILED_PER_TICK = 16
+# Bounds on the memory of pending claims: their number, and the total size of
+# their response bodies.
 _MAX_PENDING = 4096
 _MAX_PENDING_BYTES = 4 << 20
 _FINAL_STATES = {Ran.NOT_RUN: "free", Ran.RAN: "ran", Ran.UNKNOWN: "unknown"}
@@ -49,55 +53,68 @@
 
 @dataclasses.dataclass(slots=True)
 class _Claim:
-    """An attempt's claim.
+    """The claim of an attempt.
 
     Attributes:
-        name: Name of the object.
-        record: What the attempt last wrote, or wants to.
-        expected_version: Version that the write expects.
-        tries: Writes of the claim so far.
-        is_writing: Whether a pending claim's write or read is under way.
+        name: Name of the claim object.
+        record: The record last written or to be written.
+        expected_version: Object version on which the write is conditional.
+        write_count: Writes of the initial claim so far.
+        is_reconciling: Whether a write or read of a pending claim is in
+            progress.
     """
 
     name: str
     record: ClaimRecord
     expected_version: int = 0
-    tries: int = 0
-    is_writing: bool = False
+    write_count: int = 0
+    is_reconciling: bool = False
 
 
 class ClaimCore(Core):
-    """Decides for all keyed requests of one process."""
+    """Decides on all requests with an idempotency key in one process.
+
+    An attempt goes through the states claiming, running and storing. If its
+    stored claim does not match its final state, it then becomes pending. Times
+    are seconds on a monotonic clock.
+    """
 
     def __init__(self):
         self._claiming: dict[str, _Claim] = {}
         self._running: dict[str, _Claim] = {}
         self._storing: dict[str, _Claim] = {}
         self._pending: dict[str, _Claim] = {}
-        self._open_names: dict[str, str] = {}
-        self._known_names: dict[str, str] = {}
+        # Attempt ids by claim name, of unfinished attempts and of pending
+        # claims that block their key.
+        self._active_attempts: dict[str, str] = {}
+        self._pending_attempts: dict[str, str] = {}
         self._pending_bytes = 0
-        self._settle_at_s: float | None = None
+        self._reconcile_at_s: float | None = None
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to settle pending claims."""
-        return self._settle_at_s
+        """When to reconcile pending claims; None if nothing is scheduled."""
+        return self._reconcile_at_s
 
     @property
-    def pending(self) -> int:
-        """Claims whose stored state lags behind what the process knows."""
+    def pending_count(self) -> int:
+        """Number of claims whose stored state may be out of date."""
         return len(self._pending)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one claim event; returns the attempt's next action."""
+        """Handles one claim event.
+
+        Returns:
+            The attempt's next action, or none if the attempt has ended; writes
+            of pending claims for a `ClaimTick`.
+        """
         match event:
             case ClaimTick():
                 return self._on_tick(now_s)
             case ClaimRequested():
-                return self._on_asked(event)
+                return self._on_requested(event)
             case ClaimCancelled():
-                return self._on_dropped(event, now_s)
+                return self._on_cancelled(event, now_s)
             case RequestEnded():
                 return self._on_ended(event)
             case ClaimStored() | ClaimWriteRejected() | ClaimWriteUncertain():
@@ -106,48 +123,53 @@
                 return self._on_read(event)
         raise TypeError(f"not a claim event: {event!r}")
 
-    def _on_asked(self, event: ClaimRequested) -> list[object]:
-        known = self._find_known(event.name)
-        if known is not None:
-            if known.record.request_digest != event.request_digest:
-                return [_mismatch(event.attempt)]
-            if event.name in self._open_names:
-                return [_in_progress(event.attempt)]
-            return [_answer_repeat(event.attempt, known.record)]
+    def _on_requested(self, event: ClaimRequested) -> list[object]:
+        claim = self._find_local_claim(event.name)
+        if claim is not None:
+            if claim.record.request_digest != event.request_digest:
+                return [_refuse_mismatch(event.attempt)]
+            if event.name in self._active_attempts:
+                return [_refuse_in_progress(event.attempt)]
+            return [_make_repeat_action(event.attempt, claim.record)]
         record = ClaimRecord(
             request_digest=event.request_digest,
             state="claimed",
             attempt=event.attempt,
         )
-        self._open_names[event.name] = event.attempt
+        self._active_attempts[event.name] = event.attempt
         self._claiming[event.attempt] = _Claim(event.name, record)
         return self._write_claim(event.attempt, 0)
 
-    def _find_known(self, name: str) -> _Claim | None:
-        """Returns the claim that this process itself has for a key."""
-        attempt = self._open_names.get(name) or self._known_names.get(name)
-        for phase in (
+    def _find_local_claim(self, name: str) -> _Claim | None:
+        """Returns this process's own claim of a key, or None.
+
+        Pending claims in state `free` are left out: they do not block the key.
+        """
+        attempt = self._active_attempts.get(name) or self._pending_attempts.get(
+            name
+        )
+        for claims in (
             self._claiming,
             self._running,
             self._storing,
             self._pending,
         ):
-            if attempt in phase:
-                return phase[attempt]
+            if attempt in claims:
+                return claims[attempt]
         return None
 
     def _write_claim(self, attempt: str, version: int) -> list[object]:
         claim = self._claiming[attempt]
-        if claim.tries >= _CLAIM_TRIES:
-            return [self._leave(attempt, _in_progress(attempt))]
-        claim.tries += 1
+        if claim.write_count >= _MAX_CLAIM_WRITES:
+            return [self._abandon_claim(attempt, _refuse_in_progress(attempt))]
+        claim.write_count += 1
         claim.expected_version = version
-        return [_write(attempt, claim)]
+        return [_make_write(attempt, claim)]
 
-    def _leave(self, attempt: str, action: object) -> object:
-        """Ends an attempt that was not sent."""
+    def _abandon_claim(self, attempt: str, action: object) -> object:
+        """Ends an attempt whose request was not sent; returns `action`."""
         claim = self._claiming.pop(attempt)
-        del self._open_names[claim.name]
+        del self._active_attempts[claim.name]
         return action
 
     def _on_written(self, event, now_s: float) -> list[object]:
@@ -169,9 +191,11 @@
                 return [ForwardRequest(event.attempt)]
             case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
-        # The write may take effect later: this process alone knows that the
+        # The write may still take effect. Only this process knows that the
         # attempt never runs.
-        action = self._leave(event.attempt, _unavailable(event.attempt))
+        action = self._abandon_claim(
+            event.attempt, _refuse_unavailable(event.attempt)
+        )
         claim.record = replace(claim.record, state="free")
         self._add_pending(event.attempt, claim, now_s)
         return [action]
@@ -182,38 +206,48 @@
         if event.attempt not in self._claiming:
             return []
         if isinstance(event, ClaimReadFailed):
-            return [self._leave(event.attempt, _unavailable(event.attempt))]
+            return [
+                self._abandon_claim(
+                    event.attempt, _refuse_unavailable(event.attempt)
+                )
+            ]
         if event.record is None:
             return self._write_claim(event.attempt, 0)
         digest = self._claiming[event.attempt].record.request_digest
         if event.record.request_digest != digest:
-            return [self._leave(event.attempt, _mismatch(event.attempt))]
-        if self._is_free(event.record):
+            return [
+                self._abandon_claim(
+                    event.attempt, _refuse_mismatch(event.attempt)
+                )
+            ]
+        if self._can_take_over(event.record):
             return self._write_claim(event.attempt, event.version)
-        action = _answer_repeat(event.attempt, event.record)
-        return [self._leave(event.attempt, action)]
+        action = _make_repeat_action(event.attempt, event.record)
+        return [self._abandon_claim(event.attempt, action)]
 
-    def _is_free(self, record: ClaimRecord) -> bool:
-        """Whether the stored claim's request surely never ran."""
+    def _can_take_over(self, record: ClaimRecord) -> bool:
+        """Whether the request of a stored claim certainly never ran."""
         if record.state == "free":
             return True
-        known = self._pending.get(record.attempt)
-        return known is not None and known.record.state == "free"
+        claim = self._pending.get(record.attempt)
+        return claim is not None and claim.record.state == "free"
 
     def _on_ended(self, event: RequestEnded) -> list[object]:
         claim = self._running.pop(event.attempt)
-        claim.record = _final_record(claim.record, event)
+        claim.record = _make_final_record(claim.record, event)
         self._storing[event.attempt] = claim
-        return [_write(event.attempt, claim)]
+        return [_make_write(event.attempt, claim)]
 
     def _on_final_written(self, event, now_s: float) -> list[object]:
         claim = self._storing.pop(event.attempt)
-        del self._open_names[claim.name]
+        del self._active_attempts[claim.name]
         if not isinstance(event, ClaimStored):
             self._add_pending(event.attempt, claim, now_s)
         return [ReturnOutcome(event.attempt)]
 
-    def _on_dropped(self, event: ClaimCancelled, now_s: float) -> list[object]:
+    def _on_cancelled(
+        self, event: ClaimCancelled, now_s: float
+    ) -> list[object]:
         if event.attempt in self._claiming:
             self._on_claim_written(ClaimWriteUncertain(event.attempt), now_s)
         if event.attempt in self._running:
@@ -223,46 +257,49 @@
         return []
 
     def _add_pending(self, attempt: str, claim: _Claim, now_s: float) -> None:
-        size = _kept_bytes(claim)
+        size = _stored_bytes(claim)
         if self._pending_bytes + size > _MAX_PENDING_BYTES:
             claim.record = replace(claim.record, state="ran", answer=None)
             size = 0
         if len(self._pending) >= _MAX_PENDING:
-            # Forgetting is safe: the stored claim bars the key.
-            self._drop_pending(next(iter(self._pending)))
+            # Dropping a claim is safe: if its request may have run, the stored
+            # claim blocks the key.
+            self._remove_pending(next(iter(self._pending)))
         self._pending[attempt] = claim
         self._pending_bytes += size
         if claim.record.state != "free":
-            self._known_names[claim.name] = attempt
-        if self._settle_at_s is None:
-            self._settle_at_s = now_s + _SETTLE_AGAIN_S
+            self._pending_attempts[claim.name] = attempt
+        if self._reconcile_at_s is None:
+            self._reconcile_at_s = now_s + _RECONCILE_INTERVAL_S
 
-    def _drop_pending(self, attempt: str) -> None:
+    def _remove_pending(self, attempt: str) -> None:
         claim = self._pending.pop(attempt)
-        self._pending_bytes -= _kept_bytes(claim)
-        if self._known_names.get(claim.name) == attempt:
-            del self._known_names[claim.name]
+        self._pending_bytes -= _stored_bytes(claim)
+        if self._pending_attempts.get(claim.name) == attempt:
+            del self._pending_attempts[claim.name]
 
     def _on_tick(self, now_s: float) -> list[object]:
-        """Starts to settle some pending claims, the oldest first."""
-        if self._settle_at_s is None or now_s < self._settle_at_s:
+        """Writes a bounded number of pending claims, in queue order."""
+        if self._reconcile_at_s is None or now_s < self._reconcile_at_s:
             return []
-        self._settle_at_s = now_s + _SETTLE_AGAIN_S if self._pending else None
+        self._reconcile_at_s = (
+            now_s + _RECONCILE_INTERVAL_S if self._pending else None
+        )
         actions = []
         for attempt, claim in self._pending.items():
-            if len(actions) >= _SETTLES_PER_TICK:
+            if len(actions) >= _MAX_RECONCILED_PER_TICK:
                 break
-            if claim.is_writing:
+            if claim.is_reconciling:
                 continue
-            claim.is_writing = True
-            actions.append(_write(attempt, claim))
+            claim.is_reconciling = True
+            actions.append(_make_write(attempt, claim))
         return actions
 
     def _on_pending_written(self, event) -> list[object]:
         claim = self._pending[event.attempt]
         match event:
             case ClaimStored():
-                self._drop_pending(event.attempt)
+                self._remove_pending(event.attempt)
                 return []
             case ClaimWriteRejected():
                 return [ReadClaim(event.attempt, claim.name)]
@@ -275,73 +312,73 @@
             self._postpone(event.attempt)
             return []
         if event.version == claim.expected_version:
-            # A stale read: the write has just met another version.
+            # The read is stale: the write has just failed on another version.
             self._postpone(event.attempt)
             return []
         record = event.record
         is_own = record is not None and record.attempt == event.attempt
         if not is_own or record.state != "claimed":
-            self._drop_pending(event.attempt)
+            self._remove_pending(event.attempt)
             return []
         claim.expected_version = event.version
-        return [_write(event.attempt, claim)]
+        return [_make_write(event.attempt, claim)]
 
     def _postpone(self, attempt: str) -> None:
-        """Moves a pending claim behind the others."""
+        """Moves a pending claim to the end of the queue."""
         claim = self._pending.pop(attempt)
-        claim.is_writing = False
+        claim.is_reconciling = False
         self._pending[attempt] = claim
 
 
-def _write(attempt: str, claim: _Claim) -> WriteClaim:
+def _make_write(attempt: str, claim: _Claim) -> WriteClaim:
     return WriteClaim(attempt, claim.name, claim.record, claim.expected_version)
 
 
-def _kept_bytes(claim: _Claim) -> int:
+def _stored_bytes(claim: _Claim) -> int:
     answer = claim.record.answer
     return len(answer.body) if answer is not None else 0
 
 
-def _final_record(record: ClaimRecord, event: RequestEnded) -> ClaimRecord:
-    if event.answer is not None:
-        return replace(record, state="done", answer=event.answer)
+def _make_final_record(record: ClaimRecord, event: RequestEnded) -> ClaimRecord:
+    if event.response is not None:
+        return replace(record, state="done", answer=event.response)
     return replace(record, state=_FINAL_STATES[event.ran])
 
 
-def _answer_repeat(attempt: str, record: ClaimRecord) -> object:
+def _make_repeat_action(attempt: str, record: ClaimRecord) -> object:
     match record.state:
         case "done":
             return ReplayResponse(attempt, record.answer)
         case "ran":
             return RefuseRequest(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
         case "claimed":
-            # Its daemon may still be at work, or be gone.
+            # Its daemon may still be running the request, or may have died.
             return RefuseRequest(
                 attempt,
                 ErrorCode.OUTCOME_UNKNOWN,
                 Ran.UNKNOWN,
-                _RETRY_IN_PROGRESS_S,
+                _IN_PROGRESS_RETRY_DELAY_S,
             )
     return RefuseRequest(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
 
 
-def _mismatch(attempt: str) -> RefuseRequest:
+def _refuse_mismatch(attempt: str) -> RefuseRequest:
     return RefuseRequest(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
 
 
-def _in_progress(attempt: str) -> RefuseRequest:
+def _refuse_in_progress(attempt: str) -> RefuseRequest:
     return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_IN_PROGRESS,
         Ran.UNKNOWN,
-        _RETRY_IN_PROGRESS_S,
+        _IN_PROGRESS_RETRY_DELAY_S,
     )
 
 
-def _unavailable(attempt: str) -> RefuseRequest:
+def _refuse_unavailable(attempt: str) -> RefuseRequest:
     return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_UNAVAILABLE,
         Ran.NOT_RUN,
-        _RETRY_PLATFORM_S,
+        _UNAVAILABLE_RETRY_DELAY_S,
     )
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -29,12 +29,12 @@
 
 
 class StoredResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """An answer as it is kept for repeats.
+    """A response as stored for repeats of its request.
 
     Attributes:
         status: HTTP status.
-        content_type: Content type, or empty.
-        body: Content.
+        content_type: Value of the content-type header; empty if absent.
+        body: The whole body.
     """
 
     status: int
@@ -43,15 +43,16 @@
 
 
 class ClaimRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """The claim object's value, one for each (account, idempotency key).
+    """The value of a claim object, one for each account and idempotency key.
 
     Attributes:
         request_digest: SHA-256 of method, host, path, query and body.
-        state: `claimed` before the request is sent, `free` if it surely did
-            not run, `done` with the answer, `ran` without it, `unknown` if
-            nobody can tell.
-        attempt: Unique id of the attempt that claimed it.
-        answer: The answer, in state `done`.
+        state: `claimed` before the request is sent, `free` if the request
+            certainly did not run, `done` if it ran and its response is
+            stored, `ran` if it ran and its response is not stored, `unknown`
+            if it may have run.
+        attempt: Unique id of the attempt that claimed the key.
+        answer: The response, in state `done`.
     """
 
     request_digest: str
@@ -62,12 +63,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimRequested:
-    """A request with an idempotency key came.
+    """A request with an idempotency key arrived.
 
     Attributes:
-        attempt: Unique id of this attempt, never used again.
+        attempt: Unique id of this attempt, never reused.
         name: Name of the claim object.
-        request_digest: Digest of the request.
+        request_digest: Digest of the request, as in `ClaimRecord`.
     """
 
     attempt: str
@@ -77,7 +78,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimStored:
-    """The attempt's last write took effect."""
+    """The attempt's last write succeeded.
+
+    Attributes:
+        attempt: Id of the attempt.
+        version: The new version of the claim object.
+    """
 
     attempt: str
     version: int
@@ -85,21 +91,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWriteRejected:
-    """The attempt's last write met another version: it had no effect."""
+    """The attempt's last write had no effect due to a version conflict."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimWriteUncertain:
-    """The attempt's last write may or may not take effect, even later."""
+    """The attempt's last write may have taken effect, or may do so later."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReadCompleted:
-    """A read was answered; `record` is None if there is no object."""
+    """A read succeeded.
+
+    Attributes:
+        attempt: Id of the attempt.
+        record: The stored claim; None if the object does not exist.
+        version: Version of the claim object; 0 if it does not exist.
+    """
 
     attempt: str
     record: ClaimRecord | None
@@ -108,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimReadFailed:
-    """A read was not answered."""
+    """A read failed, timed out or returned an invalid record."""
 
     attempt: str
 
@@ -118,31 +130,35 @@
     """The forwarded request ended.
 
     Attributes:
-        attempt: Its attempt.
-        ran: Whether an endpoint executed it.
-        answer: What to keep for repeats; None if it can't be kept.
+        attempt: Id of the attempt.
+        ran: Whether an endpoint executed the request.
+        response: The response to store for repeats; None if there is none or
+            it can't be stored.
     """
 
     attempt: str
     ran: Ran
-    answer: StoredResponse | None = None
+    response: StoredResponse | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimCancelled:
-    """The attempt was cancelled in the midst of whatever it was doing."""
+    """The attempt was cancelled, in any of its states."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimTick:
-    """Time has passed."""
+    """The wake-up time of the core has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteClaim:
-    """Action: write the claim object if it is at `expected_version`."""
+    """Action: write the claim object if it has `expected_version`.
+
+    Version 0 means that the object must not exist.
+    """
 
     attempt: str
     name: str
@@ -160,22 +176,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardRequest:
-    """Action: the key is claimed; send the request."""
+    """Action: forward the request, whose key is claimed."""
 
     attempt: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReplayResponse:
-    """Action: give the first attempt's answer."""
+    """Action: return the stored response of an earlier attempt."""
 
     attempt: str
-    answer: StoredResponse
+    response: StoredResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefuseRequest:
-    """Action: refuse; `ran` speaks of the key's request so far."""
+    """Action: refuse the request.
+
+    Attributes:
+        attempt: Id of the attempt.
+        error: The error code.
+        ran: Whether an endpoint executed this request, in this or an earlier
+            attempt.
+        retry_after_s: Seconds after which to retry; None if retrying is of no
+            use.
+    """
 
     attempt: str
     error: ErrorCode
@@ -185,6 +210,6 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReturnOutcome:
-    """Action: nothing is left to do; hand over the request's outcome."""
+    """Action: return the outcome of the forwarded request to the caller."""
 
     attempt: str
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -1,4 +1,4 @@
-"""Sends a request to an endpoint as the forward core decides."""
+"""Sends requests to endpoints by decision of the forward core."""
 
 import time
 
@@ -29,7 +29,10 @@
     RetryBudget,
     StartAttempt,
 )
-from daisyhub.filters._passed_headers import ANSWER_HEADERS, REQUEST_HEADERS
+from daisyhub.filters._forwarded_headers import (
+    REQUEST_HEADERS,
+    RESPONSE_HEADERS,
+)
 from daisyhub.messages import Header, Request, Response
 from daisyhub.metrics import Metrics
 from daisyhub.settings import LimitSettings
@@ -38,22 +41,24 @@
 
 _NOT_RUN_HEADER = (b"endpoint-ran", b"no")
 _DETAILS = {
-    ErrorCode.DEADLINE_EXCEEDED: "the deadline passed before it was sent",
+    ErrorCode.DEADLINE_EXCEEDED: (
+        "the deadline passed before the request was sent"
+    ),
     ErrorCode.NO_ENDPOINT: "no endpoint is live",
     ErrorCode.ENDPOINT_FAILED: "the endpoint failed",
-    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not answer in time",
-    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's answer was not whole",
+    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not respond in time",
+    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's response was incomplete",
 }
 
 
 class ForwardFilter(Filter):
-    """The end of the chain.
+    """Forwards requests with a route; the last filter of the chain.
 
     Args:
         table: Endpoints of this failure domain.
-        balancer: Chooses among them.
-        client: Sends requests.
-        limits: Bounds on answers.
+        balancer: Chooses an endpoint among the candidates.
+        client: Sends requests to endpoints.
+        limits: Maximum sizes of responses.
         metrics: Counts attempts.
     """
 
@@ -75,7 +80,11 @@
         self._budget = RetryBudget()
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Sends the request; `call_next` serves requests without a route."""
+        """Forwards the request; passes requests without a route on.
+
+        Raises:
+            Refusal: No endpoint returned a complete response in time.
+        """
         if req.route is None:
             return await call_next(req)
         plan = ForwardPlan(
@@ -83,15 +92,15 @@
             deadline_s=req.deadline_s,
             hedge_after_s=_hedge_after_s(req),
         )
-        core = ForwardCore(plan, self._chooser(req.route), self._budget)
+        core = ForwardCore(plan, self._make_chooser(req.route), self._budget)
         outcome = await run_attempts(
             core, lambda action: self._attempt(req, action)
         )
         if isinstance(outcome, FailRequest):
-            raise _refusal(outcome)
-        return _response(outcome.answer)
+            raise _make_refusal(outcome)
+        return _make_response(outcome.answer)
 
-    def _chooser(self, route: Route):
+    def _make_chooser(self, route: Route):
         def choose(excluded: frozenset[str]) -> str | None:
             now_s = time.monotonic()
             states = self._table.candidates(route.pool, now_s, excluded)
@@ -102,10 +111,10 @@
     async def _attempt(
         self, req: Request, action: StartAttempt
     ) -> AttemptOutcome:
-        """Sends the request to one endpoint and takes its news."""
+        """Sends the request to one endpoint and applies its reported state."""
         state = self._table.get(action.endpoint_id)
         if state is None:
-            return _failed(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, Ran.NOT_RUN)
         self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
@@ -114,7 +123,7 @@
             failed = False
         except RequestFailedError as exc:
             self._client.forget(state.address)
-            return _failed(
+            return _make_failed_outcome(
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
@@ -131,7 +140,7 @@
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
-            return _failed(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, Ran.NOT_RUN)
         return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
@@ -162,13 +171,16 @@
 
 
 def _hedge_after_s(req: Request) -> float:
-    """Only whole answers to idempotent requests are hedged."""
+    """Returns the hedging delay in seconds; 0 for no hedging.
+
+    Only idempotent requests whose response is not streamed are hedged.
+    """
     if not req.route.idempotent or req.route.answer == "stream":
         return 0.0
     return req.route.hedge_after_s
 
 
-def _failed(
+def _make_failed_outcome(
     action: StartAttempt,
     ran: Ran,
     *,
@@ -185,7 +197,7 @@
     )
 
 
-def _refusal(action: FailRequest) -> Refusal:
+def _make_refusal(action: FailRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
@@ -195,7 +207,7 @@
 
 
 def _endpoint_headers(req: Request) -> tuple[Header, ...]:
-    """Returns the allowed headers; a caller's key is never among them."""
+    """Returns the headers to send; the caller's key is never among them."""
     headers = [item for item in req.headers if item[0] in REQUEST_HEADERS]
     headers.append((b"daisyhub-request-id", req.request_id.encode()))
     if req.account:
@@ -203,11 +215,11 @@
     return tuple(headers)
 
 
-def _response(answer: HttpAnswer | StreamedAnswer) -> Response:
+def _make_response(answer: HttpAnswer | StreamedAnswer) -> Response:
     headers = tuple(
-        item for item in answer.headers if item[0] in ANSWER_HEADERS
+        item for item in answer.headers if item[0] in RESPONSE_HEADERS
     )
-    tokens = _int_header(answer.headers, b"endpoint-tokens", 0)
+    tokens = _parse_int_header(answer.headers, b"endpoint-tokens", 0)
     if isinstance(answer, StreamedAnswer):
         return Response(
             status=answer.status,
@@ -220,7 +232,9 @@
     )
 
 
-def _int_header(headers: tuple[Header, ...], name: bytes, default: int) -> int:
+def _parse_int_header(
+    headers: tuple[Header, ...], name: bytes, default: int
+) -> int:
     for key, value in headers:
         if key == name and value.isdigit():
             return int(value)
@@ -230,12 +244,14 @@
 def parse_endpoint_headers(
     state: EndpointState, headers: tuple[Header, ...]
 ) -> EndpointUpdate:
-    """Reads the news that an endpoint's answer carries in its headers."""
+    """Parses the state that an endpoint reports in response headers."""
     return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
         is_leaving=(b"endpoint-state", b"leaving") in headers,
-        load=_int_header(headers, b"endpoint-load", -1),
-        weight_version=_int_header(headers, b"endpoint-weight-version", -1),
-        capacity=_int_header(headers, b"endpoint-capacity", 0),
+        load=_parse_int_header(headers, b"endpoint-load", -1),
+        weight_version=_parse_int_header(
+            headers, b"endpoint-weight-version", -1
+        ),
+        capacity=_parse_int_header(headers, b"endpoint-capacity", 0),
     )
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -1,10 +1,10 @@
-"""Forwarding decided by a deterministic core: try, retry, hedge, give up.
+"""A deterministic core that decides on attempts, retries and hedging.
 
-A request is sent again only if no byte of it left, the endpoint itself said
-that it did not run, or the route is idempotent. Retries and hedges come out
-of one budget, a tenth of the traffic and a small reserve. A repeat goes to an
-endpoint that was not tried yet, or, if there is none, over a new connection
-to one that was: what was open before may have gone silent.
+A request is sent again only if no byte of it was sent, the endpoint reported
+that it did not run, or the route is idempotent. Retries and hedged attempts
+share one budget: a tenth of the requests and a small reserve. A repeat goes to
+an endpoint that has not been tried, or, if there is none, to one that has. It
+always uses a new connection, since open connections may no longer respond.
 """
 
 import dataclasses
@@ -26,26 +26,28 @@
     "StartAttempt",
 ]
 
+# Retries allowed for each request, and the maximum balance of the budget.
 _BUDGET_SHARE = 0.1
 _BUDGET_RESERVE = 10.0
 _MAX_ATTEMPTS = 3
 _RETRY_AFTER_S = 1.0
-_RANK = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.RAN: 2}
-_NONE: frozenset[str] = frozenset()
+# The larger of two outcomes is the one that the caller must assume.
+_RAN_RANK = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.RAN: 2}
+_NO_EXCLUSIONS: frozenset[str] = frozenset()
 
 
 class RetryBudget:
-    """Retries allowed: a tenth of the requests, and a reserve of ten."""
+    """Limits retries to a tenth of the requests, with a reserve of ten."""
 
     def __init__(self):
         self._balance = _BUDGET_RESERVE
 
     def record_request(self) -> None:
-        """Counts a first attempt."""
+        """Adds the retry share of a new request to the budget."""
         self._balance = min(_BUDGET_RESERVE, self._balance + _BUDGET_SHARE)
 
     def try_acquire(self) -> bool:
-        """Takes one retry out of the budget, or returns False."""
+        """Takes one retry out of the budget; returns False if it is empty."""
         if self._balance < 1:
             return False
         self._balance -= 1
@@ -54,13 +56,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ForwardPlan:
-    """What the route and the caller allow.
+    """How a request may be forwarded, set by its route and caller.
 
     Attributes:
         idempotent: Whether the request may run more than once.
-        deadline_s: When the answer must be there.
-        hedge_after_s: When to send a second attempt; 0 for never.
-        max_attempts: Endpoints that it may be sent to.
+        deadline_s: Monotonic time by which the response must be received.
+        hedge_after_s: Seconds after which to send a second attempt; 0 for no
+            hedging.
+        max_attempts: Maximum number of attempts that reach an endpoint.
     """
 
     idempotent: bool
@@ -71,25 +74,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardStarted:
-    """The request is ready to be sent."""
+    """Forwarding of the request has started."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ForwardTick:
-    """Time has passed."""
+    """The wake-up time of the core has passed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class AttemptFailed:
-    """An attempt brought no whole answer.
+    """An attempt ended without a complete response.
 
     Attributes:
-        attempt: Its number.
-        ran: What can be said of the request.
-        timed_out: Whether time ran out.
-        incomplete: Whether an answer broke off.
-        was_sent: Whether the endpoint was reached at all; one that wasn't
-            counts neither as an attempt nor against the budget.
+        attempt: Number of the attempt.
+        ran: Whether the endpoint executed the request.
+        timed_out: Whether the attempt timed out.
+        incomplete: Whether the response was incomplete.
+        was_sent: Whether the request reached the endpoint. An attempt that did
+            not counts neither as an attempt nor against the budget.
     """
 
     attempt: int
@@ -101,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AttemptCompleted:
-    """An attempt brought the endpoint's answer."""
+    """An attempt received a response, or the head of a streamed one."""
 
     attempt: int
 
@@ -111,9 +114,9 @@
     """Action: send the request to an endpoint.
 
     Attributes:
-        attempt: Its number, from 1.
-        endpoint_id: The endpoint.
-        fresh: Whether only a new connection will do.
+        attempt: Number of the attempt, from 1.
+        endpoint_id: Id of the endpoint.
+        fresh: Whether the attempt must use a new connection.
     """
 
     attempt: int
@@ -123,14 +126,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliverResponse:
-    """Action: hand over this attempt's answer; drop the others."""
+    """Action: deliver this attempt's response; cancel the other attempts."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class FailRequest:
-    """Action: refuse now."""
+    """Action: refuse the request.
+
+    Attributes:
+        error: The error code.
+        ran: Whether an endpoint executed the request in any attempt.
+        retry_after_s: Seconds after which to retry; None if a retry might run
+            the request twice.
+    """
 
     error: ErrorCode
     ran: Ran
@@ -138,12 +148,14 @@
 
 
 class ForwardCore(Core):
-    """Decides about one request.
+    """Decides on the attempts of one request.
+
+    Times are seconds on a monotonic clock.
 
     Args:
-        plan: What is allowed.
-        choose: Returns an endpoint's id outside the given set, or None.
-        budget: The budget shared by all requests of the daemon.
+        plan: How the request may be forwarded.
+        choose: Returns the id of an endpoint outside the given set, or None.
+        budget: Retry budget shared by all requests of the daemon.
     """
 
     def __init__(
@@ -156,116 +168,117 @@
         self.choose = choose
         self.budget = budget
         self._tried: set[str] = set()
-        self._open: set[int] = set()
-        self._attempts = 0
-        self._unsent = 0
-        self._worst = Ran.NOT_RUN
+        self._open_attempts: set[int] = set()
+        self._attempt_count = 0
+        self._unsent_count = 0
+        self._ran = Ran.NOT_RUN
         self._timed_out = False
         self._incomplete = False
         self._hedge_at_s: float | None = None
-        self._is_over = False
+        self._is_finished = False
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to hedge or to give up, while an attempt is open."""
-        if self._is_over or not self._open:
+        """When to hedge or to time out; None without an open attempt."""
+        if self._is_finished or not self._open_attempts:
             return None
         if self._hedge_at_s is None:
             return self.plan.deadline_s
         return min(self._hedge_at_s, self.plan.deadline_s)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one forward event; returns at most one action."""
-        if self._is_over:
+        """Handles one forwarding event; returns at most one action."""
+        if self._is_finished:
             return []
         match event:
             case ForwardStarted():
-                return self._on_begin(now_s)
+                return self._on_started(now_s)
             case AttemptCompleted():
-                self._is_over = True
+                self._is_finished = True
                 return [DeliverResponse(event.attempt)]
             case AttemptFailed():
                 return self._on_failed(event, now_s)
             case ForwardTick():
                 return self._on_tick(now_s)
-        raise TypeError(f"not a forward event: {event!r}")
+        raise TypeError(f"not a forwarding event: {event!r}")
 
-    def _on_begin(self, now_s: float) -> list[object]:
+    def _on_started(self, now_s: float) -> list[object]:
         if now_s >= self.plan.deadline_s:
-            return [self._give_up(ErrorCode.DEADLINE_EXCEEDED)]
+            return [self._fail_request(ErrorCode.DEADLINE_EXCEEDED)]
         self.budget.record_request()
-        endpoint_id = self.choose(_NONE)
+        endpoint_id = self.choose(_NO_EXCLUSIONS)
         if endpoint_id is None:
-            return [self._give_up(ErrorCode.NO_ENDPOINT)]
+            return [self._fail_request(ErrorCode.NO_ENDPOINT)]
         if self.plan.idempotent and self.plan.hedge_after_s > 0:
             self._hedge_at_s = now_s + self.plan.hedge_after_s
         return self._start(endpoint_id, fresh=not self.plan.idempotent)
 
     def _start(self, endpoint_id: str, *, fresh: bool) -> list[object]:
-        self._attempts += 1
+        self._attempt_count += 1
         self._tried.add(endpoint_id)
-        self._open.add(self._attempts)
-        return [StartAttempt(self._attempts, endpoint_id, fresh)]
+        self._open_attempts.add(self._attempt_count)
+        return [StartAttempt(self._attempt_count, endpoint_id, fresh)]
 
     def _on_tick(self, now_s: float) -> list[object]:
-        if now_s >= self.plan.deadline_s and self._open:
-            self._worst = _worse(self._worst, Ran.UNKNOWN)
-            return [self._give_up(ErrorCode.ENDPOINT_TIMEOUT)]
+        if now_s >= self.plan.deadline_s and self._open_attempts:
+            self._ran = _max_ran(self._ran, Ran.UNKNOWN)
+            return [self._fail_request(ErrorCode.ENDPOINT_TIMEOUT)]
         if self._hedge_at_s is None or now_s < self._hedge_at_s:
             return []
         self._hedge_at_s = None
-        return self._start_again(now_s)
+        return self._start_repeat(now_s)
 
-    def _start_again(
-        self, now_s: float, *, is_free: bool = False
+    def _start_repeat(
+        self, now_s: float, *, is_uncharged: bool = False
     ) -> list[object]:
-        """Sends it again, to an endpoint that wasn't tried if there is one.
+        """Starts a repeat, on an endpoint not yet tried if there is one.
 
         Args:
-            now_s: The time.
-            is_free: Whether the attempt before never reached its endpoint.
+            now_s: The current time.
+            is_uncharged: Whether the repeat does not count against the budget,
+                since the previous attempt did not reach its endpoint.
         """
         plan = self.plan
-        sent = self._attempts - self._unsent
-        if sent >= plan.max_attempts or now_s >= plan.deadline_s:
+        sent_count = self._attempt_count - self._unsent_count
+        if sent_count >= plan.max_attempts or now_s >= plan.deadline_s:
             return []
         candidate = self.choose(frozenset(self._tried))
-        if candidate is None and self._attempts < plan.max_attempts:
-            candidate = self.choose(_NONE)
-        if candidate is None or not (is_free or self.budget.try_acquire()):
+        if candidate is None and self._attempt_count < plan.max_attempts:
+            candidate = self.choose(_NO_EXCLUSIONS)
+        if candidate is None or not (is_uncharged or self.budget.try_acquire()):
             return []
         return self._start(candidate, fresh=True)
 
     def _on_failed(self, event: AttemptFailed, now_s: float) -> list[object]:
-        self._open.discard(event.attempt)
+        self._open_attempts.discard(event.attempt)
         self._timed_out |= event.timed_out
         self._incomplete |= event.incomplete
-        self._worst = _worse(self._worst, event.ran)
-        self._unsent += not event.was_sent
-        may_repeat = self.plan.idempotent or event.ran is Ran.NOT_RUN
+        self._ran = _max_ran(self._ran, event.ran)
+        self._unsent_count += not event.was_sent
+        can_repeat = self.plan.idempotent or event.ran is Ran.NOT_RUN
         actions = []
-        if may_repeat:
-            actions = self._start_again(now_s, is_free=not event.was_sent)
-        if actions or self._open:
+        if can_repeat:
+            actions = self._start_repeat(now_s, is_uncharged=not event.was_sent)
+        if actions or self._open_attempts:
             return actions
-        return [self._give_up(self._error())]
+        return [self._fail_request(self._select_error())]
 
-    def _error(self) -> ErrorCode:
+    def _select_error(self) -> ErrorCode:
         if self._timed_out:
             return ErrorCode.ENDPOINT_TIMEOUT
         if self._incomplete:
             return ErrorCode.ANSWER_INCOMPLETE
         return ErrorCode.ENDPOINT_FAILED
 
-    def _give_up(self, error: ErrorCode) -> FailRequest:
-        self._is_over = True
-        makes_sense = self.plan.idempotent or self._worst is Ran.NOT_RUN
+    def _fail_request(self, error: ErrorCode) -> FailRequest:
+        self._is_finished = True
+        is_retry_safe = self.plan.idempotent or self._ran is Ran.NOT_RUN
         return FailRequest(
             error=error,
-            ran=self._worst,
-            retry_after_s=_RETRY_AFTER_S if makes_sense else None,
+            ran=self._ran,
+            retry_after_s=_RETRY_AFTER_S if is_retry_safe else None,
         )
 
 
-def _worse(one: Ran, other: Ran) -> Ran:
-    return max(one, other, key=_RANK.__getitem__)
+def _max_ran(one: Ran, other: Ran) -> Ran:
+    return max(one, other, key=_RAN_RANK.__getitem__)
--- a/daisyhub/filters/_passed_headers.py
+++ b/daisyhub/filters/_forwarded_headers.py
@@ -1,6 +1,6 @@
-"""Headers that pass between callers and endpoints; all others stay here."""
+"""Headers forwarded between callers and endpoints; all others are dropped."""
 
-__all__ = ["ANSWER_HEADERS", "REQUEST_HEADERS"]
+__all__ = ["REQUEST_HEADERS", "RESPONSE_HEADERS"]
 
 REQUEST_HEADERS = frozenset(
     {
@@ -13,7 +13,7 @@
         b"if-none-match",
     }
 )
-ANSWER_HEADERS = frozenset(
+RESPONSE_HEADERS = frozenset(
     {
         b"cache-control",
         b"content-language",
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -1,8 +1,8 @@
 """Runs a non-idempotent request with an idempotency key at most once.
 
-The key is claimed in the platform's store by conditional create before the
-request is sent, so that the claim outlives the daemon, and all daemons see
-the same one. The claim core decides; this filter carries it out.
+The key is claimed in the platform's store by a conditional write before the
+request is sent. The claim therefore outlives the daemon and is shared by all
+daemons. The claim core makes the decisions, which this filter executes.
 """
 
 import hashlib
@@ -22,27 +22,27 @@
 __all__ = ["IdempotencyFilter"]
 
 _CLAIM_PREFIX = "claims/"
-_KEPT_ANSWER_BYTES = 256 * 1024
+_MAX_STORED_RESPONSE_BYTES = 256 * 1024
 _DETAILS = {
     ErrorCode.CLAIM_UNAVAILABLE: "the idempotency key can't be claimed now",
     ErrorCode.CLAIM_MISMATCH: (
-        "the idempotency key came with another request before"
+        "the idempotency key was used with another request before"
     ),
     ErrorCode.CLAIM_IN_PROGRESS: "the same request is in progress",
     ErrorCode.OUTCOME_UNKNOWN: (
         "the request was sent before, and its outcome is unknown"
     ),
     ErrorCode.ANSWER_NOT_KEPT: (
-        "the request ran before, and its answer was not kept"
+        "the request ran before, and its response was not stored"
     ),
 }
 
 
 class IdempotencyFilter(Filter):
-    """Claims the idempotency key, and replays the answer to repeats.
+    """Claims the idempotency key and replays the response to repeats.
 
     Args:
-        claims: The claims of this process.
+        claims: The claim controller of this process.
     """
 
     name = "idempotency"
@@ -51,7 +51,15 @@
         self._claims = claims
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Passes on requests without a key; claims the others first."""
+        """Claims the idempotency key before it passes the request on.
+
+        Requests without an idempotency key, lot calls and requests on
+        idempotent routes are passed on without a claim.
+
+        Raises:
+            Refusal: The key can't be claimed, is in use or belongs to another
+                request, or the response to the first request is unavailable.
+        """
         keys = req.header_values(b"idempotency-key")
         if not keys or req.route is None or req.route.idempotent:
             return await call_next(req)
@@ -63,25 +71,27 @@
         try:
             action = await self._claims.claim(event, req.deadline_s)
             if isinstance(action, ReplayResponse):
-                return _replay(action.answer)
+                return _make_replayed_response(action.response)
             if isinstance(action, RefuseRequest):
-                raise _refusal(action)
+                raise _make_refusal(action)
             return await self._run(req, call_next)
         except BaseException:
-            # Without effect on an attempt that has ended.
-            self._claims.drop(event.attempt)
+            # Has no effect on an attempt that has ended.
+            self._claims.cancel(event.attempt)
             raise
 
     async def _run(self, req: Request, call_next: Handler) -> Response:
-        """Sends the request and stores its outcome."""
+        """Passes the request on and stores its outcome."""
         try:
             resp = await call_next(req)
         except Refusal as exc:
             ended = RequestEnded(req.request_id, exc.ran)
-            await self._claims.end(ended, req.deadline_s)
+            await self._claims.store_outcome(ended, req.deadline_s)
             raise
-        ended = RequestEnded(req.request_id, Ran.RAN, _kept_answer(resp))
-        await self._claims.end(ended, req.deadline_s)
+        ended = RequestEnded(
+            req.request_id, Ran.RAN, _make_stored_response(resp)
+        )
+        await self._claims.store_outcome(ended, req.deadline_s)
         return resp
 
 
@@ -96,9 +106,9 @@
     return hashlib.sha256(text).hexdigest()
 
 
-def _kept_answer(resp: Response) -> StoredResponse | None:
-    """Returns what repeats get; None for streams and large answers."""
-    if resp.stream is not None or len(resp.body) > _KEPT_ANSWER_BYTES:
+def _make_stored_response(resp: Response) -> StoredResponse | None:
+    """Returns the response to store; None for streams and large bodies."""
+    if resp.stream is not None or len(resp.body) > _MAX_STORED_RESPONSE_BYTES:
         return None
     types = resp.header_values(b"content-type")
     return StoredResponse(
@@ -108,16 +118,16 @@
     )
 
 
-def _replay(answer: StoredResponse) -> Response:
+def _make_replayed_response(stored: StoredResponse) -> Response:
     headers = [(b"idempotency-replayed", b"true")]
-    if answer.content_type:
-        headers.append((b"content-type", answer.content_type.encode("latin-1")))
+    if stored.content_type:
+        headers.append((b"content-type", stored.content_type.encode("latin-1")))
     return Response(
-        status=answer.status, headers=tuple(headers), body=answer.body
+        status=stored.status, headers=tuple(headers), body=stored.body
     )
 
 
-def _refusal(action: RefuseRequest) -> Refusal:
+def _make_refusal(action: RefuseRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
--- a/daisyhub/filters/_identify.py
+++ b/daisyhub/filters/_identify.py
@@ -1,4 +1,4 @@
-"""Finds the client account from the key, and from nothing else."""
+"""Identifies the client account by the API key alone."""
 
 import dataclasses
 import re
@@ -6,7 +6,7 @@
 
 from daisyhub.base import Filter, Handler
 from daisyhub.exceptions import ErrorCode, Refusal
-from daisyhub.filters._passed_headers import REQUEST_HEADERS
+from daisyhub.filters._forwarded_headers import REQUEST_HEADERS
 from daisyhub.identity import KeyTable, ParsedKey, has_key, parse_key
 from daisyhub.messages import Request, Response
 
@@ -19,9 +19,12 @@
 
 
 class IdentifyFilter(Filter):
-    """Sets `account` and `key_id`; a request without a key keeps them empty.
+    """Sets `account` and `key_id`, or leaves both empty without a key.
 
-    The route filter refuses a request without a key on keyed routes.
+    The route filter refuses requests without a key on keyed routes.
+
+    Args:
+        keys: Maps API keys to client accounts.
     """
 
     name = "identify"
@@ -30,9 +33,15 @@
         self._keys = keys
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Checks the key header; refuses two, malformed and unknown keys.
+        """Checks the authorization header and sets the account.
+
+        Nothing that is forwarded to an endpoint may contain an API key, not
+        even the key of another account.
 
-        What passes to endpoints must not have a key in it, anyone's.
+        Raises:
+            Refusal: The request has more than one key, its key is malformed,
+                unknown or withdrawn, or a key is outside the authorization
+                header.
         """
         _check_target(req)
         _check_headers(req)
@@ -49,13 +58,15 @@
         if not values:
             return None
         if len(values) > 1:
-            raise Refusal(ErrorCode.KEY_AMBIGUOUS, "more than one key is given")
+            raise Refusal(
+                ErrorCode.KEY_AMBIGUOUS, "the request has more than one key"
+            )
         scheme, _, text = values[0].decode("latin-1").partition(" ")
         key = parse_key(text.strip())
         if scheme.lower() != "bearer" or key is None:
             raise Refusal(
                 ErrorCode.KEY_MALFORMED,
-                "the key must read 'Bearer dh_<id>_<secret>'",
+                "the key must have the form 'Bearer dh_<id>_<secret>'",
             )
         return key
 
@@ -64,10 +75,10 @@
     query = urllib.parse.unquote(req.query, "latin-1")
     if _KEY_IN_QUERY.search(query) or has_key(req.query.encode()):
         raise Refusal(
-            ErrorCode.KEY_IN_QUERY, "a key must not stand in the query"
+            ErrorCode.KEY_IN_QUERY, "the query must not contain a key"
         )
     if has_key(req.path.encode()):
-        raise Refusal(ErrorCode.PATH_INVALID, "a key must not stand in a path")
+        raise Refusal(ErrorCode.PATH_INVALID, "the path must not contain a key")
 
 
 def _check_headers(req: Request) -> None:
@@ -75,5 +86,5 @@
         if name in REQUEST_HEADERS and has_key(value):
             raise Refusal(
                 ErrorCode.HEADER_INVALID,
-                "a key must stand in the authorization header only",
+                "only the authorization header may contain a key",
             )
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -1,4 +1,4 @@
-"""Serves trainers' calls about lots."""
+"""Serves trainer calls on lots."""
 
 import math
 import re
@@ -18,10 +18,10 @@
 
 
 class LotsFilter(Filter):
-    """Turns `POST /v1/lots/...` into a `LotCall`.
+    """Converts `POST /v1/lots/...` requests to `LotCall`s and serves them.
 
     Args:
-        serve: Serves the call here or at the daemon that holds the lot.
+        serve: Serves the call locally or at the daemon that holds the lot.
     """
 
     name = "lots"
@@ -30,14 +30,23 @@
         self._serve = serve
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Serves lot calls; passes all else on."""
+        """Serves a lot call; passes requests that have a route on.
+
+        Raises:
+            Refusal: The path is not that of a lot call, or the method is not
+                POST.
+        """
         if req.route is not None:
             return await call_next(req)
         match = _LOT_PATH.fullmatch(req.path)
         if match is None:
-            raise Refusal(ErrorCode.ROUTE_UNKNOWN, "not a path of a lot")
+            raise Refusal(
+                ErrorCode.ROUTE_UNKNOWN, "the path is not that of a lot call"
+            )
         if req.method != "POST":
-            raise Refusal(ErrorCode.METHOD_NOT_ALLOWED, "lots take POST only")
+            raise Refusal(
+                ErrorCode.METHOD_NOT_ALLOWED, "lot calls allow only POST"
+            )
         call = LotCall(
             lot_id=match.group(1),
             verb=match.group(2) or "open",
--- a/daisyhub/filters/_measure.py
+++ b/daisyhub/filters/_measure.py
@@ -1,4 +1,4 @@
-"""Measures what callers get, by route, account class and account."""
+"""Measures latency and refusals by route, account class and account."""
 
 import dataclasses
 import time
@@ -7,7 +7,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.config import ClientAccount, Document
 from daisyhub.exceptions import Refusal
-from daisyhub.filters._stream_end import StreamEnd
+from daisyhub.filters._observed_stream import ObservedStream
 from daisyhub.messages import Request, Response
 from daisyhub.metrics import Metrics
 
@@ -20,14 +20,15 @@
 
 
 class MeasureFilter(Filter):
-    """Records latency, refusals and service; changes nothing.
+    """Records metrics and passes request and response on unchanged.
 
-    It stands behind the filters that find the account and the route. An
-    account of weight 1 is of the class `small`, others are `large`.
+    It must follow the filters that set the account and the route. The account
+    class is `small` for accounts of weight 1, `large` for heavier accounts,
+    and `open` for requests without an account.
 
     Args:
-        metrics: Where to record.
-        get_document: Returns the document in force.
+        metrics: The metrics to record to.
+        get_document: Returns the active configuration document.
     """
 
     name = "measure"
@@ -37,24 +38,24 @@
         self._get_document = get_document
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Records how the request ended; a stream at its end."""
+        """Records the result of the request, a stream once it is complete."""
         try:
             resp = await call_next(req)
         except Refusal as exc:
             self._record_refusal(req, exc)
             raise
         if resp.stream is None:
-            self._record_answer(req, resp)
+            self._record_response(req, resp)
             return resp
 
-        def on_end(is_whole: bool) -> None:
-            if is_whole:
-                self._record_answer(req, resp)
+        def on_end(is_complete: bool) -> None:
+            if is_complete:
+                self._record_response(req, resp)
 
-        stream = StreamEnd(resp.stream, on_end)
+        stream = ObservedStream(resp.stream, on_end)
         return dataclasses.replace(resp, stream=stream)
 
-    def _class_of(self, req: Request) -> str:
+    def _account_class(self, req: Request) -> str:
         if not req.account:
             return _OPEN
         accounts = self._get_document().client_accounts
@@ -66,21 +67,21 @@
         self._metrics.count("route_refusals", route=route, code=exc.code)
         self._metrics.accounts.add_refused(req.account, time.monotonic())
 
-    def _record_answer(self, req: Request, resp: Response) -> None:
+    def _record_response(self, req: Request, resp: Response) -> None:
         now_s = time.monotonic()
-        took_s = now_s - req.started_s
+        elapsed_s = now_s - req.started_s
         self._metrics.observe_s(
             "route_latency",
-            took_s,
+            elapsed_s,
             route=_route_label(req),
-            account_class=self._class_of(req),
+            account_class=self._account_class(req),
         )
         if req.route is None:
-            # A pull waits for samples; its time tells nothing of service.
+            # A pull waits for samples, so its duration is not service time.
             return
         self._metrics.count("served", pool=req.route.pool)
         self._metrics.count("served_tokens", resp.tokens, pool=req.route.pool)
-        self._metrics.accounts.add_served(req.account, took_s, now_s)
+        self._metrics.accounts.add_served(req.account, elapsed_s, now_s)
 
 
 def _route_label(req: Request) -> str:
--- a/daisyhub/filters/_priority_map.py
+++ b/daisyhub/filters/_priority_map.py
@@ -1,14 +1,20 @@
-"""A map whose key of lowest priority is found in logarithmic time."""
+"""A map that finds its lowest-priority key in amortized logarithmic time."""
 
 import heapq
 
 __all__ = ["PriorityMap"]
 
-_STALE_ENTRIES_KEPT = 64
+# Stale heap entries allowed in addition to one for each key. The heap is
+# rebuilt when it has more.
+_STALE_ENTRY_ALLOWANCE = 64
 
 
 class PriorityMap:
-    """Priorities by key; equal priorities are ordered by key."""
+    """Maps keys to priorities; equal priorities are ordered by key.
+
+    Changed and removed keys leave stale entries in the heap, which are skipped
+    on reading and dropped when the heap is rebuilt.
+    """
 
     def __init__(self):
         self._priorities: dict[str, float] = {}
@@ -23,11 +29,11 @@
             return
         self._priorities[key] = priority
         heapq.heappush(self._heap, (priority, key))
-        if len(self._heap) > 2 * len(self._priorities) + _STALE_ENTRIES_KEPT:
+        if len(self._heap) > 2 * len(self._priorities) + _STALE_ENTRY_ALLOWANCE:
             self._rebuild()
 
     def discard(self, key: str) -> None:
-        """Removes a key if it is there."""
+        """Removes a key if present."""
         self._priorities.pop(key, None)
 
     def first(self) -> tuple[float, str] | None:
--- a/daisyhub/filters/_route.py
+++ b/daisyhub/filters/_route.py
@@ -12,11 +12,11 @@
 __all__ = ["RouteFilter", "RouteTable"]
 
 LOTS_PREFIX = "/v1/lots"
-_RETRY_UNCONFIGURED_S = 1.0
+_UNCONFIGURED_RETRY_DELAY_S = 1.0
 _LOT_CALL_TIMEOUT_S = 75.0
-# Dot segments, empty segments, encoded slashes, dots and controls: whatever
-# an endpoint might resolve to a path outside the route's prefix.
-_PATH_TRICKS = re.compile(
+# Dot segments, empty segments, encoded slashes, dots and control characters:
+# everything that an endpoint might resolve outside the route's prefix.
+_AMBIGUOUS_PATH = re.compile(
     r"//|/\.{1,2}(?:/|;|$)|%2f|%5c|%2e|%25|%[01][0-9a-f]|%7f|[\\;\x00-\x20\x7f]"
     r"|%(?![0-9a-f]{2})",
     re.IGNORECASE,
@@ -24,7 +24,11 @@
 
 
 class RouteTable:
-    """Routes of one configuration, found by whole path segments."""
+    """Looks up the routes of one configuration by host and path segments.
+
+    Args:
+        document: The configuration document.
+    """
 
     def __init__(self, document: Document):
         self._routes: dict[tuple[str, str], list[Route]] = {}
@@ -33,36 +37,39 @@
             self._routes.setdefault((route.host, prefix), []).append(route)
 
     def find(self, host: str, path: str, method: str) -> Route:
-        """Returns the route with the host given and the longest prefix.
+        """Returns the route with the longest matching path prefix.
+
+        Routes of the given host precede routes for any host.
 
         Raises:
-            Refusal: No route has the path, or none of them the method.
+            Refusal: No route matches the path, or no route with the longest
+                matching prefix allows the method.
         """
         for known_host in (host, ""):
             prefix = path.rstrip("/")
             while True:
                 routes = self._routes.get((known_host, prefix))
                 if routes is not None:
-                    return self._with_method(routes, method)
+                    return self._select_method(routes, method)
                 if not prefix:
                     break
                 prefix = prefix.rpartition("/")[0]
-        raise Refusal(ErrorCode.ROUTE_UNKNOWN, "no route has this path")
+        raise Refusal(ErrorCode.ROUTE_UNKNOWN, "no route matches the path")
 
-    def _with_method(self, routes: list[Route], method: str) -> Route:
+    def _select_method(self, routes: list[Route], method: str) -> Route:
         for route in routes:
             if method in route.methods:
                 return route
         raise Refusal(
-            ErrorCode.METHOD_NOT_ALLOWED, f"the route does not take {method}"
+            ErrorCode.METHOD_NOT_ALLOWED, f"the route does not allow {method}"
         )
 
 
 class RouteFilter(Filter):
-    """Sets `route`, and refuses accounts that may not use it.
+    """Sets the route and the deadline, and checks access to the route.
 
     Args:
-        get_table: Returns the table in force, or None before the first
+        get_table: Returns the active route table; None before the first
             configuration.
     """
 
@@ -72,25 +79,30 @@
         self._get_table = get_table
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Finds the route; trainers' calls have none."""
-        if not req.path.startswith("/") or _PATH_TRICKS.search(req.path):
+        """Sets `route` and `deadline_s`; lot calls get no route.
+
+        Raises:
+            Refusal: The path is ambiguous, there is no configuration, no
+                route matches, or the account may not use the route.
+        """
+        if not req.path.startswith("/") or _AMBIGUOUS_PATH.search(req.path):
             raise Refusal(ErrorCode.PATH_INVALID, "the path is ambiguous")
         table = self._get_table()
         if table is None:
             raise Refusal(
                 ErrorCode.NO_CONFIGURATION,
-                "no configuration was heard yet",
-                retry_after_s=_RETRY_UNCONFIGURED_S,
+                "no configuration has been received yet",
+                retry_after_s=_UNCONFIGURED_RETRY_DELAY_S,
             )
         if req.path.startswith(LOTS_PREFIX + "/"):
             self._check_key(req)
-            deadline_s = _bounded(req, _LOT_CALL_TIMEOUT_S)
+            deadline_s = _limit_deadline(req, _LOT_CALL_TIMEOUT_S)
             return await call_next(
                 dataclasses.replace(req, deadline_s=deadline_s)
             )
         route = table.find(req.host, req.path, req.method)
         if route.access == "open":
-            # An open route runs under no account, whatever key came along.
+            # Requests on open routes run without an account, even with a key.
             req = dataclasses.replace(req, account="", key_id="")
         else:
             self._check_key(req)
@@ -100,15 +112,17 @@
             )
         return await call_next(
             dataclasses.replace(
-                req, route=route, deadline_s=_bounded(req, route.timeout_s)
+                req,
+                route=route,
+                deadline_s=_limit_deadline(req, route.timeout_s),
             )
         )
 
     def _check_key(self, req: Request) -> None:
         if not req.account:
-            raise Refusal(ErrorCode.KEY_MISSING, "the route needs a key")
+            raise Refusal(ErrorCode.KEY_MISSING, "the route requires a key")
 
 
-def _bounded(req: Request, timeout_s: float) -> float:
-    """Returns the deadline, moved forward to a time-out."""
+def _limit_deadline(req: Request, timeout_s: float) -> float:
+    """Returns the deadline, limited to a time-out after the arrival."""
     return min(req.deadline_s, req.started_s + timeout_s)
--- a/daisyhub/filters/_validate.py
+++ b/daisyhub/filters/_validate.py
@@ -1,4 +1,4 @@
-"""Checks headers and body before anything is spent on a request."""
+"""Validates headers and body before a request uses other resources."""
 
 import dataclasses
 
@@ -17,14 +17,14 @@
     b"idempotency-key",
     b"transfer-encoding",
 )
-_IDEMPOTENCY_KEY_BYTES = 255
+_MAX_IDEMPOTENCY_KEY_BYTES = 255
 
 
 class ValidateFilter(Filter):
-    """Bounds headers and body, and reads the body.
+    """Checks header and body sizes, and reads the body.
 
     Args:
-        limits: Bounds on what is accepted.
+        limits: Maximum sizes of headers and body.
     """
 
     name = "validate"
@@ -33,44 +33,50 @@
         self._limits = limits
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Refuses what is too large, doubled or contradictory."""
+        """Validates the request and sets its `body`.
+
+        Raises:
+            Refusal: The headers are too large, repeated, contradictory or
+                invalid, the body is too large, or it contains an API key.
+        """
         size = sum(len(name) + len(value) for name, value in req.headers)
         if size > self._limits.header_bytes:
             raise Refusal(
                 ErrorCode.HEADERS_TOO_LARGE,
-                f"headers have {size} bytes, {self._limits.header_bytes}"
-                " are allowed",
+                f"headers have {size} bytes, more than the"
+                f" {self._limits.header_bytes} allowed",
             )
         self._check_headers(req)
-        body = await req.read_body(self._body_limit(req))
+        body = await req.read_body(self._max_body_bytes(req))
         if has_key(body):
             raise Refusal(
-                ErrorCode.BODY_INVALID, "a key must not stand in the content"
+                ErrorCode.BODY_INVALID, "the body must not contain a key"
             )
         return await call_next(dataclasses.replace(req, body=body))
 
     def _check_headers(self, req: Request) -> None:
         for name in _SINGLE_HEADERS:
             if len(req.header_values(name)) > 1:
-                shown = name.decode()
+                header_name = name.decode()
                 raise Refusal(
-                    ErrorCode.HEADER_INVALID, f"{shown} is given twice"
+                    ErrorCode.HEADER_INVALID,
+                    f"{header_name} occurs more than once",
                 )
         names = {name for name, _ in req.headers}
         if b"content-length" in names and b"transfer-encoding" in names:
             raise Refusal(
                 ErrorCode.HEADER_INVALID,
-                "content-length and transfer-encoding exclude each other",
+                "content-length and transfer-encoding must not occur together",
             )
         for value in req.header_values(b"idempotency-key"):
-            if not 0 < len(value) <= _IDEMPOTENCY_KEY_BYTES:
+            if not 0 < len(value) <= _MAX_IDEMPOTENCY_KEY_BYTES:
                 raise Refusal(
                     ErrorCode.HEADER_INVALID,
                     "idempotency-key must have 1 to"
-                    f" {_IDEMPOTENCY_KEY_BYTES} bytes",
+                    f" {_MAX_IDEMPOTENCY_KEY_BYTES} bytes",
                 )
 
-    def _body_limit(self, req: Request) -> int:
+    def _max_body_bytes(self, req: Request) -> int:
         if req.route is None:
             return self._limits.body_bytes
         return min(req.route.body_bytes, self._limits.body_bytes)
--- a/daisyhub/filters/tests/test_admit.py
+++ b/daisyhub/filters/tests/test_admit.py
@@ -1,4 +1,4 @@
-"""The shells around admission and counting: deadlines and streams."""
+"""Admission and usage filters: deadlines and streams."""
 
 import time
 import unittest
@@ -50,19 +50,19 @@
 
         return await self.admit.handle(req, count)
 
-    def test_a_deadline_that_passes_in_the_queue_is_answered_then(self):
+    def test_a_queued_request_is_refused_at_its_deadline(self):
         async def scenario():
-            held = await self.serve(request(1))
+            first = await self.serve(request(1))
             with self.assertRaises(Refusal) as caught:
                 await self.serve(request(2, patience_s=0.2))
             self.assertEqual(caught.exception.error, ErrorCode.OVERLOADED)
             self.assertGreater(caught.exception.retry_after_s, 0)
             self.assertEqual(self.core.waiting_count, 0)
-            await held.stream.aclose()
+            await first.stream.aclose()
 
         anyio.run(scenario)
 
-    def test_a_stream_holds_its_place_and_counts_at_its_end(self):
+    def test_a_stream_is_in_service_and_uncounted_until_its_end(self):
         async def scenario():
             first = await self.serve(request(1))
             async with anyio.create_task_group() as tasks:
@@ -76,7 +76,7 @@
 
         anyio.run(scenario)
 
-    def test_a_stream_that_is_never_read_or_cut_gives_its_place_back(self):
+    def test_a_stream_closed_before_its_end_departs(self):
         async def scenario():
             for number in range(3):
                 resp = await self.serve(request(number))
--- a/daisyhub/filters/tests/test_process_requests.py
+++ b/daisyhub/filters/tests/test_process_requests.py
@@ -1,4 +1,4 @@
-"""Failures of real processes on the way of a request."""
+"""Failures of real processes during a request."""
 
 import contextlib
 import signal
@@ -18,7 +18,7 @@
 
 
 class RequestFailures(unittest.IsolatedAsyncioTestCase):
-    """Two daemons before one service."""
+    """Two daemons in front of one service."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment((DOMAIN,), 2, 0, 1)
@@ -44,7 +44,7 @@
         return Caller(self.daemons[number].address, text)
 
     async def file(self, number, body, timeout_s=10.0):
-        """Files `body` under its own idempotency key."""
+        """Sends a filing of `body` with `body` as its idempotency key."""
         headers = ((b"idempotency-key", body.encode()),)
         caller = self.caller(number)
         try:
@@ -54,31 +54,31 @@
         finally:
             await caller.aclose()
 
-    async def file_until(self, number, body, code):
-        """Repeats a filing until it is answered with a status or code."""
+    async def file_until(self, number, body, expected):
+        """Repeats a filing until the response has a status or error code."""
         with anyio.fail_after(10):
             while True:
                 answer = await self.file(number, body)
-                if code in (answer.status, problem(answer)[0]):
+                if expected in (answer.status, problem(answer)[0]):
                     return answer
                 await anyio.sleep(0.05)
 
-    async def runs_of(self, body):
+    async def count_runs(self, body):
         filings = await self.service.json("GET", "/admin/filings")
         return filings.count(msgspec.json.encode(body).decode())
 
-    async def fault(self, kind, **more):
+    async def inject_fault(self, kind, **more):
         fault = {"kind": kind, "path": "/filings", "count": 1, **more}
         await self.service.json("POST", "/faults", fault)
 
     async def test_look_ups_survive_silent_connections(self):
-        """Each gets its own answer, though all kept connections are silent."""
-        await self.look_up_all()
+        """Callers get their responses though all open connections go silent."""
+        await self.look_up_records()
         silent = await self.service.json("POST", "/faults", {"kind": "silent"})
         self.assertGreater(silent["connections"], 1)
-        await self.look_up_all()
+        await self.look_up_records()
 
-    async def look_up_all(self):
+    async def look_up_records(self):
         async def look_up(number):
             caller = self.caller(number % 2)
             answer = await caller.send("GET", f"/records/{number}")
@@ -92,8 +92,8 @@
 
     async def test_filings_run_at_most_once(self):
         await self.check_replay()
-        await self.check_lost_answer()
-        await self.check_truncated_answer()
+        await self.check_lost_response()
+        await self.check_truncated_response()
         await self.check_store_outage()
         await self.check_frozen_daemon()
         await self.check_killed_daemon()
@@ -102,27 +102,27 @@
         first = await self.file(0, "plain")
         again = await self.file(1, "plain")
         self.assertEqual((first.status, first.body), (201, again.body))
-        self.assertEqual(await self.runs_of("plain"), 1)
+        self.assertEqual(await self.count_runs("plain"), 1)
 
-    async def check_lost_answer(self):
-        await self.fault("lose")
+    async def check_lost_response(self):
+        await self.inject_fault("lose")
         answer = await self.file(0, "lost")
         self.assertEqual(problem(answer), ("endpoint_timeout", "unknown"))
         for number in (0, 1):
             answer = await self.file_until(number, "lost", "outcome_unknown")
             self.assertEqual(problem(answer)[1], "unknown")
-        self.assertEqual(await self.runs_of("lost"), 1)
+        self.assertEqual(await self.count_runs("lost"), 1)
 
-    async def check_truncated_answer(self):
-        await self.fault("truncate")
+    async def check_truncated_response(self):
+        await self.inject_fault("truncate")
         answer = await self.file(0, "cut")
         self.assertEqual(problem(answer), ("answer_incomplete", "ran"))
         answer = await self.file(1, "cut")
         self.assertEqual(problem(answer), ("answer_not_kept", "ran"))
-        self.assertEqual(await self.runs_of("cut"), 1)
+        self.assertEqual(await self.count_runs("cut"), 1)
 
     async def check_store_outage(self):
-        """A claim that took effect unknown to the daemon frees itself."""
+        """An uncertain claim that took effect is freed after the outage."""
         platform = Caller(self.deployment.platform.address)
         fault = {"kind": "lose", "path": "/objects/claims", "method": "PUT"}
         await platform.json("POST", "/faults", fault)
@@ -130,13 +130,13 @@
         await platform.json("POST", "/faults", fault)
         answer = await self.file(0, "outage")
         self.assertEqual(problem(answer), ("claim_unavailable", "not_run"))
-        self.assertEqual(await self.runs_of("outage"), 0)
+        self.assertEqual(await self.count_runs("outage"), 0)
         await platform.json("DELETE", "/faults")
         await self.file_until(1, "outage", 201)
-        self.assertEqual(await self.runs_of("outage"), 1)
+        self.assertEqual(await self.count_runs("outage"), 1)
 
     async def check_frozen_daemon(self):
-        """Frozen between claim and send, it still runs the request once."""
+        """A daemon frozen between claim and send runs the request only once."""
         platform = Caller(self.deployment.platform.address)
         listing = "/objects?prefix=claims/"
         before = len((await platform.json("GET", listing))["objects"])
@@ -162,11 +162,11 @@
         self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
         again = await self.file_until(1, "frozen", 201)
         self.assertEqual((first[0].status, first[0].body), (201, again.body))
-        self.assertEqual(await self.runs_of("frozen"), 1)
+        self.assertEqual(await self.count_runs("frozen"), 1)
         await platform.aclose()
 
     async def check_killed_daemon(self):
-        await self.fault("late", delay_s=60.0)
+        await self.inject_fault("late", delay_s=60.0)
         async with anyio.create_task_group() as tasks:
 
             async def file():
@@ -175,7 +175,7 @@
 
             tasks.start_soon(file)
             with anyio.fail_after(10):
-                while not await self.runs_of("killed"):
+                while not await self.count_runs("killed"):
                     await anyio.sleep(0.02)
             self.daemons[0].send_signal(signal.SIGKILL)
             self.daemons[0].wait()
@@ -186,10 +186,10 @@
         await self.deployment.wait_for_version(1)
         answer = await self.file(0, "killed")
         self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
-        self.assertEqual(await self.runs_of("killed"), 1)
+        self.assertEqual(await self.count_runs("killed"), 1)
 
 
 def problem(answer):
-    """Returns the code and `ran` of an error answer."""
+    """Returns the code and `ran` of an error response."""
     value = msgspec.json.decode(answer.body)
     return value.get("code"), value.get("ran")
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -1,7 +1,7 @@
-"""Proof: fair shares, one verdict for each arrival, no idle place.
+"""Proof: fair shares, one decision per request, and full use of the limit.
 
-The oracle keeps its own counts of what waits and what is served; it knows
-nothing of tags, heaps and buckets' refills.
+The oracle keeps its own counts of waiting and admitted requests, independent of
+the tags, heaps and token buckets of the core.
 """
 
 import unittest
@@ -27,11 +27,11 @@
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
-PLACES = 3
-ROOM = 2 * PLACES
+CONCURRENCY_LIMIT = 3
+MAX_WAITING = 2 * CONCURRENCY_LIMIT
 WEIGHTS = {"large": 4, "yard": 1, "archive": 1, "limited": 2}
 RATE, BURST = 2.0, 3
-NO_TIME_S = 0.001
+SHORT_PATIENCE_S = 0.001
 
 
 class AdmissionMachine(RuleBasedStateMachine):
@@ -41,22 +41,22 @@
 
     @initialize()
     def start(self):
-        self.core = self.core_class(PLACES)
+        self.core = self.core_class(CONCURRENCY_LIMIT)
         self.now_s = 0.0
-        self.number = 0
-        self.open = {}
+        self.request_count = 0
+        self.undecided = {}
         self.waiting = {}
         self.in_service = {}
-        self.served_while = {}
-        self.accepted = 0
-        self.concurrency_limit = PLACES
-        self.room = ROOM
+        self.served_by_pair = {}
+        self.used_tokens = 0
+        self.concurrency_limit = CONCURRENCY_LIMIT
+        self.max_waiting = MAX_WAITING
 
     def feed(self, event):
         before = list(self.waiting.values())
         for action in self.core.handle(event, self.now_s):
-            arrival = self.open.pop(action.request_id, None)
-            assert arrival is not None, "two verdicts, or one for nobody"
+            arrival = self.undecided.pop(action.request_id, None)
+            assert arrival is not None, "second decision, or unknown request"
             self.waiting.pop(action.request_id, None)
             if isinstance(action, AdmitRequest):
                 self.in_service[action.request_id] = arrival
@@ -64,68 +64,70 @@
                 continue
             assert action.retry_after_s > 0
             self.check_refusal(event, arrival, action, before)
-        self.forget_pairs()
+        self.drop_ended_pairs()
 
     def check_refusal(self, event, arrival, action, before):
         if arrival.account == "limited":
-            self.accepted = max(0.0, self.accepted - 1)
+            self.used_tokens = max(0.0, self.used_tokens - 1)
         if action.error is ErrorCode.RATE_LIMITED:
             assert arrival.account == "limited"
-            assert self.accepted + 1 > BURST, "refused within its burst"
+            assert self.used_tokens + 1 > BURST, "refused within its burst"
             return
         if arrival.deadline_s <= self.now_s:
             return
         assert isinstance(event, RequestArrived), "refused before its deadline"
         patience_s = arrival.deadline_s - self.now_s
-        if arrival is event and patience_s < 2 * NO_TIME_S:
+        if arrival is event and patience_s < 2 * SHORT_PATIENCE_S:
             return
-        # The queues are full: the victim's queue exceeds its fair part.
+        # The queues are full: the shed account must exceed its fair share.
         queued = [a.account for a in [*before, event]]
         weights = sum(WEIGHTS[name] for name in set(queued))
-        room = self.concurrency_limit * 2
-        share = room * WEIGHTS[arrival.account] / weights
-        assert len(queued) > room, "refused though there is room"
+        queue_size = self.concurrency_limit * 2
+        share = queue_size * WEIGHTS[arrival.account] / weights
+        assert len(queued) > queue_size, "refused though the queue is not full"
         assert queued.count(arrival.account) > share, "shed within its share"
 
     def count_service(self, account):
-        """Counts services by pairs of accounts that both kept waiting."""
+        """Counts admissions of two accounts that both have waiting requests."""
         names = {a.account for a in self.waiting.values()}
         for other in names - {account}:
             pair = tuple(sorted((account, other)))
-            served = self.served_while.setdefault(pair, dict.fromkeys(pair, 0))
+            served = self.served_by_pair.setdefault(
+                pair, dict.fromkeys(pair, 0)
+            )
             served[account] += 1
             shares = [served[name] / WEIGHTS[name] for name in pair]
             bound = sum(1 / WEIGHTS[name] for name in pair)
             assert abs(shares[0] - shares[1]) <= bound + 1e-9, served
 
-    def forget_pairs(self):
+    def drop_ended_pairs(self):
         names = {a.account for a in self.waiting.values()}
-        for pair in [p for p in self.served_while if not names >= set(p)]:
-            del self.served_while[pair]
+        for pair in [p for p in self.served_by_pair if not names >= set(p)]:
+            del self.served_by_pair[pair]
 
     @rule(
         account=st.sampled_from(list(WEIGHTS)),
         count=st.sampled_from([1, 1, 4]),
-        patience_s=st.sampled_from([NO_TIME_S, 3.0, 100.0, 100.0]),
+        patience_s=st.sampled_from([SHORT_PATIENCE_S, 3.0, 100.0, 100.0]),
     )
     def arrive(self, account, count, patience_s):
         for _ in range(count):
-            self.number += 1
+            self.request_count += 1
             event = RequestArrived(
-                request_id=f"r{self.number}",
+                request_id=f"r{self.request_count}",
                 account=account,
                 weight=WEIGHTS[account],
                 rate=RATE if account == "limited" else 0,
                 burst=BURST,
                 deadline_s=self.now_s + patience_s,
             )
-            self.open[event.request_id] = event
-            self.accepted += account == "limited"
+            self.undecided[event.request_id] = event
+            self.used_tokens += account == "limited"
             self.feed(event)
-            if event.request_id in self.open:
+            if event.request_id in self.undecided:
                 self.waiting[event.request_id] = event
 
-    @rule(count=st.integers(1, ROOM))
+    @rule(count=st.integers(1, MAX_WAITING))
     def depart(self, count):
         for _ in range(count):
             if not self.in_service:
@@ -134,58 +136,62 @@
             del self.in_service[request_id]
             self.feed(RequestDeparted(request_id, 0.05))
 
-    @rule(concurrency_limit=st.sampled_from([1, PLACES]))
-    def change_places(self, concurrency_limit):
+    @rule(concurrency_limit=st.sampled_from([1, CONCURRENCY_LIMIT]))
+    def change_concurrency_limit(self, concurrency_limit):
         self.concurrency_limit = concurrency_limit
-        self.room = max(self.room, len(self.waiting))
+        self.max_waiting = max(self.max_waiting, len(self.waiting))
         self.feed(ConcurrencyLimitChanged(concurrency_limit))
 
-    @rule(nth=st.integers(0, ROOM))
-    def give_up(self, nth):
+    @rule(nth=st.integers(0, MAX_WAITING))
+    def abandon(self, nth):
         if nth < len(self.waiting):
             request_id = list(self.waiting)[nth]
-            del self.waiting[request_id], self.open[request_id]
+            del self.waiting[request_id], self.undecided[request_id]
             self.feed(RequestAbandoned(request_id))
 
     @rule(seconds=st.sampled_from([0.2, 3.5]))
     def pass_time(self, seconds):
-        """Time goes by; the shell ticks at each wake-up asked for."""
+        """Time passes; the core gets a tick at each of its wake-up times."""
         until_s = self.now_s + seconds
         while (wakeup_s := self.core.next_wakeup_s) and wakeup_s <= until_s:
             self.now_s = wakeup_s
             self.feed(AdmissionTick())
-            assert self.core.next_wakeup_s != wakeup_s, "woken for nothing"
+            assert self.core.next_wakeup_s != wakeup_s, (
+                "the tick did not change the wake-up time"
+            )
         self.now_s = until_s
-        refilled = self.accepted - seconds * RATE
-        self.accepted = max(0.0, refilled)
+        refilled = self.used_tokens - seconds * RATE
+        self.used_tokens = max(0.0, refilled)
 
     @invariant()
-    def nothing_waits_beside_a_free_place_or_beyond_its_deadline(self):
+    def no_request_waits_needlessly_or_beyond_its_deadline(self):
         if not hasattr(self, "core"):
             return
-        assert len(self.in_service) <= PLACES
-        # After places were taken away, the queue may be longer for a while.
-        self.room = max(
-            self.concurrency_limit * 2, min(self.room, len(self.waiting))
+        assert len(self.in_service) <= CONCURRENCY_LIMIT
+        # After the limit was lowered, the queue may be too long for a while.
+        self.max_waiting = max(
+            self.concurrency_limit * 2, min(self.max_waiting, len(self.waiting))
         )
-        assert self.core.waiting == len(self.waiting) <= self.room
+        assert self.core.waiting_count == len(self.waiting) <= self.max_waiting
         assert (
             not self.waiting or len(self.in_service) >= self.concurrency_limit
         )
         for arrival in self.waiting.values():
-            assert arrival.deadline_s > self.now_s, "no answer in time"
-        assert self.accepted <= BURST + 1e-9, "more than the account's rate"
+            assert arrival.deadline_s > self.now_s, (
+                "no decision by the deadline"
+            )
+        assert self.used_tokens <= BURST + 1e-9, "more than the account's rate"
 
 
 class ShedsArriving(AdmissionCore):
-    """Broken: the request that comes last is refused, whoever sends it."""
+    """Broken: the newest request is shed, whatever its account."""
 
     def _shed_most_overloaded(self):
         return self._shed_waiting(next(reversed(self._waiting)))
 
 
-class NoticesAtDeparture(AdmissionCore):
-    """Broken: a deadline is noticed at the next event only."""
+class ShedsAtNextEvent(AdmissionCore):
+    """Broken: expired requests are shed only at the next event."""
 
     next_wakeup_s = None
 
@@ -199,19 +205,19 @@
         return super()._admit_next()
 
 
-class LeavesPlacesFree(AdmissionCore):
+class IgnoresDepartures(AdmissionCore):
     """Broken: a waiting request isn't admitted when another ends."""
 
-    def _on_depart(self, event):
+    def _on_departed(self, event):
         self._in_service.discard(event.request_id)
         return []
 
 
-BROKEN = (ShedsArriving, NoticesAtDeparture, ServesInOrder, LeavesPlacesFree)
+BROKEN = (ShedsArriving, ShedsAtNextEvent, ServesInOrder, IgnoresDepartures)
 
 
 class AdmissionProof(unittest.TestCase):
-    def test_shares_verdicts_and_places(self):
+    def test_shares_decisions_and_concurrency_limit(self):
         run_proof(AdmissionMachine, examples=400)
 
     def test_the_machine_catches_broken_admission(self):
@@ -222,8 +228,8 @@
                 )
                 self.assertIsInstance(find_failure(machine), AssertionError)
 
-    def test_idle_accounts_are_forgotten(self):
-        core = AdmissionCore(PLACES)
+    def test_idle_accounts_are_evicted(self):
+        core = AdmissionCore(CONCURRENCY_LIMIT)
         for number in range(10_000):
             event = RequestArrived(
                 request_id=f"r{number}",
@@ -235,9 +241,9 @@
             )
             core.handle(event, float(number))
             core.handle(RequestDeparted(event.request_id, 0.01), float(number))
-        self.assertLess(core.known_accounts, 10)
+        self.assertLess(core.account_count, 10)
 
-    def test_places_follow_what_the_endpoints_can_serve(self):
+    def test_concurrency_limit_follows_endpoint_capacity(self):
         self.assertEqual(compute_concurrency_limit(None, 2, 512), 512)
         self.assertEqual(compute_concurrency_limit(4, 2, 512), 4)
         self.assertEqual(compute_concurrency_limit(4, 28, 512), 2)
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -1,9 +1,10 @@
-"""Proof: a keyed request runs at most once, and "not run" is true.
+"""Proof: a request with an idempotency key runs at most once.
 
-Faults: store outages, lost answers, writes that take effect late, kills at
-any step, long pauses between any two steps, and endpoints that run a request
-and lose the answer. A finding at the end of each run: a key of which every
-process knows that it never ran can run.
+A request refused as not run did not run, and a key whose request certainly
+never ran becomes usable again once all faults are gone. Faults: store outages,
+lost replies of the store, writes that take effect late, processes killed at any
+step, long pauses between any two steps, and endpoints that run a request and
+lose the response.
 """
 
 import unittest
@@ -35,15 +36,28 @@
 
 PROCESSES = (0, 1)
 KEYS = ("k0", "k1", "k2")
-STORE_FAULTS = ("", "", "", "lost", "landed", "late")
+# `lost`: the write has no effect. `reply_lost`: the write takes effect, but its
+# reply is lost. `late`: the write takes effect later. Reads just fail.
+STORE_FAULTS = ("", "", "", "lost", "reply_lost", "late")
 FAULT_LISTS = (
     *[("",) * 6] * 4,
     *[(), ("",), ("", "")],
-    *[(fault,) for fault in ("lost", "landed", "late")],
-    *[("", "", fault) for fault in ("lost", "landed", "late")],
-    *[("", "", "", fault) for fault in ("lost", "landed", "late")],
+    *[(fault,) for fault in ("lost", "reply_lost", "late")],
+    *[("", "", fault) for fault in ("lost", "reply_lost", "late")],
+    *[("", "", "", fault) for fault in ("lost", "reply_lost", "late")],
+)
+# `response_lost`: the request runs, but its response is lost. `lost`: the
+# request is lost and does not run. `large`: the response is too large to store.
+# `cancelled`: the attempt is cancelled after the request ran.
+REQUEST_OUTCOMES = (
+    "answer",
+    "answer",
+    "not_run",
+    "response_lost",
+    "lost",
+    "large",
+    "cancelled",
 )
-ENDINGS = ("answer", "answer", "not_run", "lost_run", "lost", "large", "cut")
 
 
 class ClaimMachine(RuleBasedStateMachine):
@@ -54,167 +68,171 @@
     @initialize()
     def start(self):
         self.now_s = 0.0
-        self.store, self.late = {}, []
+        self.store, self.late_writes = {}, []
         self.cores = [self.core_class() for _ in PROCESSES]
-        self.steps = {}  # Open attempt to (process, key, next action).
-        self.runs, self.answers = dict.fromkeys(KEYS, 0), {}
-        self.ran, self.barred, self.count = set(), set(), 0
+        self.next_actions = {}  # By attempt: (process, key, action).
+        self.run_counts, self.responses = dict.fromkeys(KEYS, 0), {}
+        # Attempts that ran, and keys whose request may have run.
+        self.executed, self.blocked, self.attempt_count = set(), set(), 0
 
     def feed(self, process, key, event):
         for action in self.cores[process].handle(event, self.now_s):
-            self.steps[action.attempt] = (process, key, action)
-            self.check_end(key, action)
+            self.next_actions[action.attempt] = (process, key, action)
+            self.check_final_action(key, action)
 
-    def check_end(self, key, action):
-        """Judges final answers against what endpoints did."""
+    def check_final_action(self, key, action):
+        """Checks final actions against what the endpoints executed."""
         if isinstance(action, (ReadClaim, WriteClaim, ForwardRequest)):
             return
-        del self.steps[action.attempt]
+        del self.next_actions[action.attempt]
         if isinstance(action, ReplayResponse):
-            assert action.answer == self.answers[key]
+            assert action.response == self.responses[key]
         if isinstance(action, RefuseRequest) and action.ran is Ran.NOT_RUN:
-            assert action.attempt not in self.ran
+            assert action.attempt not in self.executed
         if isinstance(action, RefuseRequest) and action.ran is Ran.RAN:
-            assert self.runs[key] == 1
+            assert self.run_counts[key] == 1
 
     @rule(
         process=st.sampled_from(PROCESSES),
         key=st.sampled_from(KEYS),
         faults=st.sampled_from(FAULT_LISTS),
-        ending=st.sampled_from(ENDINGS),
+        request_outcome=st.sampled_from(REQUEST_OUTCOMES),
     )
-    def request(self, process, key, faults, ending):
-        """A caller sends or repeats a request; it gets as far as faults."""
-        self.count += 1
-        attempt = f"a{self.count}"
+    def request(self, process, key, faults, request_outcome):
+        """A caller sends or repeats a request.
+
+        The attempt takes one step for each item of `faults`.
+        """
+        self.attempt_count += 1
+        attempt = f"a{self.attempt_count}"
         self.feed(process, key, ClaimRequested(attempt, key, "digest"))
         for fault in faults:
-            self.go_on(attempt, fault, ending)
+            self.advance(attempt, fault, request_outcome)
 
     @rule(data=st.data(), fault=st.sampled_from(STORE_FAULTS))
-    def step_any(self, data, fault):
-        """Any attempt that stands still takes one step."""
-        if self.steps:
-            attempt = data.draw(st.sampled_from(sorted(self.steps)))
-            ending = data.draw(st.sampled_from(ENDINGS))
-            self.go_on(attempt, fault, ending)
-
-    def go_on(self, attempt, fault, ending):
-        if attempt not in self.steps:
+    def advance_any(self, data, fault):
+        """Any attempt that was stopped between two steps takes one step."""
+        if self.next_actions:
+            attempt = data.draw(st.sampled_from(sorted(self.next_actions)))
+            request_outcome = data.draw(st.sampled_from(REQUEST_OUTCOMES))
+            self.advance(attempt, fault, request_outcome)
+
+    def advance(self, attempt, fault, request_outcome):
+        if attempt not in self.next_actions:
             return
-        process, key, action = self.steps.pop(attempt)
+        process, key, action = self.next_actions.pop(attempt)
         if isinstance(action, ForwardRequest):
-            event = self.run_request(attempt, key, ending)
+            event = self.run_request(attempt, key, request_outcome)
         else:
-            event = self.reach_store(action, fault)
+            event = self.access_store(action, fault)
         self.feed(process, key, event)
 
-    def reach_store(self, action, fault):
-        lost = ClaimWriteUncertain(action.attempt)
+    def access_store(self, action, fault):
+        uncertain = ClaimWriteUncertain(action.attempt)
         if isinstance(action, ReadClaim):
             if fault:
                 return ClaimReadFailed(action.attempt)
             version, record = self.store.get(action.name, (0, None))
             return ClaimReadCompleted(action.attempt, record, version)
         if fault == "late":
-            self.late.append(action)
-            return lost
+            self.late_writes.append(action)
+            return uncertain
         if fault == "lost":
-            return lost
-        version = self.land(action)
-        if fault == "landed":
-            return lost
+            return uncertain
+        version = self.apply_write(action)
+        if fault == "reply_lost":
+            return uncertain
         if not version:
             return ClaimWriteRejected(action.attempt)
         return ClaimStored(action.attempt, version)
 
-    def land(self, action):
+    def apply_write(self, action):
         version, _ = self.store.get(action.name, (0, None))
         if version != action.expected_version:
             return 0
         self.store[action.name] = (version + 1, action.record)
         return version + 1
 
-    def run_request(self, attempt, key, ending):
-        if ending in ("not_run", "lost"):
-            ran = Ran.NOT_RUN if ending == "not_run" else Ran.UNKNOWN
-            if ending == "lost":
-                self.barred.add(key)
+    def run_request(self, attempt, key, request_outcome):
+        if request_outcome in ("not_run", "lost"):
+            ran = Ran.NOT_RUN if request_outcome == "not_run" else Ran.UNKNOWN
+            if request_outcome == "lost":
+                self.blocked.add(key)
             return RequestEnded(attempt, ran)
-        self.ran.add(attempt)
-        self.runs[key] += 1
-        assert self.runs[key] <= 1, f"{key} ran twice"
-        if ending == "lost_run":
+        self.executed.add(attempt)
+        self.run_counts[key] += 1
+        assert self.run_counts[key] <= 1, f"{key} ran twice"
+        if request_outcome == "response_lost":
             return RequestEnded(attempt, Ran.UNKNOWN)
-        if ending == "large":
+        if request_outcome == "large":
             return RequestEnded(attempt, Ran.RAN)
-        if ending == "cut":
+        if request_outcome == "cancelled":
             return ClaimCancelled(attempt)
-        self.answers[key] = StoredResponse(status=201, body=attempt.encode())
-        return RequestEnded(attempt, Ran.RAN, self.answers[key])
+        self.responses[key] = StoredResponse(status=201, body=attempt.encode())
+        return RequestEnded(attempt, Ran.RAN, self.responses[key])
 
     @rule(data=st.data())
-    def land_late_write(self, data):
-        if self.late:
-            place = data.draw(st.integers(0, len(self.late) - 1))
-            self.land(self.late.pop(place))
+    def apply_late_write(self, data):
+        if self.late_writes:
+            index = data.draw(st.integers(0, len(self.late_writes) - 1))
+            self.apply_write(self.late_writes.pop(index))
 
     @rule(
         process=st.sampled_from(PROCESSES),
         fault=st.sampled_from(STORE_FAULTS),
     )
-    def settle(self, process, fault):
+    def reconcile(self, process, fault):
         self.now_s += 2.0
         core = self.cores[process]
         for action in core.handle(ClaimTick(), self.now_s):
-            self.steps[action.attempt] = (process, action.name, action)
-            self.go_on(action.attempt, fault, "")
-
-    @rule(process=st.sampled_from(PROCESSES), runs=st.booleans())
-    def kill(self, process, runs):
-        """A process dies; what it had sent may have run, or land late."""
-        for attempt, (where, key, action) in list(self.steps.items()):
-            if where != process:
+            self.next_actions[action.attempt] = (process, action.name, action)
+            self.advance(action.attempt, fault, "")
+
+    @rule(process=st.sampled_from(PROCESSES), takes_effect=st.booleans())
+    def kill(self, process, takes_effect):
+        """A process dies; its last request or write may still take effect."""
+        for attempt, (owner, key, action) in list(self.next_actions.items()):
+            if owner != process:
                 continue
-            del self.steps[attempt]
-            self.barred.add(key)
-            if runs and isinstance(action, ForwardRequest):
-                self.run_request(attempt, key, "lost_run")
-            if runs and isinstance(action, WriteClaim):
-                self.late.append(action)
-        # What only this process knew is lost.
+            del self.next_actions[attempt]
+            self.blocked.add(key)
+            if takes_effect and isinstance(action, ForwardRequest):
+                self.run_request(attempt, key, "response_lost")
+            if takes_effect and isinstance(action, WriteClaim):
+                self.late_writes.append(action)
+        # The correct state of its pending claims is lost.
         pending = self.cores[process]._pending.values()
-        self.barred.update(claim.name for claim in pending)
+        self.blocked.update(claim.name for claim in pending)
         self.cores[process] = self.core_class()
 
     def teardown(self):
-        """All heals; a key that surely never ran can run."""
-        if not hasattr(self, "steps"):
+        """Ends all faults; a key whose request never ran must be usable."""
+        if not hasattr(self, "next_actions"):
             return
-        while self.late:
-            self.land(self.late.pop())
+        while self.late_writes:
+            self.apply_write(self.late_writes.pop())
         for _ in range(10):
             for process in PROCESSES:
-                self.settle(process, "")
-            for attempt in list(self.steps):
-                self.go_on(attempt, "", "not_run")
-        assert not self.steps
-        assert not any(core.pending for core in self.cores)
+                self.reconcile(process, "")
+            for attempt in list(self.next_actions):
+                self.advance(attempt, "", "not_run")
+        assert not self.next_actions
+        assert not any(core.pending_count for core in self.cores)
         for key in KEYS:
             self.check_can_run(key)
 
     def check_can_run(self, key):
-        if self.runs[key] or key in self.barred:
+        if self.run_counts[key] or key in self.blocked:
             return
         for process in PROCESSES:
             self.request(process, key, ["", "", "", "", ""], "not_run")
             _, record = self.store[key]
             assert record.state == "free", record
-            assert record.attempt == f"a{self.count}", record
+            assert record.attempt == f"a{self.attempt_count}", record
 
 
-class SendsInDoubt(ClaimCore):
-    """Broken: sends although the claim's effect is unknown."""
+class ForwardsUncertain(ClaimCore):
+    """Broken: forwards though the effect of the claim's write is uncertain."""
 
     def _on_claim_written(self, event, now_s):
         if isinstance(event, ClaimWriteUncertain):
@@ -222,10 +240,10 @@
         return super()._on_claim_written(event, now_s)
 
 
-class TakesStale(ClaimCore):
+class TakesOverClaimed(ClaimCore):
     """Broken: takes over the claim of an attempt that may have run."""
 
-    def _is_free(self, record):
+    def _can_take_over(self, record):
         return record.state in ("free", "claimed")
 
 
@@ -238,8 +256,8 @@
         return super()._on_ended(event)
 
 
-class ForgetsPending(ClaimCore):
-    """Broken: a claim in doubt bars the key, though it never ran."""
+class DropsPending(ClaimCore):
+    """Broken: an uncertain claim blocks its key, though it never ran."""
 
     def _add_pending(self, attempt, claim, now_s):
         return
@@ -250,7 +268,12 @@
         run_proof(ClaimMachine, examples=250)
 
     def test_the_machine_catches_broken_claims(self):
-        for broken in (SendsInDoubt, TakesStale, FreesUnknown, ForgetsPending):
+        for broken in (
+            ForwardsUncertain,
+            TakesOverClaimed,
+            FreesUnknown,
+            DropsPending,
+        ):
             with self.subTest(broken.__name__):
                 machine = type(
                     "Machine", (ClaimMachine,), {"core_class": broken}
@@ -267,13 +290,13 @@
             (action,) = core.handle(ClaimRequested("a2", "k", digest), 0.0)
             self.assertEqual(action.error, error)
 
-    def test_an_answer_is_replayed_while_the_store_is_down(self):
+    def test_a_response_is_replayed_while_the_store_is_unavailable(self):
         core = ClaimCore()
-        answer = StoredResponse(status=201, body=b"one")
+        response = StoredResponse(status=201, body=b"one")
         core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
-        core.handle(RequestEnded("a1", Ran.RAN, answer), 0.0)
-        settled = core.handle(ClaimWriteUncertain("a1"), 0.0)
-        self.assertEqual(settled, [ReturnOutcome("a1")])
+        core.handle(RequestEnded("a1", Ran.RAN, response), 0.0)
+        actions = core.handle(ClaimWriteUncertain("a1"), 0.0)
+        self.assertEqual(actions, [ReturnOutcome("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
-        self.assertEqual(action, ReplayResponse("a2", answer))
+        self.assertEqual(action, ReplayResponse("a2", response))
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -1,8 +1,8 @@
-"""Proof: how often one daemon sends a request, and what it says of it.
+"""Proof: how often a request is sent, and which outcome is reported.
 
-Many requests share one budget. Faults: attempts that fail before, while and
-after they run, late answers, time-outs, and no endpoints. The oracle keeps
-what each endpoint truly did.
+Many requests share one retry budget. Faults: attempts that fail before, during
+and after execution, late responses, time-outs, and missing endpoints. The
+oracle records what the endpoints executed.
 """
 
 import unittest
@@ -30,8 +30,8 @@
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
-SHARE, RESERVE = 0.1, 10
-# What the daemon sees of a failed attempt, and whether it truly ran.
+RETRY_SHARE, RETRY_RESERVE = 0.1, 10
+# The outcome that the daemon observes, and whether the request really ran.
 FAILURES = (
     (Ran.NOT_RUN, False),
     (Ran.UNKNOWN, False),
@@ -41,12 +41,15 @@
 
 
 class Request:
-    """One request: its core, and what endpoints did with it."""
+    """One request: its core, and what the endpoints executed.
+
+    `open_attempts` maps attempts to whether the endpoint already ran them.
+    """
 
     def __init__(self, core):
         self.core = core
-        self.open = {}
-        self.runs, self.starts = 0, 0
+        self.open_attempts = {}
+        self.run_count, self.start_count = 0, 0
         self.final = None
 
 
@@ -61,7 +64,7 @@
         self.now_s = 0.0
         self.budget = self.budget_class()
         self.endpoints = {"e1", "e2", "e3"}
-        self.requests, self.repeats, self.count = [], 0, 0
+        self.requests, self.repeat_count, self.count = [], 0, 0
 
     def choose(self, excluded):
         return min(self.endpoints - excluded, default=None)
@@ -80,13 +83,13 @@
         assert self.now_s < plan.deadline_s
         assert request.final is None
         if not plan.idempotent:
-            assert not request.runs, "sent again though it ran"
-            assert not request.open, "sent twice at one time"
-            assert action.fresh, "sent over an unproven connection"
-        request.starts += 1
-        request.open[action.attempt] = False
-        self.repeats += request.starts > 1
-        if request.starts > 1:
+            assert not request.run_count, "sent again though it ran"
+            assert not request.open_attempts, "sent twice concurrently"
+            assert action.fresh, "sent over an existing connection"
+        request.start_count += 1
+        request.open_attempts[action.attempt] = False
+        self.repeat_count += request.start_count > 1
+        if request.start_count > 1:
             assert action.fresh
 
     def on_final(self, request, action):
@@ -96,22 +99,22 @@
             return
         assert isinstance(action, FailRequest)
         if action.ran is Ran.NOT_RUN:
-            assert not request.runs, "refused as not run though it ran"
-            assert not any(request.open.values())
+            assert not request.run_count, "refused as not run though it ran"
+            assert not any(request.open_attempts.values())
             assert action.retry_after_s
 
     @rule(
         idempotent=st.booleans(),
         hedge_after_s=st.sampled_from([0.0, 0.5]),
-        left_s=st.sampled_from([0.0, 0.4, 2.0, 2.0]),
+        time_left_s=st.sampled_from([0.0, 0.4, 2.0, 2.0]),
         burst=st.sampled_from([1, 3, 12]),
         outcome=st.sampled_from([None, None, "answer", *FAILURES]),
     )
-    def send(self, idempotent, hedge_after_s, left_s, burst, outcome):
-        """Callers send requests; perhaps all first attempts end alike."""
+    def send(self, idempotent, hedge_after_s, time_left_s, burst, outcome):
+        """Callers send requests; all their first attempts may end alike."""
         plan = ForwardPlan(
             idempotent=idempotent,
-            deadline_s=self.now_s + left_s,
+            deadline_s=self.now_s + time_left_s,
             hedge_after_s=hedge_after_s,
         )
         for _ in range(burst):
@@ -119,44 +122,48 @@
             request = Request(self.core_class(plan, self.choose, self.budget))
             self.requests.append(request)
             self.feed(request, ForwardStarted())
-            if outcome and 1 in request.open:
+            if outcome and 1 in request.open_attempts:
                 self.end(request, 1, outcome)
 
     def end(self, request, attempt, outcome):
         if outcome != "answer":
             self.fail(request, attempt, *outcome)
             return
-        del request.open[attempt]
-        request.runs += 1
+        del request.open_attempts[attempt]
+        request.run_count += 1
         self.feed(request, AttemptCompleted(attempt))
         assert request.final == DeliverResponse(attempt)
 
-    def fail(self, request, attempt, ran, truly):
-        del request.open[attempt]
-        request.runs += truly
+    def fail(self, request, attempt, ran, did_run):
+        del request.open_attempts[attempt]
+        request.run_count += did_run
         failed = AttemptFailed(attempt=attempt, ran=ran)
         self.feed(request, failed)
 
     @rule(data=st.data(), outcome=st.sampled_from(["answer", *FAILURES]))
     def end_attempt(self, data, outcome):
-        waiting = [r for r in self.requests if r.open and r.final is None]
+        waiting = [
+            r for r in self.requests if r.open_attempts and r.final is None
+        ]
         if not waiting:
             return
         request = data.draw(st.sampled_from(waiting))
-        attempt = data.draw(st.sampled_from(sorted(request.open)))
+        attempt = data.draw(st.sampled_from(sorted(request.open_attempts)))
         self.end(request, attempt, outcome)
 
     @rule(data=st.data())
-    def run_in_secret(self, data):
-        """An endpoint runs a request; its answer is still to come."""
-        waiting = [r for r in self.requests if r.open and r.final is None]
+    def run_without_response(self, data):
+        """An endpoint runs a request, whose response is not yet received."""
+        waiting = [
+            r for r in self.requests if r.open_attempts and r.final is None
+        ]
         if waiting:
             request = data.draw(st.sampled_from(waiting))
-            request.open[max(request.open)] = True
+            request.open_attempts[max(request.open_attempts)] = True
 
     @rule(seconds=st.sampled_from([0.1, 0.5, 1.5]))
     def pass_time(self, seconds):
-        """Every core is woken when it asked for it."""
+        """Time passes; each core gets a tick at its wake-up time."""
         self.now_s += seconds
         for request in self.requests:
             wakeup_s = request.core.next_wakeup_s
@@ -168,9 +175,9 @@
         self.endpoints = endpoints
 
     @invariant()
-    def repeats_keep_to_the_budget(self):
+    def repeats_stay_within_the_budget(self):
         if hasattr(self, "count"):
-            assert self.repeats <= RESERVE + SHARE * self.count
+            assert self.repeat_count <= RETRY_RESERVE + RETRY_SHARE * self.count
 
     @invariant()
     def no_request_outlives_its_deadline(self):
@@ -179,7 +186,7 @@
                 assert request.final is not None
 
 
-class RepeatsUnknown(ForwardCore):
+class RetriesUnknown(ForwardCore):
     """Broken: an unknown outcome counts as not run."""
 
     def _on_failed(self, event, now_s):
@@ -191,30 +198,30 @@
 class HedgesAll(ForwardCore):
     """Broken: hedges requests that may run only once."""
 
-    def _on_begin(self, now_s):
-        actions = super()._on_begin(now_s)
+    def _on_started(self, now_s):
+        actions = super()._on_started(now_s)
         self._hedge_at_s = now_s + 0.5
         return actions
 
 
-class ForgetsOpenAttempts(ForwardCore):
+class IgnoresOpenAttempts(ForwardCore):
     """Broken: at the deadline, open attempts count as not run."""
 
     def _on_tick(self, now_s):
         if now_s >= self.plan.deadline_s:
-            return [self._give_up(ErrorCode.ENDPOINT_TIMEOUT)]
+            return [self._fail_request(ErrorCode.ENDPOINT_TIMEOUT)]
         return super()._on_tick(now_s)
 
 
-class ForgetsDeadline(ForwardCore):
-    """Broken: waits for answers however long they take."""
+class IgnoresDeadline(ForwardCore):
+    """Broken: waits for responses beyond the deadline."""
 
     @property
     def next_wakeup_s(self):
-        return self._hedge_at_s if self._open else None
+        return self._hedge_at_s if self._open_attempts else None
 
 
-class BoundlessBudget(RetryBudget):
+class UnlimitedBudget(RetryBudget):
     """Broken: every retry is allowed."""
 
     def try_acquire(self):
@@ -227,11 +234,11 @@
 
     def test_the_machine_catches_broken_forwarding(self):
         for broken in (
-            {"core_class": RepeatsUnknown},
+            {"core_class": RetriesUnknown},
             {"core_class": HedgesAll},
-            {"core_class": ForgetsOpenAttempts},
-            {"core_class": ForgetsDeadline},
-            {"budget_class": BoundlessBudget},
+            {"core_class": IgnoresOpenAttempts},
+            {"core_class": IgnoresDeadline},
+            {"budget_class": UnlimitedBudget},
         ):
             with self.subTest(str(broken)):
                 machine = type("Machine", (ForwardMachine,), broken)
