--- a/daisyhub/billing/_book.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from daisyhub.billing._meter import WindowCounts
+from daisyhub.billing._usage_meter import WindowCounts
 
 __all__ = ["UsageAggregator"]
 
@@ -27,7 +27,7 @@
     def __init__(self):
         self._pages: dict[tuple[str, int], _Page] = {}
 
-    def note(
+    def update(
         self,
         daemon_id: str,
         incarnation: int,
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,15 +1,15 @@
 """New weight versions, brought to engines in stages."""
 
+from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._controller import VersionReader, WeightLoadController
-from daisyhub.weights._port import (
+from daisyhub.weights._engine_client import (
     EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import assign_engines
-from daisyhub.weights._stage_core import (
+from daisyhub.weights._load_core import (
     EngineObservation,
     EnginesObserved,
     FetchReport,
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -12,14 +12,14 @@
 from daisyhub.duty_bound import DutyBoundController
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import KindWatcher, ObjectStore, StoredObject
-from daisyhub.weights._port import (
+from daisyhub.weights._assignment import assign_engines
+from daisyhub.weights._engine_client import (
     EngineClient,
     LoadMode,
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import assign_engines
-from daisyhub.weights._stage_core import (
+from daisyhub.weights._load_core import (
     EngineObservation,
     EnginesObserved,
     FetchReport,
