--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -12,9 +12,9 @@
 from daisyhub.balancing._endpoint_table import (
     DRAIN_PREFIX,
     DrainOrder,
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 
 __all__ = [
@@ -23,7 +23,7 @@
     "EndpointEntry",
     "DRAIN_PREFIX",
     "DrainOrder",
-    "EndpointNews",
+    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
     "LeastLoaded",
--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -104,8 +104,8 @@
         told_load: Requests that it last told to have in hand.
         told_at_s: When it told.
         failures: Failures in a row.
-        resting_until_s: Until when it gets no new work.
-        heard_at_s: When it last sent anything.
+        backoff_until_s: Until when it gets no new work.
+        last_received_at_s: When it last sent anything.
         lapsed_at_s: When its entry went while the store was away.
     """
 
@@ -116,8 +116,8 @@
     told_load: int = 0
     told_at_s: float = -math.inf
     failures: int = 0
-    resting_until_s: float = -math.inf
-    heard_at_s: float = -math.inf
+    backoff_until_s: float = -math.inf
+    last_received_at_s: float = -math.inf
     lapsed_at_s: float | None = None
 
     def load(self, now_s: float) -> int:
@@ -135,7 +135,7 @@
     def is_silent(self, now_s: float) -> bool:
         """Whether it has said nothing for too long with a request open."""
         return any(
-            now_s - max(req.sent_s, self.heard_at_s) > req.patience_s
+            now_s - max(req.sent_s, self.last_received_at_s) > req.patience_s
             for req in self.open.values()
         )
 
@@ -161,7 +161,7 @@
         self._tokens = 0
         self._cut_domains: frozenset[str] = frozenset()
 
-    def set_cut_domains(self, domains: frozenset[str]) -> None:
+    def set_unreachable_domains(self, domains: frozenset[str]) -> None:
         """Takes the failure domains that seem to be out of reach.
 
         Their endpoints get work only if no other is left.
@@ -176,7 +176,7 @@
         """Returns every endpoint."""
         return list(self._endpoints.values())
 
-    def adopt(self, entry: EndpointEntry) -> None:
+    def upsert(self, entry: EndpointEntry) -> None:
         """Takes over a new or changed entry."""
         known = self._endpoints.get(entry.endpoint_id)
         is_same = (
@@ -260,31 +260,33 @@
         )
         return best.entry.endpoint_id
 
-    def usual_s(self, route: str) -> float:
+    def median_latency_s(self, route: str) -> float:
         """Returns the usual time of an answer of a route."""
         answers = self._answers.get(route)
         return statistics.median_low(answers) if answers else _FIRST_USUAL_S
 
-    def note_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
+    def record_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
         """Counts a request that is sent; returns its token."""
         self._tokens += 1
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             patience_s = math.inf
             if len(self._answers.get(route, ())) >= _FEWEST_ANSWERS:
-                patience_s = _SILENT_FACTOR * self.usual_s(route)
+                patience_s = _SILENT_FACTOR * self.median_latency_s(route)
             endpoint.open[self._tokens] = _OpenRequest(route, now_s, patience_s)
         return self._tokens
 
-    def note_answered(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_answered(
+        self, endpoint_id: str, token: int, now_s: float
+    ) -> None:
         """Counts a whole answer; its time tells the endpoint's pace."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
         req = endpoint.open.pop(token, None)
-        endpoint.heard_at_s = now_s
+        endpoint.last_received_at_s = now_s
         endpoint.failures = 0
-        endpoint.resting_until_s = -math.inf
+        endpoint.backoff_until_s = -math.inf
         if req is None:
             return
         took_s = now_s - req.sent_s
@@ -297,12 +299,14 @@
     def _learn_pace(
         self, endpoint: Endpoint, route: str, took_s: float, now_s: float
     ) -> None:
-        ratio = min(_SLOWEST_PACE, took_s / self.usual_s(route))
+        ratio = min(_SLOWEST_PACE, took_s / self.median_latency_s(route))
         known = endpoint.expected_pace(now_s)
         endpoint.pace = known + _PACE_SHARE * (ratio - known)
         endpoint.paced_at_s = now_s
 
-    def note_overdue(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_abandoned(
+        self, endpoint_id: str, token: int, now_s: float
+    ) -> None:
         """Counts a request that was given up before its answer came.
 
         One that waited longer than usual tells that the endpoint is slow.
@@ -311,12 +315,12 @@
         req = endpoint.open.pop(token, None) if endpoint else None
         if req is None or req.patience_s == math.inf:
             return
-        ratio = (now_s - req.sent_s) / self.usual_s(req.route)
+        ratio = (now_s - req.sent_s) / self.median_latency_s(req.route)
         if ratio > endpoint.expected_pace(now_s):
             endpoint.pace = min(_SLOWEST_PACE, ratio)
             endpoint.paced_at_s = now_s
 
-    def note_failed(self, endpoint_id: str, token: int, now_s: float) -> None:
+    def record_failed(self, endpoint_id: str, token: int, now_s: float) -> None:
         """Counts a failure; the endpoint rests for a time."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
@@ -324,23 +328,25 @@
         endpoint.open.pop(token, None)
         endpoint.failures += 1
         rest_s = _FIRST_REST_S * 2 ** (endpoint.failures - 1)
-        endpoint.resting_until_s = now_s + min(rest_s, _LONGEST_REST_S)
+        endpoint.backoff_until_s = now_s + min(rest_s, _LONGEST_REST_S)
 
-    def note_cancelled(self, endpoint_id: str, token: int) -> None:
+    def record_closed(self, endpoint_id: str, token: int) -> None:
         """Counts a request that its caller gave up."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.open.pop(token, None)
 
-    def note_load(self, endpoint_id: str, load: int, now_s: float) -> None:
+    def record_load(self, endpoint_id: str, load: int, now_s: float) -> None:
         """Takes the load that an endpoint told."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.told_load = load
             endpoint.told_at_s = now_s
-            endpoint.heard_at_s = now_s
+            endpoint.last_received_at_s = now_s
 
-    def note_versions(self, endpoint_id: str, versions: dict[str, int]) -> None:
+    def record_versions(
+        self, endpoint_id: str, versions: dict[str, int]
+    ) -> None:
         """Takes the weights that an engine reports, newer than its entry."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
@@ -359,6 +365,6 @@
 
 
 def _is_doubtful(endpoint: Endpoint, now_s: float) -> bool:
-    if now_s < endpoint.resting_until_s or endpoint.lapsed_at_s is not None:
+    if now_s < endpoint.backoff_until_s or endpoint.lapsed_at_s is not None:
         return True
     return endpoint.is_silent(now_s)
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -17,7 +17,7 @@
 __all__ = [
     "DRAIN_PREFIX",
     "DrainOrder",
-    "EndpointNews",
+    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
 ]
@@ -43,7 +43,7 @@
     author: str = ""
 
 
-class EndpointNews(msgspec.Struct, frozen=True, kw_only=True):
+class EndpointUpdate(msgspec.Struct, frozen=True, kw_only=True):
     """One party's news of one endpoint.
 
     Attributes:
@@ -87,7 +87,7 @@
     suspect_until_s: float = 0.0
     is_leaving: bool = False
     absent_since_s: float | None = None
-    heard_s: float = float("-inf")
+    last_received_at_s: float = float("-inf")
 
     @property
     def load(self) -> float:
@@ -113,12 +113,12 @@
         # Endpoints that may get work, by pool and id.
         self._usable: dict[str, list[EndpointState]] = {}
         self._suspects: set[str] = set()
-        self._listeners: list[Callable[[EndpointNews], None]] = []
+        self._listeners: list[Callable[[EndpointUpdate], None]] = []
 
     def __len__(self) -> int:
         return len(self._endpoints)
 
-    def add_listener(self, listener: Callable[[EndpointNews], None]) -> None:
+    def add_listener(self, listener: Callable[[EndpointUpdate], None]) -> None:
         """Calls `listener` with news that others must hear: one is leaving."""
         self._listeners.append(listener)
 
@@ -130,7 +130,7 @@
         """Returns every endpoint, by id."""
         return [self._endpoints[key] for key in sorted(self._endpoints)]
 
-    def adopt_list(self, records, now_s: float = 0.0) -> None:
+    def apply_list(self, records, now_s: float = 0.0) -> None:
         """Takes over the platform's list of `EndpointRecord`.
 
         The list may lag behind an earlier one, and may lack entries for a
@@ -176,7 +176,7 @@
         if len(self._left) > _MOST_LEFT:
             del self._left[next(iter(self._left))]
 
-    def adopt_news(self, news: EndpointNews) -> bool:
+    def apply_update(self, news: EndpointUpdate) -> bool:
         """Takes one news; returns whether it changed what others must know.
 
         News of a newer incarnation than the known one tells that the known
@@ -251,7 +251,7 @@
             if now_s < self._endpoints[endpoint_id].suspect_until_s
         }
 
-    def told_capacity(self, pools: Iterable[str]) -> int | None:
+    def reported_capacity(self, pools: Iterable[str]) -> int | None:
         """Returns what usable endpoints serve at one time, all together.
 
         None if there are none, or one of them doesn't tell.
@@ -261,20 +261,20 @@
             return None
         return sum(state.capacity for state in states)
 
-    def note_sent(self, endpoint_id: str) -> None:
+    def record_sent(self, endpoint_id: str) -> None:
         """Counts a request that was sent."""
         state = self._endpoints.get(endpoint_id)
         if state is not None:
             state.own_requests += 1
 
-    def note_done(self, endpoint_id: str, *, failed: bool, now_s: float):
+    def record_done(self, endpoint_id: str, *, failed: bool, now_s: float):
         """Counts a request that ended; failures in a row make it suspect."""
         state = self._endpoints.get(endpoint_id)
         if state is None:
             return
         state.own_requests = max(0, state.own_requests - 1)
         if not failed:
-            state.heard_s = now_s
+            state.last_received_at_s = now_s
             state.failures = 0
             state.suspect_until_s = 0.0
             self._suspects.discard(endpoint_id)
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from daisyhub.balancing import EndpointNews, EndpointTable
+from daisyhub.balancing import EndpointTable, EndpointUpdate
 from daisyhub.hosting import EndpointRecord
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -84,7 +84,7 @@
             self.missing_s.pop((number, record.endpoint_id), None)
         if missing and not is_empty:
             self.missing_s.setdefault((number, missing), self.now_s)
-        self.tables[number].adopt_list(records, self.now_s)
+        self.tables[number].apply_list(records, self.now_s)
         since_s = self.missing_s.get((number, missing), self.now_s)
         if missing in before and self.now_s - since_s <= MOMENT_S:
             assert missing in self.ids(number), "dropped after a moment"
@@ -105,7 +105,7 @@
         """A peer notes news of what an endpoint answered, now or before."""
         state = self.lists[max(0, len(self.lists) - 1 - lag)][endpoint_id]
         self.news.append(
-            EndpointNews(
+            EndpointUpdate(
                 endpoint_id=endpoint_id,
                 incarnation=state[0],
                 is_leaving=state[1],
@@ -122,7 +122,7 @@
         gone = news.incarnation - (not news.is_leaving)
         heard = self.heard[number]
         heard[news.endpoint_id] = max(heard.get(news.endpoint_id, 0), gone)
-        self.tables[number].adopt_news(news)
+        self.tables[number].apply_update(news)
 
     @rule(
         number=st.sampled_from(TABLES),
@@ -134,11 +134,11 @@
             self.now_s += MOMENT_S
         elif step == "send":
             for state in table.candidates("p", self.now_s)[:1]:
-                table.note_sent(state.endpoint_id)
+                table.record_sent(state.endpoint_id)
                 open_ids.append(state.endpoint_id)
         elif open_ids:
             failed = step == "fail"
-            table.note_done(open_ids.pop(), failed=failed, now_s=self.now_s)
+            table.record_done(open_ids.pop(), failed=failed, now_s=self.now_s)
 
     @invariant()
     def gives_no_work_to_the_leaving(self):
@@ -176,11 +176,11 @@
 class IgnoresUnknown(EndpointTable):
     """Broken: news of an incarnation that isn't known yet is dropped."""
 
-    def adopt_news(self, news):
+    def apply_update(self, news):
         known = self.get(news.endpoint_id)
         if known is None or known.incarnation != news.incarnation:
             return False
-        return super().adopt_news(news)
+        return super().apply_update(news)
 
 
 class TrustsList(EndpointTable):
--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,9 +1,12 @@
 """Requests of client accounts, counted and reported by windows."""
 
-from daisyhub.billing._book import UsageBook
 from daisyhub.billing._controller import UsageReporter
-from daisyhub.billing._desk import DeskOutcome, OrderDesk
-from daisyhub.billing._meter import UsageMeter, WindowCounts
+from daisyhub.billing._order_desk_client import (
+    OrderDeskClient,
+    OrderDeskOutcome,
+)
+from daisyhub.billing._usage_aggregator import UsageAggregator
+from daisyhub.billing._usage_meter import UsageMeter, WindowCounts
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
@@ -15,12 +18,12 @@
 )
 
 __all__ = [
-    "DeskOutcome",
-    "OrderDesk",
+    "OrderDeskOutcome",
+    "OrderDeskClient",
     "ReportWindow",
     "SealFailed",
     "SealWindow",
-    "UsageBook",
+    "UsageAggregator",
     "UsageMeter",
     "UsageReporter",
     "WindowCore",
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -3,8 +3,11 @@
 import anyio
 import msgspec
 
-from daisyhub.billing._book import UsageBook
-from daisyhub.billing._desk import DeskOutcome, OrderDesk
+from daisyhub.billing._order_desk_client import (
+    OrderDeskClient,
+    OrderDeskOutcome,
+)
+from daisyhub.billing._usage_aggregator import UsageAggregator
 from daisyhub.billing._window_core import (
     ReportWindow,
     SealFailed,
@@ -57,10 +60,10 @@
     def __init__(
         self,
         duty,
-        book: UsageBook,
+        book: UsageAggregator,
         live,
         store: ObjectStore,
-        desk: OrderDesk,
+        desk: OrderDeskClient,
         clock,
         window_s: float,
         late_s: float,
@@ -162,9 +165,9 @@
             fencing=fencing,
             outcome=outcome.value,
         )
-        if outcome is DeskOutcome.DEPOSED:
-            self._duty.depose("the platform saw a higher number")
-        is_done = outcome is DeskOutcome.DONE
+        if outcome is OrderDeskOutcome.STALE_FENCING:
+            self._duty.step_down("the platform saw a higher number")
+        is_done = outcome is OrderDeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
 
     async def _delete_old(self, window: int) -> None:
--- a/daisyhub/billing/_desk.py
+++ b/daisyhub/billing/_order_desk_client.py
@@ -3,25 +3,25 @@
 import abc
 import enum
 
-__all__ = ["DeskOutcome", "OrderDesk"]
+__all__ = ["OrderDeskOutcome", "OrderDeskClient"]
 
 
-class DeskOutcome(enum.Enum):
+class OrderDeskOutcome(enum.Enum):
     """What the platform said to a call."""
 
     DONE = "done"
-    DEPOSED = "deposed"
+    STALE_FENCING = "deposed"
     REFUSED = "refused"
     UNKNOWN = "unknown"
 
 
-class OrderDesk(abc.ABC):
+class OrderDeskClient(abc.ABC):
     """Calls the platform; each call names its sender and fencing number."""
 
     @abc.abstractmethod
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
-    ) -> DeskOutcome:
+    ) -> OrderDeskOutcome:
         """Reports a window; an exact repeat does no harm.
 
         Args:
@@ -33,5 +33,5 @@
     @abc.abstractmethod
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
-    ) -> DeskOutcome:
+    ) -> OrderDeskOutcome:
         """Orders how many endpoints of one kind a failure domain has."""
--- a/daisyhub/billing/_book.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -2,9 +2,9 @@
 
 import dataclasses
 
-from daisyhub.billing._meter import WindowCounts
+from daisyhub.billing._usage_meter import WindowCounts
 
-__all__ = ["UsageBook"]
+__all__ = ["UsageAggregator"]
 
 # Windows kept of each start of a daemon.
 _KEPT_WINDOWS = 8
@@ -18,7 +18,7 @@
     closed_before: int = 0
 
 
-class UsageBook:
+class UsageAggregator:
     """Keeps the highest counts of each start of each daemon.
 
     A daemon that died leaves the counts of its last ping.
--- a/daisyhub/billing/tests/test_proof_windows.py
+++ b/daisyhub/billing/tests/test_proof_windows.py
@@ -17,7 +17,7 @@
     ReportWindow,
     SealFailed,
     SealWindow,
-    UsageBook,
+    UsageAggregator,
     UsageMeter,
     WindowCore,
     WindowCounts,
@@ -176,14 +176,14 @@
 
 class BookTest(unittest.TestCase):
     def test_starts_of_a_daemon_add_up_and_repeats_do_not(self):
-        book = UsageBook()
+        book = UsageAggregator()
         for _ in range(3):
             book.note("d", 1, (WindowCounts(7, {"a": 2}),), 7)
         book.note("d", 2, (WindowCounts(7, {"a": 1}),), 8)
         self.assertEqual(book.total(7), {"a": 3})
 
     def test_a_window_is_complete_once_every_live_daemon_closed_it(self):
-        book = UsageBook()
+        book = UsageAggregator()
         book.note("d", 2, (), 8)
         self.assertTrue(book.is_complete(7, {"d": 2}))
         self.assertFalse(book.is_complete(8, {"d": 2}))
--- a/daisyhub/duties/__init__.py
+++ b/daisyhub/duties/__init__.py
@@ -4,10 +4,10 @@
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
     DutyFound,
     DutyRecord,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -16,7 +16,7 @@
     "DutyCallFailed",
     "DutyController",
     "DutyCore",
-    "DutyDeposed",
+    "FencingRejected",
     "DutyFound",
     "DutyRecord",
     "DutyTick",
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -11,10 +11,10 @@
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
     DutyFound,
     DutyRecord,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -87,10 +87,10 @@
             "fencing": self.fencing,
         }
 
-    def depose(self, reason: str) -> None:
+    def step_down(self, reason: str) -> None:
         """Gives the duty up at once: a receiver refused its number."""
         self._log.note("duty_refused", duty=self.duty, reason=reason)
-        self._core.handle(DutyDeposed(), boot_time_s())
+        self._core.handle(FencingRejected(), boot_time_s())
         self._tell()
 
     async def run(self) -> None:
@@ -132,7 +132,7 @@
         return DutyTick(
             is_first=self._is_first(live),
             is_holder_live=is_live,
-            is_alone=len(live) < len(self._peers.all()),
+            has_lost_peers=len(live) < len(self._peers.all()),
             seen_fencing=max(numbers, default=0),
         )
 
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -20,7 +20,7 @@
 __all__ = [
     "DutyCallFailed",
     "DutyCore",
-    "DutyDeposed",
+    "FencingRejected",
     "DutyFound",
     "DutyRecord",
     "DutyTick",
@@ -56,13 +56,13 @@
     Attributes:
         is_first: Whether this daemon is to take the duty if it is free.
         is_holder_live: Whether the known holder's process is heard.
-        is_alone: Whether daemons that were heard before are silent now.
+        has_lost_peers: Whether daemons that were heard before are silent now.
         seen_fencing: Highest number that peers tell to hold.
     """
 
     is_first: bool
     is_holder_live: bool
-    is_alone: bool = False
+    has_lost_peers: bool = False
     seen_fencing: int = 0
 
 
@@ -85,7 +85,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutyDeposed:
+class FencingRejected:
     """A receiver refused the number: another daemon used a higher one."""
 
 
@@ -164,7 +164,7 @@
                 self._is_waiting = False
                 self._revision = None
                 self._paused_until_s = now_s + _FAILED_PAUSE_S
-            case DutyDeposed():
+            case FencingRejected():
                 self._on_deposed(now_s)
             case _:
                 raise TypeError(f"not a duty event: {event!r}")
@@ -196,7 +196,7 @@
         if not self._is_wanted:
             released = DutyRecord(holder="", fencing=self._record.fencing)
             return self._write(released, now_s)
-        must_check = tick.is_alone or not self.is_checked
+        must_check = tick.has_lost_peers or not self.is_checked
         check_s = self.term_s / _CHECKS_PER_TERM
         if must_check and now_s - self._looked_at_s >= check_s:
             return self._read(now_s)
--- a/daisyhub/duties/tests/test_proof_duties.py
+++ b/daisyhub/duties/tests/test_proof_duties.py
@@ -18,9 +18,9 @@
 from daisyhub.duties import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
     DutyFound,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -64,13 +64,15 @@
         number=st.sampled_from(DAEMONS),
         is_first=st.booleans(),
         hears=st.booleans(),
-        is_alone=st.booleans(),
+        has_lost_peers=st.booleans(),
     )
-    def tick(self, number, is_first, hears, is_alone):
+    def tick(self, number, is_first, hears, has_lost_peers):
         if self.waiting[number] is not None:
             return
         tick = DutyTick(
-            is_first=is_first, is_holder_live=hears, is_alone=is_alone
+            is_first=is_first,
+            is_holder_live=hears,
+            has_lost_peers=has_lost_peers,
         )
         actions = self.cores[number].handle(tick, self.now_s)
         if actions:
@@ -133,7 +135,7 @@
         if not fencing:
             return
         if self.is_checked and fencing < self.highest:
-            self.cores[number].handle(DutyDeposed(), self.now_s)
+            self.cores[number].handle(FencingRejected(), self.now_s)
             return
         self.highest = max(self.highest, fencing)
         known = self.holder_of.setdefault(fencing, number)
@@ -233,7 +235,9 @@
 
     def test_a_holder_that_misses_daemons_looks_at_its_record(self):
         core = self.held()
-        tick = DutyTick(is_first=True, is_holder_live=False, is_alone=True)
+        tick = DutyTick(
+            is_first=True, is_holder_live=False, has_lost_peers=True
+        )
         self.assertEqual(core.handle(tick, 12.0), [ReadDuty()])
 
     def test_a_higher_number_told_by_a_peer_is_looked_up(self):
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,42 +1,42 @@
 """New weight versions, brought to engines in stages."""
 
-from daisyhub.weights._controller import VersionReader, WeightStager
-from daisyhub.weights._port import (
-    EnginePort,
+from daisyhub.weights._assignment import assign_engines
+from daisyhub.weights._controller import VersionReader, WeightLoadController
+from daisyhub.weights._engine_client import (
+    EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import share_engines
-from daisyhub.weights._stage_core import (
-    AskReport,
+from daisyhub.weights._load_core import (
+    EngineObservation,
+    EnginesObserved,
+    FetchReport,
     OrderAnswered,
     ReportFailed,
-    ReportRead,
+    ReportReceived,
     SendOrder,
-    Sight,
-    SightsTaken,
-    StageCore,
-    VersionNamed,
+    VersionPublished,
+    WeightLoadCore,
 )
 
 __all__ = [
-    "AskReport",
-    "EnginePort",
+    "FetchReport",
+    "EngineClient",
     "EngineReport",
     "LoadMode",
     "OrderAnswered",
     "OrderOutcome",
     "ReportFailed",
-    "ReportRead",
+    "ReportReceived",
     "SendOrder",
-    "Sight",
-    "SightsTaken",
-    "StageCore",
-    "VersionNamed",
+    "EngineObservation",
+    "EnginesObserved",
+    "WeightLoadCore",
+    "VersionPublished",
     "VersionOrder",
     "VersionReader",
-    "WeightStager",
-    "share_engines",
+    "WeightLoadController",
+    "assign_engines",
 ]
--- a/daisyhub/weights/_sharing.py
+++ b/daisyhub/weights/_assignment.py
@@ -7,7 +7,7 @@
 
 from collections.abc import Iterable, Mapping
 
-__all__ = ["share_engines"]
+__all__ = ["assign_engines"]
 
 # Share of an engine by which a model must be short before it gets another.
 _SLACK = 0.75
@@ -16,7 +16,7 @@
 _LEAST_GAIN = 0.25
 
 
-def share_engines(
+def assign_engines(
     engine_ids: Iterable[str],
     demand: Mapping[str, float],
     earlier: Mapping[str, str],
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -12,26 +12,26 @@
 from daisyhub.duty_bound import DutyBoundController
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import KindWatcher, ObjectStore, StoredObject
-from daisyhub.weights._port import (
-    EnginePort,
+from daisyhub.weights._assignment import assign_engines
+from daisyhub.weights._engine_client import (
+    EngineClient,
     LoadMode,
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import share_engines
-from daisyhub.weights._stage_core import (
-    AskReport,
+from daisyhub.weights._load_core import (
+    EngineObservation,
+    EnginesObserved,
+    FetchReport,
     OrderAnswered,
     ReportFailed,
-    ReportRead,
+    ReportReceived,
     SendOrder,
-    Sight,
-    SightsTaken,
-    StageCore,
-    VersionNamed,
+    VersionPublished,
+    WeightLoadCore,
 )
 
-__all__ = ["VersionReader", "WeightStager"]
+__all__ = ["VersionReader", "WeightLoadController"]
 
 # Seconds between looks at the engines.
 _TICK_S = 0.1
@@ -46,7 +46,7 @@
     kind: str
 
     @abc.abstractmethod
-    def read(self, found: StoredObject) -> VersionNamed:
+    def read(self, found: StoredObject) -> VersionPublished:
         """Returns what an object names.
 
         Raises:
@@ -54,7 +54,7 @@
         """
 
 
-class WeightStager(DutyBoundController):
+class WeightLoadController(DutyBoundController):
     """Orders engines to load what trainers name.
 
     Args:
@@ -65,7 +65,7 @@
         port: Talks to engines.
         directory: Endpoints.
         manifests: Tells which routes want samples of a single version.
-        runs_at: Tells how many runs are open at an engine.
+        open_run_count: Tells how many runs are open at an engine.
         demand: Tells the work asked for by model.
         loads_share: Share of a model's engines that load at one time.
         log: Where decisions are noted.
@@ -79,10 +79,10 @@
         holder: str,
         store: ObjectStore,
         reader: VersionReader,
-        port: EnginePort,
+        port: EngineClient,
         directory: EndpointDirectory,
         manifests: ManifestController,
-        runs_at: Callable[[str], int],
+        open_run_count: Callable[[str], int],
         demand: Callable[[], dict[str, float]],
         loads_share: float,
         log: DecisionLog,
@@ -94,12 +94,12 @@
         self._port = port
         self._directory = directory
         self._manifests = manifests
-        self._runs_at = runs_at
+        self._open_run_count = open_run_count
         self._demand = demand
         self._loads_share = loads_share
         self._log = log
-        self._cores: dict[str, StageCore] = {}
-        self._named: dict[str, VersionNamed] = {}
+        self._cores: dict[str, WeightLoadCore] = {}
+        self._named: dict[str, VersionPublished] = {}
         self._serves: dict[str, str] = {}
         self._tasks = None
 
@@ -163,19 +163,19 @@
         for pool, engines in pools.items():
             core = self._cores.get(pool)
             if core is None:
-                core = self._cores[pool] = StageCore(self._loads_share)
+                core = self._cores[pool] = WeightLoadCore(self._loads_share)
                 for named in self._named.values():
                     self._handle(core, named)
             self._share(engines)
             sights = tuple(self._sight(endpoint) for endpoint in engines)
-            self._handle(core, SightsTaken(sights, self._mode()))
+            self._handle(core, EnginesObserved(sights, self._mode()))
 
     def _share(self, engines: list[Endpoint]) -> None:
         """Decides which engine of a pool serves which model."""
         models = {m for e in engines for m in e.entry.versions}
         demand = self._demand()
         ids = [endpoint.entry.endpoint_id for endpoint in engines]
-        shared = share_engines(
+        shared = assign_engines(
             ids,
             {model: demand.get(model, 1.0) for model in models},
             self._serves,
@@ -194,24 +194,24 @@
         )
         return LoadMode.FINISH if is_single else LoadMode.CONTINUE
 
-    def _sight(self, endpoint: Endpoint) -> Sight:
+    def _sight(self, endpoint: Endpoint) -> EngineObservation:
         entry = endpoint.entry
-        return Sight(
+        return EngineObservation(
             endpoint_id=entry.endpoint_id,
             incarnation=entry.incarnation,
             versions=entry.versions,
-            runs=self._runs_at(entry.endpoint_id),
+            runs=self._open_run_count(entry.endpoint_id),
             model=self._serves.get(entry.endpoint_id, ""),
         )
 
-    def _handle(self, core: StageCore, event: object) -> None:
+    def _handle(self, core: WeightLoadCore, event: object) -> None:
         for action in core.handle(event, time.monotonic()):
             if isinstance(action, SendOrder):
                 self._tasks.start_soon(self._order, core, action)
-            elif isinstance(action, AskReport):
+            elif isinstance(action, FetchReport):
                 self._tasks.start_soon(self._report, core, action)
 
-    async def _order(self, core: StageCore, action: SendOrder) -> None:
+    async def _order(self, core: WeightLoadCore, action: SendOrder) -> None:
         """Sends an order; the number is read as the last step before."""
         endpoint = self._directory.get(action.endpoint_id)
         fencing = self._duty.fencing
@@ -237,11 +237,11 @@
             fencing=fencing,
             outcome=outcome.value,
         )
-        if outcome is OrderOutcome.DEPOSED:
-            self._duty.depose(f"{action.endpoint_id} saw a higher number")
+        if outcome is OrderOutcome.STALE_FENCING:
+            self._duty.step_down(f"{action.endpoint_id} saw a higher number")
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
-    async def _report(self, core: StageCore, action: AskReport) -> None:
+    async def _report(self, core: WeightLoadCore, action: FetchReport) -> None:
         endpoint = self._directory.get(action.endpoint_id)
         report = None
         if endpoint is not None:
@@ -249,5 +249,5 @@
         if report is None:
             self._handle(core, ReportFailed(action.endpoint_id))
             return
-        self._directory.note_versions(action.endpoint_id, report.versions)
-        self._handle(core, ReportRead(action.endpoint_id, report))
+        self._directory.record_versions(action.endpoint_id, report.versions)
+        self._handle(core, ReportReceived(action.endpoint_id, report))
--- a/daisyhub/weights/_port.py
+++ b/daisyhub/weights/_engine_client.py
@@ -7,7 +7,7 @@
 from daisyhub.settings import Address
 
 __all__ = [
-    "EnginePort",
+    "EngineClient",
     "EngineReport",
     "LoadMode",
     "OrderOutcome",
@@ -26,9 +26,9 @@
     """What an engine said to an order."""
 
     ACCEPTED = "accepted"
-    HOLDS = "holds"
+    ALREADY_LOADED = "holds"
     CONFLICT = "conflict"
-    DEPOSED = "deposed"
+    STALE_FENCING = "deposed"
     OTHER_ENDPOINT = "other_endpoint"
     REFUSED = "refused"
     UNKNOWN = "unknown"
@@ -76,7 +76,7 @@
     running: int = 0
 
 
-class EnginePort(abc.ABC):
+class EngineClient(abc.ABC):
     """Talks to engines."""
 
     @abc.abstractmethod
--- a/daisyhub/weights/_stage_core.py
+++ b/daisyhub/weights/_load_core.py
@@ -16,18 +16,18 @@
 import math
 
 from daisyhub.base import Core
-from daisyhub.weights._port import EngineReport, LoadMode, OrderOutcome
+from daisyhub.weights._engine_client import EngineReport, LoadMode, OrderOutcome
 
 __all__ = [
-    "AskReport",
+    "FetchReport",
     "OrderAnswered",
     "ReportFailed",
-    "ReportRead",
+    "ReportReceived",
     "SendOrder",
-    "Sight",
-    "SightsTaken",
-    "StageCore",
-    "VersionNamed",
+    "EngineObservation",
+    "EnginesObserved",
+    "WeightLoadCore",
+    "VersionPublished",
 ]
 
 # Seconds from an accepted order until its load may be over, and between looks
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class VersionNamed:
+class VersionPublished:
     """A trainer named a version."""
 
     model: str
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Sight:
+class EngineObservation:
     """An engine as seen now.
 
     Attributes:
@@ -70,7 +70,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SightsTaken:
+class EnginesObserved:
     """The engines of a pool that may be ordered.
 
     Attributes:
@@ -78,7 +78,7 @@
         mode: What becomes of open requests.
     """
 
-    engines: tuple[Sight, ...]
+    engines: tuple[EngineObservation, ...]
     mode: LoadMode
 
 
@@ -91,7 +91,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReportRead:
+class ReportReceived:
     """An engine reported."""
 
     endpoint_id: str
@@ -117,7 +117,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskReport:
+class FetchReport:
     """Action: read an engine's report."""
 
     endpoint_id: str
@@ -147,7 +147,7 @@
         is_asked: Whether a report is on its way.
     """
 
-    sight: Sight
+    sight: EngineObservation
     phase: _Phase = _Phase.IDLE
     since_s: float = -math.inf
     look_at_s: float = math.inf
@@ -158,7 +158,7 @@
     is_asked: bool = False
 
 
-class StageCore(Core):
+class WeightLoadCore(Core):
     """Decides about one pool's engines.
 
     Args:
@@ -187,16 +187,16 @@
         return engine is not None and engine.phase is not _Phase.IDLE
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one stage event; returns `SendOrder` and `AskReport`."""
+        """Takes one stage event; returns `SendOrder` and `FetchReport`."""
         match event:
-            case VersionNamed():
+            case VersionPublished():
                 known = self._named.get(event.model, 0)
                 self._named[event.model] = max(known, event.version)
-            case SightsTaken():
+            case EnginesObserved():
                 self._on_sights(event)
             case OrderAnswered():
                 self._on_answered(event, now_s)
-            case ReportRead():
+            case ReportReceived():
                 self._on_report(event, now_s)
             case ReportFailed():
                 self._on_report_failed(event, now_s)
@@ -204,7 +204,7 @@
                 raise TypeError(f"not a stage event: {event!r}")
         return self._look(now_s) + self._order(now_s)
 
-    def _on_sights(self, event: SightsTaken) -> None:
+    def _on_sights(self, event: EnginesObserved) -> None:
         self._mode = event.mode
         seen = {sight.endpoint_id: sight for sight in event.engines}
         for endpoint_id in [e for e in self._engines if e not in seen]:
@@ -229,7 +229,7 @@
             case OrderOutcome.ACCEPTED:
                 engine.orders_taken = (engine.orders_taken or 0) + 1
                 self._load(engine, now_s)
-            case OrderOutcome.HOLDS:
+            case OrderOutcome.ALREADY_LOADED:
                 _rest(engine)
                 held = {**engine.sight.versions, engine.model: engine.target}
                 engine.sight = dataclasses.replace(engine.sight, versions=held)
@@ -246,7 +246,7 @@
         engine.since_s = now_s
         engine.look_at_s = now_s + _FIRST_LOOK_S
 
-    def _on_report(self, event: ReportRead, now_s: float) -> None:
+    def _on_report(self, event: ReportReceived, now_s: float) -> None:
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return
@@ -307,7 +307,7 @@
         is_idle = engine.phase is _Phase.IDLE
         return is_idle and bool(self._missing(engine.sight))
 
-    def _missing(self, sight: Sight) -> str:
+    def _missing(self, sight: EngineObservation) -> str:
         """Returns the model whose weights are furthest behind, or empty."""
         behind = {
             model: version - sight.versions[model]
@@ -330,7 +330,7 @@
             if engine.is_asked or now_s < engine.look_at_s:
                 continue
             engine.is_asked = True
-            asks.append(AskReport(endpoint_id))
+            asks.append(FetchReport(endpoint_id))
         return asks
 
     def _order(self, now_s: float) -> list[object]:
