--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -6,7 +6,12 @@
 
 from daisyhub.balancing import EndpointState
 from daisyhub.exceptions import ErrorCode
-from daisyhub.filters import Admit, Arrive, PlacesChanged, Shed
+from daisyhub.filters import (
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestArrived,
+    ShedRequest,
+)
 
 __all__ = [
     "MOST_PLACES",
@@ -67,30 +72,34 @@
 class FirstComeFirstServed:
     """One queue with the same bound; the plain baseline of admission."""
 
-    def __init__(self, places: int):
-        self.places = places
+    def __init__(self, concurrency_limit: int):
+        self.concurrency_limit = concurrency_limit
         self._in_service: set[str] = set()
-        self._queue: list[Arrive] = []
+        self._queue: list[RequestArrived] = []
 
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes the events of `AdmissionCore`."""
-        if isinstance(event, PlacesChanged):
-            self.places = event.places
-        elif isinstance(event, Arrive):
-            if len(self._queue) >= 2 * self.places:
-                return [Shed(event.request_id, ErrorCode.OVERLOADED, 1.0)]
+        if isinstance(event, ConcurrencyLimitChanged):
+            self.concurrency_limit = event.concurrency_limit
+        elif isinstance(event, RequestArrived):
+            if len(self._queue) >= 2 * self.concurrency_limit:
+                return [
+                    ShedRequest(event.request_id, ErrorCode.OVERLOADED, 1.0)
+                ]
             self._queue.append(event)
         else:
             self._in_service.discard(event.request_id)
         actions = []
-        while self._queue and len(self._in_service) < self.places:
+        while self._queue and len(self._in_service) < self.concurrency_limit:
             waiting = self._queue.pop(0)
             if waiting.deadline_s <= now_s:
-                shed = Shed(waiting.request_id, ErrorCode.OVERLOADED, 1.0)
+                shed = ShedRequest(
+                    waiting.request_id, ErrorCode.OVERLOADED, 1.0
+                )
                 actions.append(shed)
                 continue
             self._in_service.add(waiting.request_id)
-            actions.append(Admit(waiting.request_id))
+            actions.append(AdmitRequest(waiting.request_id))
         return actions
 
 
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -15,27 +15,27 @@
 )
 from benchmarks.measure.workloads import Site
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointTable,
+    EndpointUpdate,
     LeastLoaded,
     RoundRobin,
 )
 from daisyhub.exceptions import Ran
 from daisyhub.filters import (
     AdmissionCore,
-    Admit,
-    Arrive,
-    Depart,
-    PlacesChanged,
-    places_for,
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestArrived,
+    RequestDeparted,
+    compute_concurrency_limit,
 )
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
-    Begin,
-    Deliver,
+    DeliverResponse,
     ForwardCore,
     ForwardPlan,
+    ForwardStarted,
     ForwardTick,
     RetryBudget,
     StartAttempt,
@@ -109,7 +109,7 @@
         self.run = run
         self.domain = domain
         self.table = EndpointTable()
-        self.table.adopt_list(run.records_of(domain))
+        self.table.apply_list(run.records_of(domain))
         kind = LeastLoaded if policy.is_least_loaded else RoundRobin
         self.balancer = kind(seed)
         core = AdmissionCore if policy.is_fair else FirstComeFirstServed
@@ -131,14 +131,18 @@
         sharing = _DAEMONS_EACH
         if self.run.policy.is_site_wide:
             sharing = len(self.run.daemons)
-        capacity = self.table.told_capacity([_POOL])
-        self.feed(PlacesChanged(places_for(capacity, sharing, MOST_PLACES)))
+        capacity = self.table.reported_capacity([_POOL])
+        self.feed(
+            ConcurrencyLimitChanged(
+                compute_concurrency_limit(capacity, sharing, MOST_PLACES)
+            )
+        )
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
     def feed(self, event: object) -> None:
         for action in self.admission.handle(event, self.run.clock.now_s):
             req = self.waiting.pop(action.request_id)
-            if isinstance(action, Admit):
+            if isinstance(action, AdmitRequest):
                 req.begin()
             else:
                 req.finish("refused")
@@ -162,7 +166,7 @@
     def arrive(self) -> None:
         self.daemon.waiting[self.request_id] = self
         self.daemon.feed(
-            Arrive(
+            RequestArrived(
                 request_id=self.request_id,
                 account=f"account-{self.account}",
                 weight=1,
@@ -184,7 +188,7 @@
             self.daemon.choose, idempotent=self.idempotent
         )
         self.core = ForwardCore(plan, choose, self.daemon.budget)
-        self.feed(Begin())
+        self.feed(ForwardStarted())
         if not self._is_over and self.core.next_wakeup_s is not None:
             tick_s = self.core.next_wakeup_s
             self.run.clock.at(tick_s, lambda: self.feed(ForwardTick()))
@@ -195,7 +199,7 @@
         for action in self.core.handle(event, self.run.clock.now_s):
             if isinstance(action, StartAttempt):
                 self._send(action)
-            elif isinstance(action, Deliver):
+            elif isinstance(action, DeliverResponse):
                 self.finish("answered", self._open.pop(action.attempt))
             else:
                 kind = "failed" if action.ran is Ran.NOT_RUN else "unknown"
@@ -205,7 +209,7 @@
         run = self.run
         server = run.servers[action.endpoint_id]
         self._open[action.attempt] = server
-        self.daemon.table.note_sent(action.endpoint_id)
+        self.daemon.table.record_sent(action.endpoint_id)
         hop_s = run.hop_s(self.daemon.domain, server)
         if server.is_in("refuse") or server.is_gone():
             run.clock.after(
@@ -227,14 +231,14 @@
         if server.is_gone() or server.is_in("hang"):
             return  # Lost with the server; the deadline will tell.
         self._note(attempt, failed=False)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=server.record.endpoint_id,
             incarnation=1,
             load=server.load(),
             capacity=self.run.site.service_slots,
         )
-        self.daemon.table.adopt_news(news)
-        self.feed(AttemptAnswered(attempt))
+        self.daemon.table.apply_update(news)
+        self.feed(AttemptCompleted(attempt))
 
     def _fail(self, attempt: int, ran: Ran) -> None:
         if self._is_over or attempt not in self._open:
@@ -245,7 +249,7 @@
         self.feed(AttemptFailed(attempt=attempt, ran=ran, timed_out=timed_out))
 
     def _note(self, attempt: int, *, failed: bool) -> None:
-        self.daemon.table.note_done(
+        self.daemon.table.record_done(
             self._open[attempt].record.endpoint_id,
             failed=failed,
             now_s=self.run.clock.now_s,
@@ -257,12 +261,12 @@
         took_s = now_s - self.started_s + 2 * self.run.site.caller_s
         self.run.outcomes.append((self.account, kind, took_s, server))
         for other in self._open.values():
-            self.daemon.table.note_done(
+            self.daemon.table.record_done(
                 other.record.endpoint_id, failed=False, now_s=now_s
             )
         if self.admitted_s is not None:
             service_s = now_s - self.admitted_s
-            self.daemon.feed(Depart(self.request_id, service_s))
+            self.daemon.feed(RequestDeparted(self.request_id, service_s))
 
 
 class _Run:
@@ -350,7 +354,7 @@
         reclaim = next(f for f in self.faults if f.kind == "reclaim")
         if self.clock.now_s >= reclaim.start_s + _LIST_LAG_S:
             for daemon in self.daemons:
-                daemon.table.adopt_list(
+                daemon.table.apply_list(
                     [
                         record
                         for record in self.records_of(daemon.domain)
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -12,30 +12,34 @@
     processor_us,
 )
 from daisyhub.filters import AdmissionCore
-from daisyhub.filters._admission_core import Admit, Arrive, Depart
+from daisyhub.filters._admission_core import (
+    AdmitRequest,
+    RequestArrived,
+    RequestDeparted,
+)
 from daisyhub.hosting import (
     LeaseCore,
     LeaseRead,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     rank_candidates,
 )
 from daisyhub.rollouts import (
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 
@@ -93,26 +97,26 @@
         return actions
 
     def run(self, is_pulled: bool = True) -> "_LotRun":
-        waiting = self.feed(LotTick())
+        waiting_count = self.feed(LotTick())
         if is_pulled:
-            waiting += self._ask(())
-        while waiting:
-            action = waiting.pop(0)
+            waiting_count += self._ask(())
+        while waiting_count:
+            action = waiting_count.pop(0)
             match action:
                 case ReadState():
-                    waiting += self.feed(StateRead(LotState(), 0))
+                    waiting_count += self.feed(StateRead(LotState(), 0))
                 case Generate():
-                    ready = SampleReady(action.attempt, _answer())
-                    waiting += self.feed(ready)
+                    ready = SampleReceived(action.attempt, _answer())
+                    waiting_count += self.feed(ready)
                 case WriteState():
-                    waiting += self._commit(action)
-                case HandOver() if action.remaining:
-                    waiting += self._ask((action.pull_id,))
+                    waiting_count += self._commit(action)
+                case DeliverGroups() if action.remaining:
+                    waiting_count += self._ask((action.pull_id,))
         return self
 
     def _ask(self, acks: tuple[str, ...]) -> list[object]:
         self._pulls += 1
-        event = PullAsked(
+        event = PullRequested(
             call=self._pulls,
             pull_id=f"pull-{self._pulls:08d}",
             version=1,
@@ -125,7 +129,7 @@
     def _commit(self, action: WriteState) -> list[object]:
         self.commits += 1
         self.commit_bytes += len(msgspec.json.encode(action.state))
-        return self.feed(WriteDone(action.write_id, self.commits))
+        return self.feed(StateWritten(action.write_id, self.commits))
 
 
 def _lot_us(slots: int) -> float:
@@ -177,8 +181,8 @@
     return memory_bytes(lambda: _decode(data))
 
 
-def _arrive(number: int, accounts: int) -> Arrive:
-    return Arrive(
+def _arrive(number: int, accounts: int) -> RequestArrived:
+    return RequestArrived(
         request_id=str(number),
         account=f"account-{number % accounts}",
         weight=1,
@@ -196,10 +200,14 @@
     started_s = time.process_time()
     for number in range(count):
         actions = core.handle(_arrive(number, accounts), 0.0)
-        admitted += [a.request_id for a in actions if isinstance(a, Admit)]
-        if len(admitted) >= 1 and core.waiting > 100:
-            actions = core.handle(Depart(admitted.pop(0), 0.01), 0.0)
-            admitted += [a.request_id for a in actions if isinstance(a, Admit)]
+        admitted += [
+            a.request_id for a in actions if isinstance(a, AdmitRequest)
+        ]
+        if len(admitted) >= 1 and core.waiting_count > 100:
+            actions = core.handle(RequestDeparted(admitted.pop(0), 0.01), 0.0)
+            admitted += [
+                a.request_id for a in actions if isinstance(a, AdmitRequest)
+            ]
     return (time.process_time() - started_s) / count * _US_PER_S
 
 
@@ -221,7 +229,7 @@
             return LeaseWriteRefused(action.write_id)
         self.version += 1
         self.record = action.record
-        return LeaseWriteDone(action.write_id, self.version)
+        return LeaseWritten(action.write_id, self.version)
 
 
 def _lease_calls(daemons: int) -> _LeaseStore:
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -11,15 +11,15 @@
     points,
     processor_us,
 )
-from daisyhub.balancing import EndpointNews, EndpointTable, LeastLoaded
+from daisyhub.balancing import EndpointTable, EndpointUpdate, LeastLoaded
 from daisyhub.config import (
+    ActivateSnapshot,
     AdoptionCore,
     ClientKey,
     ConfigHead,
     Document,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
-    PutInForce,
     Route,
     Sections,
     split_sections,
@@ -67,7 +67,7 @@
 
 def _table(count: int) -> EndpointTable:
     table = EndpointTable()
-    table.adopt_list(endpoint_records(count))
+    table.apply_list(endpoint_records(count))
     return table
 
 
@@ -85,7 +85,7 @@
     balancer = LeastLoaded(1)
     suspect = endpoint_records(count)[0].endpoint_id
     for _ in range(_SUSPECT_FAILURES):
-        table.note_done(suspect, failed=True, now_s=1.0)
+        table.record_done(suspect, failed=True, now_s=1.0)
     return processor_us(
         lambda: balancer.choose(table.candidates(_POOL, 1.0, frozenset()))
     )
@@ -94,7 +94,7 @@
 def _adopt_list_us(count: int) -> float:
     table = _table(count)
     records = endpoint_records(count)
-    return processor_us(lambda: table.adopt_list(records))
+    return processor_us(lambda: table.apply_list(records))
 
 
 def _list_bytes(count: int) -> float:
@@ -130,9 +130,9 @@
         self.table: RouteTable | None = None
 
     def adopt(self, head: ConfigHead, contents: dict[str, str]) -> None:
-        self._core.handle(HeadHeard(head), 0.0)
+        self._core.handle(HeadReceived(head), 0.0)
         for action in self._core.handle(PartsFetched(contents), 0.0):
-            if isinstance(action, PutInForce):
+            if isinstance(action, ActivateSnapshot):
                 document = action.snapshot.document
                 self.table = RouteTable(document)
                 self._keys.replace_keys(document.keys)
@@ -218,7 +218,7 @@
         account="yard", secret_hash=hash_secret(key.secret, HASH_KEY)
     )
     table.replace_keys({**table._keys, key.key_id: entry})
-    return processor_us(lambda: table.account_of(key))
+    return processor_us(lambda: table.authenticate(key))
 
 
 def _metrics(count: int) -> Metrics:
@@ -250,7 +250,7 @@
 
 def _news_bytes(count: int) -> float:
     news = tuple(
-        EndpointNews(
+        EndpointUpdate(
             endpoint_id=record.endpoint_id,
             incarnation=3,
             load=17,
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -8,15 +8,15 @@
 
 from daisyhub.balancing import (
     DrainOrder,
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Controller
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.controllers._peers import PeerController
 from daisyhub.exceptions import PlatformUnavailableError
-from daisyhub.filters._forward import news_from_headers
+from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.hosting import (
     EndpointRecord,
     PlatformClient,
@@ -100,12 +100,12 @@
     async def on_drain(self, found: PlatformObject) -> None:
         """Takes an operator's order from the platform's watch."""
         order = msgspec.convert(found.value, DrainOrder)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=order.endpoint_id,
             incarnation=order.incarnation,
             is_leaving=True,
         )
-        if self._table.adopt_news(news):
+        if self._table.apply_update(news):
             log.info("{} is drained by {}", order.endpoint_id, order.author)
 
     async def _read_list(self) -> None:
@@ -118,7 +118,7 @@
             if not self._table.all():
                 await self._catch_up()
             return
-        self._table.adopt_list(records, time.monotonic())
+        self._table.apply_list(records, time.monotonic())
 
     async def _catch_up(self) -> None:
         """Takes a peer's endpoints: a daemon that starts without the platform.
@@ -133,7 +133,7 @@
                 )
             except PeerUnreachableError:
                 continue
-            self._table.adopt_list(parts.records, time.monotonic())
+            self._table.apply_list(parts.records, time.monotonic())
             return
 
     async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
@@ -152,7 +152,7 @@
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
-                if state.heard_s > oldest_s:
+                if state.last_received_at_s > oldest_s:
                     continue
                 if self._is_watched_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
@@ -179,11 +179,11 @@
         except RequestFailedError:
             self._http.forget(state.address)
             return
-        state.heard_s = time.monotonic()
-        news = news_from_headers(state, answer.headers)
+        state.last_received_at_s = time.monotonic()
+        news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
-        self._table.adopt_news(news)
+        self._table.apply_update(news)
 
 
 def _record_of(state: EndpointState) -> EndpointRecord:
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -5,18 +5,18 @@
 import anyio
 
 from daisyhub.accounting import (
-    AskHeard,
-    GrantHeard,
+    LoanGranted,
+    LoanRequested,
     PeerUsage,
     RateShares,
-    SendAsk,
-    SendGrant,
+    SendLoanGrant,
+    SendLoanRequest,
     UsageCounters,
 )
-from daisyhub.balancing import EndpointNews, EndpointTable
+from daisyhub.balancing import EndpointTable, EndpointUpdate
 from daisyhub.base import Controller
 from daisyhub.clocks import boot_time_s
-from daisyhub.config import PeerHeard
+from daisyhub.config import PeerSummaryReceived
 from daisyhub.controllers._config import ConfigController
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
@@ -82,8 +82,8 @@
         self._core = MembershipCore(cfg, incarnation)
         self._incarnations: dict[str, int] = {}
         self._versions: dict[str, int] = {}
-        self._news: dict[str, EndpointNews] = {}
-        self._leaving: dict[str, tuple[EndpointNews, int]] = {}
+        self._news: dict[str, EndpointUpdate] = {}
+        self._leaving: dict[str, tuple[EndpointUpdate, int]] = {}
         self._ticks_to_news = 0
         self._is_leaving = False
         self._wakeup = anyio.Event()
@@ -92,7 +92,7 @@
         """Tells which peers are live and the versions last heard."""
         return {
             "live": self.live_peers(),
-            "rate_shares": self._shares.seen_shares(boot_time_s()),
+            "rate_shares": self._shares.active_shares(boot_time_s()),
             "versions": dict(sorted(self._versions.items())),
         }
 
@@ -108,7 +108,7 @@
             if daemon_id in self._incarnations
         }
 
-    def add_news(self, news: EndpointNews) -> None:
+    def add_news(self, news: EndpointUpdate) -> None:
         """Notes endpoint news for a later tick; leaving goes at once."""
         if news.is_leaving:
             self._leaving[news.endpoint_id] = (news, _NEWS_REPEATS)
@@ -137,12 +137,12 @@
             case EndpointNewsBatch():
                 self._on_news(message)
             case UsageCopy():
-                self._counters.hold(envelope.sender, message.parts)
+                self._counters.keep_copies(envelope.sender, message.parts)
             case RateAsk() | RateGrant():
                 event = _share_event(envelope, message)
-                self._shares.hear(event, boot_time_s())
+                self._shares.handle(event, boot_time_s())
             case UsageHeld():
-                self._counters.on_held(
+                self._counters.on_copies_acknowledged(
                     envelope.sender,
                     envelope.incarnation,
                     message.epoch,
@@ -182,7 +182,7 @@
         self._versions[sender] = beat.config_version
         self._feed(HeartbeatHeard(sender, beat))
         self._config.on_peer(
-            PeerHeard(
+            PeerSummaryReceived(
                 sender,
                 beat.config_version,
                 beat.withdrawn_keys,
@@ -192,7 +192,7 @@
 
     def _on_news(self, batch: EndpointNewsBatch) -> None:
         for news in batch.news:
-            self._table.adopt_news(news)
+            self._table.apply_update(news)
 
     def _send_leaving(self) -> None:
         """Sends news of leaving endpoints, some times in case it is lost."""
@@ -237,22 +237,22 @@
     messages = []
     if told.parts:
         messages.append(UsageCopy(parts=told.parts))
-    if told.held_number:
+    if told.acked_number:
         messages.append(
-            UsageHeld(epoch=told.held_epoch, number=told.held_number)
+            UsageHeld(epoch=told.acked_epoch, number=told.acked_number)
         )
     return messages
 
 
 def _rate_messages(
-    daemon_id: str, actions: list[SendAsk | SendGrant]
+    daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
 ) -> list[RateAsk | RateGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
             continue
         fields = {"incarnation": action.incarnation, "stamp_s": action.stamp_s}
-        if isinstance(action, SendAsk):
+        if isinstance(action, SendLoanRequest):
             messages.append(RateAsk(wants=action.wants, **fields))
         else:
             messages.append(RateGrant(grants=action.grants, **fields))
@@ -261,15 +261,15 @@
 
 def _share_event(
     envelope: Envelope, message: RateAsk | RateGrant
-) -> AskHeard | GrantHeard:
+) -> LoanRequested | LoanGranted:
     if isinstance(message, RateAsk):
-        return AskHeard(
+        return LoanRequested(
             envelope.sender,
             message.incarnation,
             message.stamp_s,
             message.wants,
         )
-    return GrantHeard(
+    return LoanGranted(
         envelope.sender,
         envelope.incarnation,
         message.incarnation,
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -17,12 +17,12 @@
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
+    AttemptOutcome,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
-    Outcome,
     RetryBudget,
     StartAttempt,
     run_attempts,
@@ -146,7 +146,7 @@
         """
         started_s = time.monotonic()
         pools = _choose_pools(task.route)
-        usual_s = self._directory.usual_s(task.route.name)
+        usual_s = self._directory.median_latency_s(task.route.name)
         plan = ForwardPlan(
             idempotent=task.route.idempotent,
             deadline_s=task.deadline_s,
@@ -162,7 +162,7 @@
         outcome = await run_attempts(
             core, lambda action: self._attempt(way, action)
         )
-        is_refused = isinstance(outcome, GiveUp)
+        is_refused = isinstance(outcome, FailRequest)
         self._log.note(
             "sent",
             id=task.request_id,
@@ -179,7 +179,9 @@
             raise _refusal(outcome, usual_s)
         return _response(outcome.answer)
 
-    async def _attempt(self, way: "_Way", action: StartAttempt) -> Outcome:
+    async def _attempt(
+        self, way: "_Way", action: StartAttempt
+    ) -> AttemptOutcome:
         """Sends the request to one endpoint and takes its news."""
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
@@ -187,7 +189,7 @@
         sent_s = time.monotonic()
         endpoint_id = action.endpoint_id
         load = endpoint.load(sent_s)
-        token = self._directory.note_sent(
+        token = self._directory.record_sent(
             endpoint_id, way.task.route.name, sent_s
         )
         self._metrics.count("attempts", pool=endpoint.entry.pool)
@@ -198,7 +200,7 @@
             verdict = f"status {answer.status}"
         except RequestFailedError as exc:
             verdict = str(exc)
-            self._directory.note_failed(endpoint_id, token, time.monotonic())
+            self._directory.record_failed(endpoint_id, token, time.monotonic())
             return _failed(
                 action,
                 exc.ran,
@@ -208,7 +210,7 @@
             )
         except anyio.get_cancelled_exc_class():
             now_s = time.monotonic()
-            self._directory.note_overdue(endpoint_id, token, now_s)
+            self._directory.record_abandoned(endpoint_id, token, now_s)
             raise
         finally:
             took_s = time.monotonic() - sent_s
@@ -245,30 +247,30 @@
         action: StartAttempt,
         token: int,
         answer: HttpAnswer | StreamedAnswer,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
         read = self._wire.read_answer(answer.status, answer.headers)
         self._learn(endpoint_id, read, now_s)
         if not read.is_not_run:
             if answer.status < _FIRST_FAULT_STATUS:
-                self._directory.note_answered(endpoint_id, token, now_s)
+                self._directory.record_answered(endpoint_id, token, now_s)
             else:
-                self._directory.note_cancelled(endpoint_id, token)
-            return Outcome(AttemptAnswered(action.attempt), answer)
+                self._directory.record_closed(endpoint_id, token)
+            return AttemptOutcome(AttemptCompleted(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
-            self._directory.note_failed(endpoint_id, token, now_s)
+            self._directory.record_failed(endpoint_id, token, now_s)
         else:
-            self._directory.note_cancelled(endpoint_id, token)
+            self._directory.record_closed(endpoint_id, token)
         return _failed(action, Ran.NOT_RUN)
 
     def _learn(
         self, endpoint_id: str, read: EndpointAnswer, now_s: float
     ) -> None:
         if read.load is not None:
-            self._directory.note_load(endpoint_id, read.load, now_s)
+            self._directory.record_load(endpoint_id, read.load, now_s)
 
 
 def _choose_pools(route: Route) -> tuple[str, ...]:
@@ -284,7 +286,7 @@
     """Returns when to send a second attempt, so that it meets the target."""
     if task.is_streamed or not task.route.idempotent:
         return 0.0
-    latest_s = task.route.target_s - _HEDGE_LEAVES * usual_s
+    latest_s = task.route.target_latency_s - _HEDGE_LEAVES * usual_s
     return max(latest_s, _HEDGE_LEAST * usual_s)
 
 
@@ -304,8 +306,8 @@
     timed_out: bool = False,
     incomplete: bool = False,
     was_sent: bool = True,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
@@ -316,7 +318,7 @@
     )
 
 
-def _refusal(action: GiveUp, usual_s: float) -> Refusal:
+def _refusal(action: FailRequest, usual_s: float) -> Refusal:
     """Says that it did not run where that is certain."""
     error = action.error
     if action.ran is Ran.NOT_RUN:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -9,7 +9,7 @@
 
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.base import Controller
-from daisyhub.billing import UsageBook, UsageMeter, UsageReporter
+from daisyhub.billing import UsageAggregator, UsageMeter, UsageReporter
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
@@ -45,20 +45,20 @@
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
-    HandedInLotsFilter,
-    HolderTools,
     ItemRunner,
     LotHolder,
+    LotHolderDependencies,
     LotReader,
     LotStore,
     RewardCaller,
+    SubmittedLotsFilter,
 )
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
 from daisyhub.peers import PeerNetwork
-from daisyhub.platform._desk import PlatformDesk
+from daisyhub.platform._desk import PlatformOrderDeskClient
 from daisyhub.platform._engines import (
-    PlatformEnginePort,
+    PlatformEngineClient,
     PlatformVersionReader,
 )
 from daisyhub.platform._lots_json import PlatformLotWire
@@ -72,7 +72,7 @@
 from daisyhub.platform._store import PlatformStore
 from daisyhub.platform._wire import PlatformCallerWire, PlatformEndpointWire
 from daisyhub.serving import HttpServer, OperatorsApp
-from daisyhub.weights import WeightStager
+from daisyhub.weights import WeightLoadController
 
 __all__ = ["FleetDaemon"]
 
@@ -158,7 +158,7 @@
             self._ping,
             self.log,
         )
-        self.book = UsageBook()
+        self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
         self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
@@ -194,10 +194,10 @@
         self.retirements = Retirements(self.accounts, self.store, self.log)
         self.reporter = UsageReporter(
             self.accounts,
-            self.book,
+            self.usage_aggregator,
             self._live_incarnations,
             self.store,
-            PlatformDesk(
+            PlatformOrderDeskClient(
                 address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
             ),
             self.clock.now_s,
@@ -209,13 +209,15 @@
     def _live_incarnations(self) -> dict[str, int]:
         """Returns who counts; the own counts are brought up to date."""
         own = (self.cfg.daemon_id, self.incarnation)
-        self.book.note(*own, self.meter.snapshot(), self.meter.closed_before())
+        self.usage_aggregator.update(
+            *own, self.meter.snapshot(), self.meter.closed_before()
+        )
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
         return {**live, self.cfg.daemon_id: self.incarnation}
 
     def _note_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
-            self.book.note(
+            self.usage_aggregator.update(
                 envelope.sender,
                 envelope.incarnation,
                 message.usage,
@@ -233,7 +235,7 @@
 
     def _build_lots(self) -> None:
         self.lots = LotStore(self.store)
-        tools = HolderTools(
+        tools = LotHolderDependencies(
             store=self.store,
             lots=self.lots,
             directory=self.directory,
@@ -245,22 +247,22 @@
                 self.manifests, self.sender, self._endpoint_wire, self.log
             ),
             is_loading=self._is_loading,
-            is_alone=self.peers.is_missing_some,
+            has_lost_peers=self.peers.is_missing_some,
             clock=self.clock,
             metrics=self.metrics,
             log=self.log,
             status_s=self.cfg.status_s,
         )
         self.holder = LotHolder(self.rollouts, tools)
-        self.weights = WeightStager(
+        self.weights = WeightLoadController(
             self.rollouts,
             self.cfg.daemon_id,
             self.store,
             PlatformVersionReader(),
-            PlatformEnginePort(self.http, self.log),
+            PlatformEngineClient(self.http, self.log),
             self.directory,
             self.manifests,
-            self.holder.runs_at,
+            self.holder.open_run_count,
             self.holder.demand,
             self.cfg.loads_share,
             self.log,
@@ -273,9 +275,11 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.answer_head)
-        self.network.add_callee(LotResultsAsked, self.holder.answer_results)
-        self.network.add_callee(LotBodyAsked, self.holder.answer_body)
+        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
+        self.network.add_callee(
+            LotResultsAsked, self.holder.handle_results_request
+        )
+        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
@@ -288,7 +292,7 @@
                 FindRouteFilter(self.manifests),
                 KeyFilter(self.manifests),
                 BodyFilter(self.manifests),
-                HandedInLotsFilter(
+                SubmittedLotsFilter(
                     self.lots,
                     self.reader,
                     self._lot_wire,
@@ -402,7 +406,7 @@
             )
             return
         known = self.directory.get(found.name)
-        self.directory.adopt(entry)
+        self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
             self.log.note(
                 "endpoint",
@@ -494,7 +498,9 @@
     def _note_cut_domains(self) -> None:
         """Tells the directory which failure domains seem to be cut off."""
         own = frozenset((self.cfg.failure_domain,))
-        self.directory.set_cut_domains(self.peers.silent_domains() - own)
+        self.directory.set_unreachable_domains(
+            self.peers.silent_domains() - own
+        )
 
     async def _shut_down(self) -> None:
         """Takes no new callers, ends what is open, and goes."""
@@ -502,7 +508,7 @@
         self.log.note("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
-        await self.holder.keep_texts()
+        await self.holder.save_unfinished_texts()
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
