--- a/daisyhub/duties/__init__.py
+++ b/daisyhub/duties/__init__.py
@@ -1,11 +1,11 @@
-"""Duties that one daemon at a time has, with a number that rises."""
+"""Duties: tasks that one daemon at a time holds, with fencing numbers."""
 
 from daisyhub.duties._controller import DutyController, choose_candidate
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyFound,
     DutyRecord,
+    DutyRecordReceived,
     DutyTick,
     FencingRejected,
     ReadDuty,
@@ -17,7 +17,7 @@
     "DutyController",
     "DutyCore",
     "FencingRejected",
-    "DutyFound",
+    "DutyRecordReceived",
     "DutyRecord",
     "DutyTick",
     "ReadDuty",
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -1,4 +1,4 @@
-"""Carries out a duty core's decisions."""
+"""Runs a duty core against the object store and the peer table."""
 
 from collections.abc import Mapping
 
@@ -11,8 +11,8 @@
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyFound,
     DutyRecord,
+    DutyRecordReceived,
     DutyTick,
     FencingRejected,
     ReadDuty,
@@ -29,27 +29,27 @@
 
 __all__ = ["DutyController", "choose_candidate"]
 
-DUTIES_KIND = "duties"
-# Seconds between looks at the peers; half of a ping's interval.
-_TICK_S = 0.2
-# Seconds after the start during which a daemon that hears no peer takes no
-# duty: peers that start with it are heard within this time.
-_SETTLE_S = 1.5
-# Part of the fastest machine's processor that a machine needs to take a duty
-# while faster ones are heard: a holder does the work of all lots.
-_FAST_ENOUGH = 0.75
+_DUTIES_KIND = "duties"
+# Interval between checks of the peers: half of a ping's interval.
+_TICK_INTERVAL_S = 0.2
+# Time after the start during which a daemon that has received no ping takes no
+# duty: pings of peers that start at the same time arrive within it.
+_PEER_DISCOVERY_S = 1.5
+# Minimum processor speed of a candidate, relative to the fastest live one,
+# since the holder does the work of all lots.
+_MIN_SPEED_RATIO = 0.75
 
 
 class DutyController(Controller):
-    """Holds or watches one duty.
+    """Acquires, verifies and releases one duty.
 
     Args:
-        duty: Its name.
-        core: Decides.
-        store: Where the record lies.
-        peers: Tells who lives and who holds what.
-        speed: The processor of this daemon's machine, in cores.
-        log: Where changes are noted.
+        duty: Name of the duty.
+        core: Makes the decisions.
+        store: Stores the duty's record.
+        peers: Live peers and the duties that they report.
+        speed: Processor speed of this daemon's machine, in cores.
+        log: Logs changes of holder and failures.
     """
 
     name = "duty"
@@ -70,17 +70,17 @@
         self._speed = speed
         self._log = log
         self._started_s = boot_time_s()
-        self._told = 0
+        self._logged_fencing = 0
         self._is_leaving = False
         self.changed = anyio.Event()
 
     @property
     def fencing(self) -> int:
-        """The number to act with now, or 0 while others have the duty."""
+        """The current fencing number, or 0 if this daemon may not act."""
         return self._core.fencing_if_held(boot_time_s())
 
     def status(self) -> dict[str, object]:
-        """Tells the record as last seen, and the own number."""
+        """Returns the last known holder and this daemon's fencing number."""
         record = self._core.record
         return {
             "holder": record.holder if record else "",
@@ -88,33 +88,37 @@
         }
 
     def step_down(self, reason: str) -> None:
-        """Gives the duty up at once: a receiver refused its number."""
+        """Stops acting as the holder after a receiver rejected the number.
+
+        Args:
+            reason: Logged.
+        """
         self._log.note("duty_refused", duty=self.duty, reason=reason)
         self._core.handle(FencingRejected(), boot_time_s())
-        self._tell()
+        self._log_change()
 
     async def run(self) -> None:
-        """Ticks until cancelled."""
+        """Runs `step` periodically until cancelled."""
         while True:
             await self.step()
-            await anyio.sleep(_TICK_S)
+            await anyio.sleep(_TICK_INTERVAL_S)
 
     async def step(self) -> None:
-        """Takes one look at the peers and does what the core decides."""
+        """Sends one tick to the core and performs the returned actions."""
         for action in self._core.handle(self._tick(), boot_time_s()):
             event = await self._carry_out(action)
             self._core.handle(event, boot_time_s())
-        self._tell()
+        self._log_change()
 
     async def release(self) -> None:
-        """Hands the duty back to the store, for a graceful end."""
+        """Releases the duty in the store if it is held, for a shutdown."""
         if not self._core.fencing_if_held(boot_time_s()):
             return
         self._core.release()
         await self.step()
 
     def set_leaving(self) -> None:
-        """Takes no duty from now on."""
+        """Marks this daemon as shutting down; it acquires no duty any more."""
         self._is_leaving = True
 
     def _tick(self) -> DutyTick:
@@ -123,31 +127,31 @@
         holder = record.holder if record else ""
         holder_id, _, incarnation = holder.rpartition("/")
         peer = self._peers.get(holder_id)
-        is_live = (
+        is_holder_live = (
             peer is not None
             and self._peers.is_live(holder_id)
             and str(peer.incarnation) == incarnation
         )
         numbers = [p.ping.duties.get(self.duty, 0) for p in live]
         return DutyTick(
-            is_first=self._is_first(live),
-            is_holder_live=is_live,
+            is_candidate=self._is_preferred_candidate(live),
+            is_holder_live=is_holder_live,
             has_lost_peers=len(live) < len(self._peers.all()),
-            seen_fencing=max(numbers, default=0),
+            max_peer_fencing=max(numbers, default=0),
         )
 
-    def _is_first(self, live) -> bool:
-        """Whether this daemon ranks first among those that stay.
+    def _is_preferred_candidate(self, live) -> bool:
+        """Whether this daemon ranks first among the daemons that stay up.
 
-        One that hears less than half of the daemons that it knew takes
-        nothing: the others may hear the holder well.
+        A daemon that receives pings of less than half of the known daemons is
+        no candidate: the holder's pings may still reach the others.
         """
         if self._is_leaving:
             return False
-        if not live and boot_time_s() - self._started_s < _SETTLE_S:
+        if not live and boot_time_s() - self._started_s < _PEER_DISCOVERY_S:
             return False
-        known = len(self._peers.all()) + 1
-        if 2 * (len(live) + 1) < known:
+        known_count = len(self._peers.all()) + 1
+        if 2 * (len(live) + 1) < known_count:
             return False
         speeds = {
             p.daemon_id: p.ping.speed for p in live if not p.ping.is_leaving
@@ -158,7 +162,7 @@
     async def _carry_out(self, action: ReadDuty | WriteDuty) -> object:
         try:
             if isinstance(action, ReadDuty):
-                found = await self._store.read(DUTIES_KIND, self.duty)
+                found = await self._store.read(_DUTIES_KIND, self.duty)
             else:
                 found = await self._write(action)
         except ObjectConflictError as exc:
@@ -168,54 +172,56 @@
         except ObjectStoreError as exc:
             self._log.note("duty_call_failed", duty=self.duty, reason=str(exc))
             return DutyCallFailed()
-        return self._found(found)
+        return self._parse_record(found)
 
     async def _write(self, action: WriteDuty) -> StoredObject:
         spec = msgspec.json.encode(action.record)
         if not action.revision:
-            return await self._store.create(DUTIES_KIND, self.duty, spec)
+            return await self._store.create(_DUTIES_KIND, self.duty, spec)
         return await self._store.replace(
-            DUTIES_KIND, self.duty, spec, revision=action.revision
+            _DUTIES_KIND, self.duty, spec, revision=action.revision
         )
 
-    def _found(self, found: StoredObject | None) -> DutyFound | DutyCallFailed:
+    def _parse_record(
+        self, found: StoredObject | None
+    ) -> DutyRecordReceived | DutyCallFailed:
         if found is None:
-            return DutyFound(None, 0)
+            return DutyRecordReceived(None, 0)
         try:
             record = msgspec.json.decode(found.spec, type=DutyRecord)
         except msgspec.DecodeError as exc:
             self._log.note("duty_unreadable", duty=self.duty, reason=str(exc))
             return DutyCallFailed()
-        return DutyFound(record, found.revision)
+        return DutyRecordReceived(record, found.revision)
 
-    def _tell(self) -> None:
-        """Notes a change of what this daemon may do."""
+    def _log_change(self) -> None:
+        """Logs a change of the fencing number and wakes waiters."""
         fencing = self.fencing
-        if fencing == self._told:
+        if fencing == self._logged_fencing:
             return
         record = self._core.record
         self._log.note(
             "duty_taken" if fencing else "duty_left",
             duty=self.duty,
             fencing=fencing,
-            before=self._told,
+            before=self._logged_fencing,
             holder=record.holder if record else "",
         )
-        self._told = fencing
+        self._logged_fencing = fencing
         self.changed.set()
         self.changed = anyio.Event()
 
 
 def choose_candidate(duty: str, speeds: Mapping[str, float]) -> str:
-    """Returns the daemon that should take a duty.
+    """Returns the id of the daemon that should take a duty.
 
-    Answers the load of all lots at one daemon: a slow machine would serve
-    them late. Duties spread over the fast machines.
+    The holder carries the load of all lots, and a slow machine would serve
+    them late. Duties are therefore spread over the fast machines only.
 
     Args:
         duty: Name of the duty.
-        speeds: Processors of the daemons that may take it, in cores.
+        speeds: Processor speed of each candidate by daemon id, in cores.
     """
-    least = _FAST_ENOUGH * max(speeds.values())
-    fast = [name for name, speed in speeds.items() if speed >= least]
-    return rank_candidates(duty, fast)[0]
+    min_speed = _MIN_SPEED_RATIO * max(speeds.values())
+    eligible = [name for name, speed in speeds.items() if speed >= min_speed]
+    return rank_candidates(duty, eligible)[0]
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -1,11 +1,11 @@
-"""Decides when to take, check and give up a duty.
+"""Decides when to acquire, verify and release a duty.
 
-A duty is one object in the store; a conditional write makes a daemon its
-holder and raises the fencing number. Where every receiver refuses old numbers
-the holder needs no renewal: it stays until another daemon, which hears it no
-longer, writes a higher number. Where receivers don't check, the holder acts
-only within a term after it last saw its own record, and a successor waits that
-term before it acts.
+A duty is one object in the store. A conditional write makes a daemon its
+holder and increments the fencing number. Where every receiver rejects stale
+fencing numbers, the holder needs no renewal: it remains the holder until
+another daemon that no longer receives its pings writes a higher number. Where
+receivers don't check, the holder acts only within a term after it last read
+its own record, and its successor waits for one term before it acts.
 
 Times are seconds on CLOCK_BOOTTIME, which counts suspended time.
 """
@@ -21,28 +21,29 @@
     "DutyCallFailed",
     "DutyCore",
     "FencingRejected",
-    "DutyFound",
+    "DutyRecordReceived",
     "DutyRecord",
     "DutyTick",
     "ReadDuty",
     "WriteDuty",
 ]
 
-# Part of the term after which the holder checks its record, so that two
-# checks may fail within the term.
+# Checks of the record per term. With three, two in a row may fail before the
+# term ends.
 _CHECKS_PER_TERM = 3
-# Seconds between a failed call and the next; some round trips to the store.
-_FAILED_PAUSE_S = 0.3
-# Seconds between looks at a record whose holder is live.
-_LOOK_S = 5.0
+# Delay after a failed call: a few round trips to the store.
+_RETRY_DELAY_S = 0.3
+# Interval between reads of a record whose holder is live.
+_HOLDER_CHECK_INTERVAL_S = 5.0
 
 
 class DutyRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A duty's object.
+    """The stored record of a duty.
 
     Attributes:
-        holder: Process in charge; empty after a release.
-        fencing: Rises with every change of holder.
+        holder: Process that holds the duty, `daemon id/incarnation`; empty
+            after a release.
+        fencing: Fencing number; increases with every change of holder.
     """
 
     holder: str
@@ -51,28 +52,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class DutyTick:
-    """Time has passed.
+    """A periodic tick, with the state of the peers.
 
     Attributes:
-        is_first: Whether this daemon is to take the duty if it is free.
-        is_holder_live: Whether the known holder's process is heard.
-        has_lost_peers: Whether daemons that were heard before are silent now.
-        seen_fencing: Highest number that peers tell to hold.
+        is_candidate: Whether this daemon should take the duty if it is free.
+        is_holder_live: Whether pings of the recorded holder's process arrive.
+        has_lost_peers: Whether a known peer no longer sends pings.
+        max_peer_fencing: Highest fencing number that peers report for this
+            duty; 0 if none does.
     """
 
-    is_first: bool
+    is_candidate: bool
     is_holder_live: bool
     has_lost_peers: bool = False
-    seen_fencing: int = 0
+    max_peer_fencing: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DutyFound:
-    """A read or a write was answered, or a write was refused.
+class DutyRecordReceived:
+    """The current record was returned by a read, or by a write or conflict.
 
     Attributes:
-        record: The record as it is now; None if there is none.
-        revision: Its revision; 0 for none.
+        record: The current record; None if there is none.
+        revision: Its revision; 0 if there is no record.
     """
 
     record: DutyRecord | None
@@ -81,12 +83,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutyCallFailed:
-    """A read or a write brought no usable answer."""
+    """A read or a write failed or returned an invalid record."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FencingRejected:
-    """A receiver refused the number: another daemon used a higher one."""
+    """A receiver rejected the fencing number since it had seen a higher one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -103,69 +105,73 @@
 
 
 class DutyCore(Core):
-    """Decides about one duty.
+    """Decides whether this process holds one duty.
 
     Args:
-        process: Id of this process; differs after a restart.
-        term_s: Time within which holders must not take turns.
-        is_checked: Whether every receiver refuses old fencing numbers.
+        process: Id of this process, `daemon id/incarnation`; differs after a
+            restart.
+        term_s: Validity of a read of the own record where receivers don't
+            check fencing numbers, and the time for which a daemon that lost
+            the duty doesn't acquire it again.
+        is_fencing_checked: Whether every receiver rejects stale fencing
+            numbers.
     """
 
-    def __init__(self, process: str, term_s: float, is_checked: bool):
+    def __init__(self, process: str, term_s: float, is_fencing_checked: bool):
         self.process = process
         self.term_s = term_s
-        self.is_checked = is_checked
+        self.is_fencing_checked = is_fencing_checked
         self._record: DutyRecord | None = None
         self._revision: int | None = None
-        self._is_waiting = False
+        self._is_call_pending = False
         self._sent_at_s = -math.inf
-        self._looked_at_s = -math.inf
+        self._last_read_at_s = -math.inf
         self._confirmed_at_s = -math.inf
         self._may_act_from_s = -math.inf
-        self._barred_until_s = -math.inf
-        self._paused_until_s = -math.inf
-        self._is_wanted = True
-        self._took_from = ""
+        self._cooldown_until_s = -math.inf
+        self._retry_at_s = -math.inf
+        self._should_hold = True
+        self._previous_holder = ""
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """Ticks come with every ping; there is no wake-up besides."""
+        """None: the controller sends periodic ticks."""
         return None
 
     @property
     def record(self) -> DutyRecord | None:
-        """The record as last seen."""
+        """The last record read; None if there is none or it is unknown."""
         return self._record
 
     def fencing_if_held(self, now_s: float) -> int:
-        """Returns the number to act with, or 0 if this one may not act."""
-        if not self._is_own() or not self._is_wanted:
+        """Returns the fencing number, or 0 if this process may not act."""
+        if not self._is_own() or not self._should_hold:
             return 0
         if now_s < self._may_act_from_s:
             return 0
         margin_s = self.term_s / _CHECKS_PER_TERM
         valid_until_s = self._confirmed_at_s + self.term_s - margin_s
-        if not self.is_checked and now_s >= valid_until_s:
+        if not self.is_fencing_checked and now_s >= valid_until_s:
             return 0
         return self._record.fencing
 
     def release(self) -> None:
-        """Gives the duty up from now on; the next tick writes it."""
-        self._is_wanted = False
+        """Stops holding the duty; the next tick writes the release."""
+        self._should_hold = False
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `ReadDuty` or `WriteDuty` or nothing."""
+        """Processes an event; returns at most one `ReadDuty` or `WriteDuty`."""
         match event:
             case DutyTick():
                 return self._on_tick(event, now_s)
-            case DutyFound():
-                self._on_found(event, now_s)
+            case DutyRecordReceived():
+                self._on_record(event, now_s)
             case DutyCallFailed():
-                self._is_waiting = False
+                self._is_call_pending = False
                 self._revision = None
-                self._paused_until_s = now_s + _FAILED_PAUSE_S
+                self._retry_at_s = now_s + _RETRY_DELAY_S
             case FencingRejected():
-                self._on_deposed(now_s)
+                self._on_lost(now_s)
             case _:
                 raise TypeError(f"not a duty event: {event!r}")
         return []
@@ -174,47 +180,47 @@
         return self._record is not None and self._record.holder == self.process
 
     def _on_tick(self, tick: DutyTick, now_s: float) -> list[object]:
-        if self._is_waiting or now_s < self._paused_until_s:
+        if self._is_call_pending or now_s < self._retry_at_s:
             return []
-        if self._record and tick.seen_fencing > self._record.fencing:
+        if self._record and tick.max_peer_fencing > self._record.fencing:
             return self._read(now_s)
         if self._is_own():
             return self._on_own_tick(tick, now_s)
-        if not tick.is_first or not self._is_wanted:
+        if not tick.is_candidate or not self._should_hold:
             return []
         if self._revision is None:
             return self._read(now_s)
         if tick.is_holder_live and self._record and self._record.holder:
-            return self._look(now_s)
-        if now_s < self._barred_until_s:
+            return self._check_holder(now_s)
+        if now_s < self._cooldown_until_s:
             return []
-        return self._take(now_s)
+        return self._acquire(now_s)
 
     def _on_own_tick(self, tick: DutyTick, now_s: float) -> list[object]:
         if self._revision is None:
             return self._read(now_s)
-        if not self._is_wanted:
+        if not self._should_hold:
             released = DutyRecord(holder="", fencing=self._record.fencing)
             return self._write(released, now_s)
-        must_check = tick.has_lost_peers or not self.is_checked
-        check_s = self.term_s / _CHECKS_PER_TERM
-        if must_check and now_s - self._looked_at_s >= check_s:
+        must_verify = tick.has_lost_peers or not self.is_fencing_checked
+        check_interval_s = self.term_s / _CHECKS_PER_TERM
+        if must_verify and now_s - self._last_read_at_s >= check_interval_s:
             return self._read(now_s)
         return []
 
-    def _look(self, now_s: float) -> list[object]:
-        if now_s - self._looked_at_s < _LOOK_S:
+    def _check_holder(self, now_s: float) -> list[object]:
+        if now_s - self._last_read_at_s < _HOLDER_CHECK_INTERVAL_S:
             return []
         return self._read(now_s)
 
     def _read(self, now_s: float) -> list[object]:
-        self._is_waiting = True
-        self._sent_at_s = self._looked_at_s = now_s
+        self._is_call_pending = True
+        self._sent_at_s = self._last_read_at_s = now_s
         return [ReadDuty()]
 
-    def _take(self, now_s: float) -> list[object]:
-        """Writes on top of a record that was read just now, or reads it."""
-        if now_s - self._looked_at_s > self.term_s / _CHECKS_PER_TERM:
+    def _acquire(self, now_s: float) -> list[object]:
+        """Writes a new holder if the last read is recent; otherwise reads."""
+        if now_s - self._last_read_at_s > self.term_s / _CHECKS_PER_TERM:
             return self._read(now_s)
         fencing = self._record.fencing + 1 if self._record else 1
         return self._write(
@@ -222,30 +228,30 @@
         )
 
     def _write(self, record: DutyRecord, now_s: float) -> list[object]:
-        self._is_waiting = True
+        self._is_call_pending = True
         self._sent_at_s = now_s
-        self._took_from = self._record.holder if self._record else ""
+        self._previous_holder = self._record.holder if self._record else ""
         return [WriteDuty(record, self._revision or 0)]
 
-    def _on_found(self, found: DutyFound, now_s: float) -> None:
+    def _on_record(self, found: DutyRecordReceived, now_s: float) -> None:
         was_own = self._is_own()
-        self._is_waiting = False
+        self._is_call_pending = False
         self._record = found.record
         self._revision = found.revision
         if self._is_own():
             self._confirmed_at_s = self._sent_at_s
-            is_taken = not was_own and bool(self._took_from)
-            if is_taken and not self.is_checked:
+            is_taken_over = not was_own and bool(self._previous_holder)
+            if is_taken_over and not self.is_fencing_checked:
                 self._may_act_from_s = now_s + self.term_s
         elif was_own:
-            self._on_deposed(now_s)
+            self._on_lost(now_s)
 
-    def _on_deposed(self, now_s: float) -> None:
-        """Leaves the duty alone for a term, so that holders don't take turns.
+    def _on_lost(self, now_s: float) -> None:
+        """Starts a cooldown of one term, so that holders don't alternate.
 
-        The record is read again before anything else is decided.
+        Clears the revision, so that the record is read before any write.
         """
         self._revision = None
-        self._barred_until_s = now_s + self.term_s
+        self._cooldown_until_s = now_s + self.term_s
         if self._is_own():
             self._record = None
