--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints: what is known of them, and which one gets a request."""
+"""Endpoint state and load balancing."""
 
 from daisyhub.balancing._balancers import (
     LeastLoaded,
--- a/daisyhub/balancing/_balancers.py
+++ b/daisyhub/balancing/_balancers.py
@@ -1,4 +1,4 @@
-"""Balancers: which of the candidates gets the next request."""
+"""Balancers, which choose the endpoint of the next request."""
 
 import random
 from collections.abc import Sequence
@@ -7,28 +7,28 @@
 
 __all__ = ["LeastLoaded", "RoundRobin"]
 
-_CHOICES = 2
+_SAMPLE_SIZE = 2
 
 
 class RoundRobin(Balancer):
-    """Takes candidates in turn; the plain baseline."""
+    """Chooses candidates in turn; the baseline of the benchmarks."""
 
     def __init__(self, random_state: int = 0):
         self.random_state = random_state
-        self._turn = random_state
+        self._index = random_state
 
     def choose(self, candidates: Sequence[EndpointView]) -> str | None:
-        """Returns the next candidate's id."""
+        """Returns the id of the next candidate, or None without candidates."""
         if not candidates:
             return None
-        self._turn += 1
-        return candidates[self._turn % len(candidates)].endpoint_id
+        self._index += 1
+        return candidates[self._index % len(candidates)].endpoint_id
 
 
 class LeastLoaded(Balancer):
-    """Takes the less loaded of two random candidates.
+    """Chooses the less loaded of two random candidates.
 
-    Two choices avoid that all daemons run to the one endpoint that last
+    Sampling keeps the daemons from all sending to the one endpoint that last
     reported the least load.
     """
 
@@ -37,11 +37,11 @@
         self._random = random.Random(random_state)
 
     def choose(self, candidates: Sequence[EndpointView]) -> str | None:
-        """Returns the id of the less loaded of two candidates."""
+        """Returns the chosen endpoint's id, or None without candidates."""
         if not candidates:
             return None
-        picked = candidates
-        if len(candidates) > _CHOICES:
-            picked = self._random.sample(candidates, _CHOICES)
-        best = min(picked, key=lambda s: (s.load / s.capacity, s.endpoint_id))
+        sampled = candidates
+        if len(candidates) > _SAMPLE_SIZE:
+            sampled = self._random.sample(candidates, _SAMPLE_SIZE)
+        best = min(sampled, key=lambda s: (s.load / s.capacity, s.endpoint_id))
         return best.endpoint_id
--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -1,14 +1,15 @@
-"""Endpoints of all failure domains, and which one answers soonest.
-
-The platform's entries tell which endpoints there are. Own requests tell how
-long each takes to answer and how many are open there; answers and reports
-tell the load from others. Routes differ in how long their answers take, so an
-endpoint's pace is learned against the usual time of each route. What is known
-ages: an endpoint that was slow is tried again after a while, and one that is
-silent with requests open is passed over at once.
-
-Answers the load of callers that wait for single answers while an endpoint
-turns slow, goes dark or fails.
+"""Endpoints of all failure domains, chosen by expected latency.
+
+Endpoints are listed by their entries in the platform's store. This daemon's
+own requests give each endpoint's latency and number of open requests;
+responses and reports give the load from other daemons. Since latencies differ
+between routes, an endpoint is rated by its latency ratio: its latency divided
+by the median latency of the route. The ratio decays towards 1, so that a slow
+endpoint is tried again after a few seconds. An endpoint that sends nothing
+while requests are open is avoided at once.
+
+Keeps the latency of single requests low while an endpoint becomes slow, stops
+responding or fails.
 """
 
 import collections
@@ -21,48 +22,50 @@
 
 __all__ = ["Endpoint", "EndpointDirectory", "EndpointEntry"]
 
-# Share of a new answer in the running mean of the pace: about ten answers.
-_PACE_SHARE = 0.2
-# Seconds after which half of what is known of a pace is forgotten, so that a
-# slow endpoint is tried again; some times shorter than a usual slow-down.
-_PACE_HALF_LIFE_S = 3.0
-# Paces beyond this say no more: such an endpoint is used only if all are.
-_SLOWEST_PACE = 20.0
-# Seconds until a first answer of a route is known; typical of a look-up.
-_FIRST_USUAL_S = 0.05
-# Answers of a route whose median is its usual time.
-_USUAL_ANSWERS = 31
-# Answers of a route before its usual time says anything on silence.
-_FEWEST_ANSWERS = 3
-# Seconds for which a load told by an answer or a report is believed.
-_LOAD_AGE_S = 1.0
-# How often the usual time an open request must have waited for its endpoint
-# to count as silent.
-_SILENT_FACTOR = 4.0
-# Seconds for which an endpoint gets no new work after a failure; doubled with
-# each further one up to the limit. The bounds lie between the usual restart of
-# a process and the time until a crashed endpoint's entry lapses.
-_FIRST_REST_S = 0.3
-_LONGEST_REST_S = 3.0
-# Seconds for which an entry that lapsed while the store was away is kept: the
-# platform states that servers that live are back within about two seconds.
-_LAPSE_GRACE_S = 2.0
+# Weight of a new response in the moving average of the latency ratio, which
+# averages over about ten responses.
+_LATENCY_RATIO_SMOOTHING = 0.2
+# Half-life with which a latency ratio decays to 1, so that a slow endpoint is
+# tried again; several times shorter than a typical slow-down.
+_LATENCY_RATIO_HALF_LIFE_S = 3.0
+# Upper bound of the ratio. An endpoint this slow is used only if all are.
+_MAX_LATENCY_RATIO = 20.0
+# Latency assumed for a route without responses so far; typical of a lookup.
+_DEFAULT_LATENCY_S = 0.05
+# Most recent responses of a route over which the median is taken.
+_MAX_LATENCY_SAMPLES = 31
+# Responses of a route needed before its median is used to detect silence.
+_MIN_LATENCY_SAMPLES = 3
+# Time for which a reported load is used.
+_REPORTED_LOAD_TTL_S = 1.0
+# Multiple of the median latency after which an endpoint with an open request
+# that has sent nothing counts as silent.
+_SILENCE_TIMEOUT_FACTOR = 4.0
+# Back-off of an endpoint after a failure, doubled with each further failure up
+# to the maximum. Both bounds lie between the typical time to restart a process
+# and the time until the entry of a crashed endpoint expires.
+_INITIAL_BACKOFF_S = 0.3
+_MAX_BACKOFF_S = 3.0
+# Time for which an entry that expired while the store was unavailable is kept:
+# the platform states that live servers are listed again within about two
+# seconds.
+_ABSENCE_GRACE_S = 2.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointEntry:
-    """What an endpoint says of itself.
+    """An endpoint's entry in the platform's store.
 
     Attributes:
-        endpoint_id: Its id; a restart may keep it.
-        pool: The service that it belongs to.
+        endpoint_id: Its id; may be the same after a restart.
+        pool: The pool that it belongs to.
         address: Where it listens.
         domain: Its failure domain.
-        incarnation: Start of its process, milliseconds since 1970; 0 if not
-            told.
-        slots: Requests that it serves at one time.
-        is_leaving: Whether it takes no new work.
-        is_cheap: Whether the platform may take it away.
+        incarnation: Start time of its process, milliseconds since 1970; 0 if
+            unknown.
+        slots: Number of requests that it serves concurrently.
+        is_leaving: Whether it accepts no new requests.
+        is_cheap: Whether the platform may reclaim it (spot capacity).
         versions: Version of the weights by model.
     """
 
@@ -79,64 +82,70 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _OpenRequest:
-    """A request that is open at an endpoint.
+    """A request that was sent to an endpoint and has not ended.
 
     Attributes:
-        route: Its route.
+        route: Name of its route.
         sent_s: When it was sent.
-        patience_s: For how long its endpoint may be silent.
+        silence_timeout_s: Time without any response after which its endpoint
+            counts as silent; infinite while the route's latency is unknown.
     """
 
     route: str
     sent_s: float
-    patience_s: float
+    silence_timeout_s: float
 
 
 @dataclasses.dataclass(slots=True)
 class Endpoint:
-    """An endpoint and what is known of it here.
+    """An endpoint and its statistics in this daemon.
 
     Attributes:
         entry: The newest entry.
-        open: Open requests by token.
-        pace: Running mean of its answers' time against the usual one.
-        paced_at_s: When `pace` was last learned.
-        told_load: Requests that it last told to have in hand.
-        told_at_s: When it told.
-        failures: Failures in a row.
-        backoff_until_s: Until when it gets no new work.
-        last_received_at_s: When it last sent anything.
-        lapsed_at_s: When its entry went while the store was away.
+        open_requests: Open requests of this daemon by token.
+        latency_ratio: Moving average of its latency divided by the route's
+            median latency.
+        latency_ratio_at_s: When `latency_ratio` was last updated.
+        reported_load: Open requests of all daemons, as it last reported.
+        load_reported_at_s: When it reported them.
+        failures: Consecutive failures.
+        backoff_until_s: Time until which other endpoints are preferred.
+        last_received_at_s: When a response or report last arrived.
+        absent_since_s: When its entry disappeared while the store was
+            unavailable; None if it is listed.
     """
 
     entry: EndpointEntry
-    open: dict[int, _OpenRequest] = dataclasses.field(default_factory=dict)
-    pace: float = 1.0
-    paced_at_s: float = -math.inf
-    told_load: int = 0
-    told_at_s: float = -math.inf
+    open_requests: dict[int, _OpenRequest] = dataclasses.field(
+        default_factory=dict
+    )
+    latency_ratio: float = 1.0
+    latency_ratio_at_s: float = -math.inf
+    reported_load: int = 0
+    load_reported_at_s: float = -math.inf
     failures: int = 0
     backoff_until_s: float = -math.inf
     last_received_at_s: float = -math.inf
-    lapsed_at_s: float | None = None
+    absent_since_s: float | None = None
 
     def load(self, now_s: float) -> int:
-        """Returns how many requests it is thought to have in hand."""
-        if now_s - self.told_at_s > _LOAD_AGE_S:
-            return len(self.open)
-        return max(len(self.open), self.told_load)
+        """Returns its estimated number of open requests."""
+        if now_s - self.load_reported_at_s > _REPORTED_LOAD_TTL_S:
+            return len(self.open_requests)
+        return max(len(self.open_requests), self.reported_load)
 
-    def expected_pace(self, now_s: float) -> float:
-        """Returns the pace, ageing towards the usual one."""
-        age_s = now_s - self.paced_at_s
-        weight = 0.5 ** (age_s / _PACE_HALF_LIFE_S)
-        return weight * self.pace + (1 - weight)
+    def expected_latency_ratio(self, now_s: float) -> float:
+        """Returns the latency ratio, decayed towards 1 by its age."""
+        age_s = now_s - self.latency_ratio_at_s
+        weight = 0.5 ** (age_s / _LATENCY_RATIO_HALF_LIFE_S)
+        return weight * self.latency_ratio + (1 - weight)
 
     def is_silent(self, now_s: float) -> bool:
-        """Whether it has said nothing for too long with a request open."""
+        """Whether an open request exceeds its silence timeout."""
         return any(
-            now_s - max(req.sent_s, self.last_received_at_s) > req.patience_s
-            for req in self.open.values()
+            now_s - max(req.sent_s, self.last_received_at_s)
+            > req.silence_timeout_s
+            for req in self.open_requests.values()
         )
 
 
@@ -145,8 +154,9 @@
 
     Args:
         random: Returns numbers in [0, 1); breaks ties.
-        has_connection: Whether a kept connection to an address is idle; goes
-            before `random`, as new connections cost time there and here.
+        has_connection: Whether an idle connection to an address is open.
+            Breaks ties before `random`, since a new connection costs both
+            sides time.
     """
 
     def __init__(
@@ -157,16 +167,16 @@
         self._random = random
         self._has_connection = has_connection
         self._endpoints: dict[str, Endpoint] = {}
-        self._answers: dict[str, collections.deque[float]] = {}
-        self._tokens = 0
-        self._cut_domains: frozenset[str] = frozenset()
+        self._latencies_s: dict[str, collections.deque[float]] = {}
+        self._last_token = 0
+        self._unreachable_domains: frozenset[str] = frozenset()
 
     def set_unreachable_domains(self, domains: frozenset[str]) -> None:
-        """Takes the failure domains that seem to be out of reach.
+        """Sets the failure domains that seem to be unreachable.
 
-        Their endpoints get work only if no other is left.
+        Their endpoints are chosen only if there is no other.
         """
-        self._cut_domains = domains
+        self._unreachable_domains = domains
 
     def get(self, endpoint_id: str) -> Endpoint | None:
         """Returns an endpoint, or None."""
@@ -177,49 +187,50 @@
         return list(self._endpoints.values())
 
     def upsert(self, entry: EndpointEntry) -> None:
-        """Takes over a new or changed entry."""
+        """Inserts or updates an entry; a restart resets the statistics."""
         known = self._endpoints.get(entry.endpoint_id)
-        is_same = (
+        is_same_process = (
             known is not None
             and known.entry.incarnation == entry.incarnation
             and known.entry.address == entry.address
         )
-        if not is_same:
+        if not is_same_process:
             self._endpoints[entry.endpoint_id] = Endpoint(entry)
             return
         known.entry = entry
-        known.lapsed_at_s = None
+        known.absent_since_s = None
 
     def remove(
         self, endpoint_id: str, now_s: float, *, is_store_stable: bool
     ) -> None:
-        """Takes out an endpoint whose entry is gone.
+        """Removes an endpoint whose entry was deleted.
 
-        While the store is away entries lapse though their endpoints live;
-        such an endpoint is kept until `expire`.
+        While the store is unavailable, entries of live endpoints expire too.
+        Without a stable store the endpoint is therefore kept until `expire`
+        removes it.
         """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
         if is_store_stable:
             del self._endpoints[endpoint_id]
-        elif endpoint.lapsed_at_s is None:
-            endpoint.lapsed_at_s = now_s
+        elif endpoint.absent_since_s is None:
+            endpoint.absent_since_s = now_s
 
     def expire(self, now_s: float) -> list[str]:
-        """Takes out endpoints whose entry did not come back; returns ids."""
-        gone = [
+        """Removes endpoints that stayed absent; returns their ids."""
+        expired = [
             endpoint_id
             for endpoint_id, endpoint in self._endpoints.items()
-            if endpoint.lapsed_at_s is not None
-            and now_s - endpoint.lapsed_at_s > _LAPSE_GRACE_S
+            if endpoint.absent_since_s is not None
+            and now_s - endpoint.absent_since_s > _ABSENCE_GRACE_S
         ]
-        for endpoint_id in gone:
+        for endpoint_id in expired:
             del self._endpoints[endpoint_id]
-        return gone
+        return expired
 
-    def in_pool(self, pools: Iterable[str]) -> list[Endpoint]:
-        """Returns the endpoints of some pools that may get work."""
+    def in_pools(self, pools: Iterable[str]) -> list[Endpoint]:
+        """Returns the endpoints of some pools that aren't leaving."""
         names = set(pools)
         return [
             endpoint
@@ -233,27 +244,36 @@
         excluded: frozenset[str],
         now_s: float,
     ) -> str | None:
-        """Returns the endpoint that is thought to answer soonest.
+        """Returns the id of the endpoint with the lowest expected latency.
+
+        Endpoints that are unreachable, absent, silent or in back-off are
+        chosen only if there is no other.
+
+        Args:
+            pools: Names of the pools to choose from.
+            excluded: Ids of endpoints that must not be chosen.
+            now_s: Current time.
 
-        Resting and silent ones are chosen only if no other is left.
+        Returns:
+            The endpoint's id; None if there is no candidate.
         """
-        found = [
+        candidates = [
             endpoint
-            for endpoint in self.in_pool(pools)
+            for endpoint in self.in_pools(pools)
             if endpoint.entry.endpoint_id not in excluded
         ]
-        if not found:
+        if not candidates:
             return None
-        sound = [
+        healthy = [
             endpoint
-            for endpoint in found
-            if endpoint.entry.domain not in self._cut_domains
-            and not _is_doubtful(endpoint, now_s)
+            for endpoint in candidates
+            if endpoint.entry.domain not in self._unreachable_domains
+            and not _is_suspect(endpoint, now_s)
         ]
         best = min(
-            sound or found,
+            healthy or candidates,
             key=lambda e: (
-                _finish(e, now_s),
+                _estimate_latency_ratio(e, now_s),
                 not self._has_connection(e.entry.address),
                 self._random(),
             ),
@@ -261,93 +281,113 @@
         return best.entry.endpoint_id
 
     def median_latency_s(self, route: str) -> float:
-        """Returns the usual time of an answer of a route."""
-        answers = self._answers.get(route)
-        return statistics.median_low(answers) if answers else _FIRST_USUAL_S
+        """Returns the median latency of a route's recent responses."""
+        latencies_s = self._latencies_s.get(route)
+        return (
+            statistics.median_low(latencies_s)
+            if latencies_s
+            else _DEFAULT_LATENCY_S
+        )
 
     def record_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
-        """Counts a request that is sent; returns its token."""
-        self._tokens += 1
+        """Records that a request is sent; returns its token."""
+        self._last_token += 1
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
-            patience_s = math.inf
-            if len(self._answers.get(route, ())) >= _FEWEST_ANSWERS:
-                patience_s = _SILENT_FACTOR * self.median_latency_s(route)
-            endpoint.open[self._tokens] = _OpenRequest(route, now_s, patience_s)
-        return self._tokens
+            silence_timeout_s = math.inf
+            if len(self._latencies_s.get(route, ())) >= _MIN_LATENCY_SAMPLES:
+                silence_timeout_s = (
+                    _SILENCE_TIMEOUT_FACTOR * self.median_latency_s(route)
+                )
+            endpoint.open_requests[self._last_token] = _OpenRequest(
+                route, now_s, silence_timeout_s
+            )
+        return self._last_token
 
     def record_answered(
         self, endpoint_id: str, token: int, now_s: float
     ) -> None:
-        """Counts a whole answer; its time tells the endpoint's pace."""
+        """Records a complete response and updates the latencies."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
-        req = endpoint.open.pop(token, None)
+        req = endpoint.open_requests.pop(token, None)
         endpoint.last_received_at_s = now_s
         endpoint.failures = 0
         endpoint.backoff_until_s = -math.inf
         if req is None:
             return
-        took_s = now_s - req.sent_s
-        self._learn_pace(endpoint, req.route, took_s, now_s)
-        answers = self._answers.setdefault(
-            req.route, collections.deque(maxlen=_USUAL_ANSWERS)
+        latency_s = now_s - req.sent_s
+        self._update_latency_ratio(endpoint, req.route, latency_s, now_s)
+        latencies_s = self._latencies_s.setdefault(
+            req.route, collections.deque(maxlen=_MAX_LATENCY_SAMPLES)
         )
-        answers.append(took_s)
+        latencies_s.append(latency_s)
 
-    def _learn_pace(
-        self, endpoint: Endpoint, route: str, took_s: float, now_s: float
+    def _update_latency_ratio(
+        self, endpoint: Endpoint, route: str, latency_s: float, now_s: float
     ) -> None:
-        ratio = min(_SLOWEST_PACE, took_s / self.median_latency_s(route))
-        known = endpoint.expected_pace(now_s)
-        endpoint.pace = known + _PACE_SHARE * (ratio - known)
-        endpoint.paced_at_s = now_s
+        ratio = min(
+            _MAX_LATENCY_RATIO, latency_s / self.median_latency_s(route)
+        )
+        known = endpoint.expected_latency_ratio(now_s)
+        endpoint.latency_ratio = known + _LATENCY_RATIO_SMOOTHING * (
+            ratio - known
+        )
+        endpoint.latency_ratio_at_s = now_s
 
     def record_abandoned(
         self, endpoint_id: str, token: int, now_s: float
     ) -> None:
-        """Counts a request that was given up before its answer came.
+        """Records a request that was cancelled before its response.
 
-        One that waited longer than usual tells that the endpoint is slow.
+        If it was open for longer than expected, the elapsed time raises the
+        endpoint's latency ratio.
         """
         endpoint = self._endpoints.get(endpoint_id)
-        req = endpoint.open.pop(token, None) if endpoint else None
-        if req is None or req.patience_s == math.inf:
+        req = endpoint.open_requests.pop(token, None) if endpoint else None
+        if req is None or req.silence_timeout_s == math.inf:
             return
         ratio = (now_s - req.sent_s) / self.median_latency_s(req.route)
-        if ratio > endpoint.expected_pace(now_s):
-            endpoint.pace = min(_SLOWEST_PACE, ratio)
-            endpoint.paced_at_s = now_s
+        if ratio > endpoint.expected_latency_ratio(now_s):
+            endpoint.latency_ratio = min(_MAX_LATENCY_RATIO, ratio)
+            endpoint.latency_ratio_at_s = now_s
 
     def record_failed(self, endpoint_id: str, token: int, now_s: float) -> None:
-        """Counts a failure; the endpoint rests for a time."""
+        """Records a failed request and starts the endpoint's back-off."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
-        endpoint.open.pop(token, None)
+        endpoint.open_requests.pop(token, None)
         endpoint.failures += 1
-        rest_s = _FIRST_REST_S * 2 ** (endpoint.failures - 1)
-        endpoint.backoff_until_s = now_s + min(rest_s, _LONGEST_REST_S)
+        backoff_s = _INITIAL_BACKOFF_S * 2 ** (endpoint.failures - 1)
+        endpoint.backoff_until_s = now_s + min(backoff_s, _MAX_BACKOFF_S)
 
     def record_closed(self, endpoint_id: str, token: int) -> None:
-        """Counts a request that its caller gave up."""
+        """Records the end of a request that gives no latency.
+
+        For responses that report a server error or that the request was not
+        run.
+        """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
-            endpoint.open.pop(token, None)
+            endpoint.open_requests.pop(token, None)
 
     def record_load(self, endpoint_id: str, load: int, now_s: float) -> None:
-        """Takes the load that an endpoint told."""
+        """Records the load that an endpoint reported."""
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
-            endpoint.told_load = load
-            endpoint.told_at_s = now_s
+            endpoint.reported_load = load
+            endpoint.load_reported_at_s = now_s
             endpoint.last_received_at_s = now_s
 
     def record_versions(
         self, endpoint_id: str, versions: dict[str, int]
     ) -> None:
-        """Takes the weights that an engine reports, newer than its entry."""
+        """Records the weight versions that an engine reported.
+
+        They are newer than those of its entry.
+        """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
             endpoint.entry = dataclasses.replace(
@@ -355,16 +395,20 @@
             )
 
 
-def _finish(endpoint: Endpoint, now_s: float) -> float:
-    """Estimates the time until an answer, in tenths of the usual one."""
+def _estimate_latency_ratio(endpoint: Endpoint, now_s: float) -> float:
+    """Estimates the latency relative to the route's median, to one decimal.
+
+    Near-equal endpoints thus tie, and the other criteria decide.
+    """
     load = endpoint.load(now_s) + 1
     slots = max(1, endpoint.entry.slots)
-    # Waiting starts with the last slots: others send there as well.
+    # Requests are assumed to queue once half of the slots are taken, since
+    # other daemons send to the endpoint as well.
     rounds = 1 + max(0.0, load - slots / 2) / slots
-    return round(endpoint.expected_pace(now_s) * rounds, 1)
+    return round(endpoint.expected_latency_ratio(now_s) * rounds, 1)
 
 
-def _is_doubtful(endpoint: Endpoint, now_s: float) -> bool:
-    if now_s < endpoint.backoff_until_s or endpoint.lapsed_at_s is not None:
+def _is_suspect(endpoint: Endpoint, now_s: float) -> bool:
+    if now_s < endpoint.backoff_until_s or endpoint.absent_since_s is not None:
         return True
     return endpoint.is_silent(now_s)
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""The endpoint that answers soonest, as far as is known."""
+"""Tests of the endpoint directory."""
 
 import unittest
 
@@ -6,7 +6,7 @@
 from daisyhub.settings import Address
 
 POOL = ("p",)
-NONE = frozenset()
+NO_IDS = frozenset()
 
 
 def entry(name, **fields):
@@ -24,18 +24,18 @@
         for name in "abc":
             self.directory.upsert(entry(name))
 
-    def answer(self, name, took_s, at_s, route="r"):
-        token = self.directory.record_sent(name, route, at_s - took_s)
+    def answer(self, name, latency_s, at_s, route="r"):
+        token = self.directory.record_sent(name, route, at_s - latency_s)
         self.directory.record_answered(name, token, at_s)
 
     def warm_up(self):
         for n in range(12):
             self.answer("abc"[n % 3], 0.03, 1.0)
 
-    def choose(self, now_s, excluded=NONE):
+    def choose(self, now_s, excluded=NO_IDS):
         return self.directory.choose(POOL, excluded, now_s)
 
-    def test_a_slow_endpoint_is_passed_over_and_tried_again_later(self):
+    def test_slow_endpoint_is_avoided_and_retried_later(self):
         self.warm_up()
         for _ in range(5):
             self.answer("a", 0.3, 2.0)
@@ -43,44 +43,54 @@
         self.assertEqual(chosen, {"c"})
         self.assertEqual(self.choose(30.0, frozenset("bc")), "a")
         endpoint = self.directory.get("a")
-        self.assertLess(endpoint.expected_pace(30.0), 1.1)
+        self.assertLess(endpoint.expected_latency_ratio(30.0), 1.1)
 
-    def test_a_silent_endpoint_is_passed_over_at_once(self):
+    def test_silent_endpoint_is_avoided_at_once(self):
         self.warm_up()
         self.directory.record_sent("a", "r", 2.0)
         chosen = self.choose(2.2, frozenset("b"))
         self.assertEqual(chosen, "c")
 
-    def test_routes_that_take_longer_do_not_make_endpoints_look_slow(self):
-        """One mean over all routes put hedges behind the deadline."""
+    def test_slow_routes_do_not_raise_the_latency_ratio(self):
+        """Latencies are kept by route.
+
+        With one mean over all routes, slow routes delayed the hedged requests
+        of fast ones beyond the deadline.
+        """
         self.warm_up()
         for _ in range(20):
             self.answer("a", 1.1, 3.0, route="long")
             token = self.directory.record_sent("b", "never", 1.9)
             self.directory.record_abandoned("b", token, 3.0)
         self.assertAlmostEqual(self.directory.median_latency_s("r"), 0.03)
-        self.assertLess(self.directory.get("a").expected_pace(3.0), 1.5)
-        self.assertLess(self.directory.get("b").expected_pace(3.0), 1.5)
+        self.assertLess(
+            self.directory.get("a").expected_latency_ratio(3.0), 1.5
+        )
+        self.assertLess(
+            self.directory.get("b").expected_latency_ratio(3.0), 1.5
+        )
 
-    def test_load_told_by_others_counts_while_it_is_fresh(self):
+    def test_reported_load_counts_until_it_expires(self):
         self.directory.record_load("a", 9, 1.0)
         self.directory.record_load("b", 9, 1.0)
         self.assertEqual(self.choose(1.5), "c")
         self.assertEqual(self.directory.get("a").load(5.0), 0)
 
-    def test_failures_rest_an_endpoint_for_a_while(self):
+    def test_failures_start_a_backoff(self):
         for name in "ab":
             token = self.directory.record_sent(name, "r", 1.0)
             self.directory.record_failed(name, token, 1.0)
         self.assertEqual(self.choose(1.1), "c")
         self.assertIn(self.choose(1.1, frozenset("c")), "ab")
 
-    def test_a_leaving_endpoint_gets_nothing(self):
+    def test_leaving_endpoint_is_not_chosen(self):
         self.directory.upsert(entry("a", is_leaving=True))
         self.directory.upsert(entry("b", is_leaving=True))
         self.assertEqual(self.choose(1.0), "c")
 
-    def test_entries_that_lapse_while_the_store_is_away_are_kept_a_while(self):
+    def test_entries_that_expire_during_a_store_outage_are_kept_for_a_time(
+        self,
+    ):
         self.directory.remove("a", 1.0, is_store_stable=False)
         self.assertEqual(self.directory.expire(2.9), [])
         self.assertEqual(self.directory.expire(3.1), ["a"])
@@ -90,23 +100,26 @@
         self.directory.remove("b", 9.0, is_store_stable=True)
         self.assertIsNone(self.directory.get("b"))
 
-    def test_endpoints_of_a_domain_out_of_reach_come_last(self):
-        """A cut-off daemon tried two endpoints it couldn't reach."""
+    def test_endpoints_of_unreachable_domains_are_chosen_last(self):
+        """A partitioned daemon must not try unreachable endpoints first.
+
+        It used to spend two attempts on endpoints that it couldn't reach.
+        """
         self.directory.upsert(entry("c", domain="near"))
         self.directory.set_unreachable_domains(frozenset({"d"}))
         self.assertEqual({self.choose(1.0) for _ in range(5)}, {"c"})
         self.assertIn(self.choose(1.0, frozenset("c")), "ab")
 
-    def test_a_restart_forgets_what_was_known(self):
+    def test_restart_resets_the_statistics(self):
         token = self.directory.record_sent("a", "r", 1.0)
         self.directory.record_failed("a", token, 1.0)
         self.directory.upsert(entry("a", incarnation=7))
         self.assertEqual(self.directory.get("a").failures, 0)
 
-    def test_a_kept_connection_breaks_ties(self):
+    def test_idle_connection_breaks_ties(self):
         directory = EndpointDirectory(
             lambda: 0.5, lambda address: address.port == ord("b")
         )
         for name in "abc":
             directory.upsert(entry(name))
-        self.assertEqual(directory.choose(POOL, NONE, 1.0), "b")
+        self.assertEqual(directory.choose(POOL, NO_IDS, 1.0), "b")
