--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -1,8 +1,9 @@
-"""What a daemon knows of its failure domain's endpoints.
+"""State of the endpoints of a daemon's own failure domain.
 
-News comes from the platform's lagging list, from endpoints' own answers, from
-operators and from peers, late, twice or in any order. For one incarnation,
-`leaving` is final: only a higher incarnation makes an endpoint usable again.
+Updates come from the platform's list, which lags, from the endpoints' own
+responses, from operators and from peers. They may be late, duplicated or out
+of order. Leaving is final for an incarnation: only a higher incarnation makes
+an endpoint usable again.
 """
 
 import dataclasses
@@ -23,10 +24,10 @@
 ]
 
 DRAIN_PREFIX = "news/drain/"
-_FAILURES_TO_SUSPECT = 3
-_SUSPECT_S = 2.0
-_ABSENT_S = 5.0
-_MOST_LEFT = 20_000
+_MIN_FAILURES_TO_SUSPECT = 3
+_SUSPECT_DURATION_S = 2.0
+_ABSENCE_TIMEOUT_S = 5.0
+_MAX_LEFT_INCARNATIONS = 20_000
 
 
 class DrainOrder(msgspec.Struct, frozen=True, kw_only=True):
@@ -34,8 +35,8 @@
 
     Attributes:
         endpoint_id: The endpoint.
-        incarnation: The order holds up to this incarnation.
-        author: Who gave it.
+        incarnation: The order applies up to this incarnation.
+        author: Operator who gave the order.
     """
 
     endpoint_id: str
@@ -44,15 +45,16 @@
 
 
 class EndpointUpdate(msgspec.Struct, frozen=True, kw_only=True):
-    """One party's news of one endpoint.
+    """A partial update of one endpoint's state from one source.
 
     Attributes:
         endpoint_id: Unique id.
-        incarnation: The incarnation that the news is about.
-        is_leaving: Whether it was seen to be leaving.
-        load: Requests that it has in hand, or -1 if the news doesn't tell.
-        weight_version: Version of its weights, or -1 if not told.
-        capacity: Requests that it serves at one time, or 0 if not told.
+        incarnation: The incarnation that the update is about.
+        is_leaving: Whether the endpoint is leaving.
+        load: Number of its open requests, or -1 if not reported.
+        weight_version: Version of its weights, or -1 if not reported.
+        capacity: Number of requests that it serves concurrently, or 0 if not
+            reported.
     """
 
     endpoint_id: str
@@ -71,7 +73,28 @@
 
 @dataclasses.dataclass(slots=True)
 class EndpointState(EndpointView):
-    """One endpoint; `load` is the last news plus own requests since."""
+    """State of one endpoint.
+
+    Attributes:
+        endpoint_id: Unique id.
+        pool: The pool that it belongs to.
+        address: Where it listens.
+        incarnation: Its incarnation; higher after a restart.
+        cheap: Whether the platform may reclaim it (spot capacity).
+        capacity: Number of requests that it serves concurrently; a default
+            while `has_reported_capacity` is false.
+        has_reported_capacity: Whether the endpoint reported its capacity.
+        weight_version: Highest reported version of its weights.
+        reported_load: Number of its open requests as last reported.
+        own_requests: Open requests of this daemon.
+        failures: Consecutive failures.
+        suspect_until_s: Time until which other endpoints are preferred.
+        is_leaving: Whether it accepts no new requests.
+        absent_since_s: Since when the platform's list lacks it; None if it is
+            listed.
+        last_received_at_s: When a request to it last succeeded or a poll was
+            answered.
+    """
 
     endpoint_id: str
     pool: str
@@ -79,7 +102,7 @@
     incarnation: int
     cheap: bool = False
     capacity: int = 16
-    tells_capacity: bool = False
+    has_reported_capacity: bool = False
     weight_version: int = 0
     reported_load: float = 0.0
     own_requests: int = 0
@@ -91,7 +114,7 @@
 
     @property
     def load(self) -> float:
-        """Requests that it is thought to have in hand."""
+        """Estimated open requests: reported ones or this daemon's, if more."""
         return max(self.reported_load, self.own_requests)
 
     def health(self, now_s: float) -> str:
@@ -108,10 +131,11 @@
 
     def __init__(self):
         self._endpoints: dict[str, EndpointState] = {}
-        # The highest incarnation that is known to be leaving or gone.
-        self._left: dict[str, int] = {}
-        # Endpoints that may get work, by pool and id.
-        self._usable: dict[str, list[EndpointState]] = {}
+        # The highest incarnation by id that is known to be leaving or to have
+        # ended.
+        self._left_incarnations: dict[str, int] = {}
+        # Endpoints that may get requests, by pool, ordered by id.
+        self._usable_by_pool: dict[str, list[EndpointState]] = {}
         self._suspects: set[str] = set()
         self._listeners: list[Callable[[EndpointUpdate], None]] = []
 
@@ -119,7 +143,7 @@
         return len(self._endpoints)
 
     def add_listener(self, listener: Callable[[EndpointUpdate], None]) -> None:
-        """Calls `listener` with news that others must hear: one is leaving."""
+        """Registers a callback for updates by which an endpoint is leaving."""
         self._listeners.append(listener)
 
     def get(self, endpoint_id: str) -> EndpointState | None:
@@ -131,24 +155,24 @@
         return [self._endpoints[key] for key in sorted(self._endpoints)]
 
     def apply_list(self, records, now_s: float = 0.0) -> None:
-        """Takes over the platform's list of `EndpointRecord`.
+        """Applies the platform's list of `EndpointRecord`.
 
-        The list may lag behind an earlier one, and may lack entries for a
-        moment: an entry that it lacks gets no new work once it was lacking
-        for some seconds, and is forgotten when no request is open. An empty
-        list tells nothing.
+        The list may be older than a previous one and may lack entries for a
+        short time. An endpoint that is absent for longer than
+        `_ABSENCE_TIMEOUT_S` gets no new requests, and is removed once none of
+        this daemon's requests is open there. An empty list is ignored.
         """
         records = list(records)
         if not records:
             return
-        seen = {record.endpoint_id for record in records}
+        listed_ids = {record.endpoint_id for record in records}
         for record in records:
-            self._adopt_record(record)
-        for endpoint_id in self._endpoints.keys() - seen:
-            self._note_absent(self._endpoints[endpoint_id], now_s)
-        self._build_usable(now_s)
+            self._apply_record(record)
+        for endpoint_id in self._endpoints.keys() - listed_ids:
+            self._mark_absent(self._endpoints[endpoint_id], now_s)
+        self._rebuild_usable(now_s)
 
-    def _adopt_record(self, record) -> None:
+    def _apply_record(self, record) -> None:
         known = self._endpoints.get(record.endpoint_id)
         if known is not None and record.incarnation < known.incarnation:
             return
@@ -158,93 +182,101 @@
             self._suspects.discard(record.endpoint_id)
         known.absent_since_s = None
         if record.state == "leaving":
-            self._note_left(record.endpoint_id, record.incarnation)
-        left = self._left.get(record.endpoint_id, 0)
+            self._record_left(record.endpoint_id, record.incarnation)
+        left = self._left_incarnations.get(record.endpoint_id, 0)
         known.is_leaving = known.is_leaving or record.incarnation <= left
 
-    def _note_absent(self, state: EndpointState, now_s: float) -> None:
+    def _mark_absent(self, state: EndpointState, now_s: float) -> None:
         if state.absent_since_s is None:
             state.absent_since_s = now_s
-        if _is_gone(state, now_s) and not state.own_requests:
+        if _is_absent(state, now_s) and not state.own_requests:
             del self._endpoints[state.endpoint_id]
             self._suspects.discard(state.endpoint_id)
 
-    def _note_left(self, endpoint_id: str, incarnation: int) -> None:
-        """Remembers it, the endpoint known or not; the newest are kept."""
-        known = self._left.pop(endpoint_id, 0)
-        self._left[endpoint_id] = max(known, incarnation)
-        if len(self._left) > _MOST_LEFT:
-            del self._left[next(iter(self._left))]
+    def _record_left(self, endpoint_id: str, incarnation: int) -> None:
+        """Stores the highest incarnation that left, also of unknown endpoints.
+
+        Beyond the maximum, the entry that was updated longest ago is dropped.
+        """
+        known = self._left_incarnations.pop(endpoint_id, 0)
+        self._left_incarnations[endpoint_id] = max(known, incarnation)
+        if len(self._left_incarnations) > _MAX_LEFT_INCARNATIONS:
+            del self._left_incarnations[next(iter(self._left_incarnations))]
 
-    def apply_update(self, news: EndpointUpdate) -> bool:
-        """Takes one news; returns whether it changed what others must know.
+    def apply_update(self, update: EndpointUpdate) -> bool:
+        """Applies an update; returns whether an endpoint is newly leaving.
 
-        News of a newer incarnation than the known one tells that the known
-        one is gone. News of an unknown endpoint is kept for later.
+        Peers must be informed of such a change. An update about a higher
+        incarnation than the known one means that the known one has ended.
+        Of an unknown endpoint only the incarnation that left is stored.
         """
-        known = self._endpoints.get(news.endpoint_id)
-        gone = news.incarnation if news.is_leaving else news.incarnation - 1
-        is_later = gone > self._left.get(news.endpoint_id, 0)
-        if is_later:
-            self._note_left(news.endpoint_id, gone)
+        known = self._endpoints.get(update.endpoint_id)
+        left_incarnation = (
+            update.incarnation if update.is_leaving else update.incarnation - 1
+        )
+        is_newer = left_incarnation > self._left_incarnations.get(
+            update.endpoint_id, 0
+        )
+        if is_newer:
+            self._record_left(update.endpoint_id, left_incarnation)
         if known is None:
-            return is_later and news.is_leaving
-        is_new = self._note_leaving(known)
-        if is_new:
+            return is_newer and update.is_leaving
+        is_newly_leaving = self._mark_leaving(known)
+        if is_newly_leaving:
             for listener in self._listeners:
-                listener(news)
-        if news.incarnation != known.incarnation:
-            return is_new
-        if news.load >= 0:
-            known.reported_load = news.load
-        if news.weight_version >= 0:
+                listener(update)
+        if update.incarnation != known.incarnation:
+            return is_newly_leaving
+        if update.load >= 0:
+            known.reported_load = update.load
+        if update.weight_version >= 0:
             known.weight_version = max(
-                known.weight_version, news.weight_version
+                known.weight_version, update.weight_version
             )
-        if news.capacity > 0:
-            known.capacity = news.capacity
-            known.tells_capacity = True
-        return is_new
-
-    def _note_leaving(self, state: EndpointState) -> bool:
-        """Takes an endpoint out of its pool if its incarnation has left."""
-        left = self._left.get(state.endpoint_id, 0)
+        if update.capacity > 0:
+            known.capacity = update.capacity
+            known.has_reported_capacity = True
+        return is_newly_leaving
+
+    def _mark_leaving(self, state: EndpointState) -> bool:
+        """Removes an endpoint from its pool if its incarnation has left."""
+        left = self._left_incarnations.get(state.endpoint_id, 0)
         if state.is_leaving or state.incarnation > left:
             return False
         state.is_leaving = True
-        # A new list, since callers may hold the old one.
-        self._usable[state.pool] = [
+        # A new list, since callers may still use the old one.
+        self._usable_by_pool[state.pool] = [
             other
-            for other in self._usable.get(state.pool, ())
+            for other in self._usable_by_pool.get(state.pool, ())
             if other is not state
         ]
         return True
 
-    def _build_usable(self, now_s: float) -> None:
+    def _rebuild_usable(self, now_s: float) -> None:
         usable: dict[str, list[EndpointState]] = {}
         for state in self.all():
-            if not state.is_leaving and not _is_gone(state, now_s):
+            if not state.is_leaving and not _is_absent(state, now_s):
                 usable.setdefault(state.pool, []).append(state)
-        self._usable = usable
+        self._usable_by_pool = usable
 
     def candidates(
         self, pool: str, now_s: float, excluded: frozenset[str] = frozenset()
     ) -> list[EndpointState]:
-        """Returns the endpoints of a pool that may get new work, by id.
+        """Returns the endpoints of a pool that may get requests, by id.
 
-        Suspect ones are offered only if no other is left. The caller must
-        not change the list.
+        Suspect endpoints are returned only if there is no other. The caller
+        must not change the list.
         """
-        usable = self._usable.get(pool, [])
+        usable = self._usable_by_pool.get(pool, [])
         if excluded:
             usable = [s for s in usable if s.endpoint_id not in excluded]
         if not self._suspects:
             return usable
-        self._forget_suspects(now_s)
-        sound = [s for s in usable if s.endpoint_id not in self._suspects]
-        return sound or usable
+        self._expire_suspects(now_s)
+        healthy = [s for s in usable if s.endpoint_id not in self._suspects]
+        return healthy or usable
 
-    def _forget_suspects(self, now_s: float) -> None:
+    def _expire_suspects(self, now_s: float) -> None:
         self._suspects = {
             endpoint_id
             for endpoint_id in self._suspects
@@ -252,23 +284,29 @@
         }
 
     def reported_capacity(self, pools: Iterable[str]) -> int | None:
-        """Returns what usable endpoints serve at one time, all together.
+        """Returns the total capacity of the usable endpoints of some pools.
 
-        None if there are none, or one of them doesn't tell.
+        None if there is no usable endpoint or one hasn't reported its
+        capacity.
         """
-        states = [s for pool in pools for s in self._usable.get(pool, ())]
-        if not states or not all(s.tells_capacity for s in states):
+        states = [
+            s for pool in pools for s in self._usable_by_pool.get(pool, ())
+        ]
+        if not states or not all(s.has_reported_capacity for s in states):
             return None
         return sum(state.capacity for state in states)
 
     def record_sent(self, endpoint_id: str) -> None:
-        """Counts a request that was sent."""
+        """Records that a request was sent."""
         state = self._endpoints.get(endpoint_id)
         if state is not None:
             state.own_requests += 1
 
     def record_done(self, endpoint_id: str, *, failed: bool, now_s: float):
-        """Counts a request that ended; failures in a row make it suspect."""
+        """Records the end of a request.
+
+        Three consecutive failures make the endpoint suspect for a time.
+        """
         state = self._endpoints.get(endpoint_id)
         if state is None:
             return
@@ -280,23 +318,26 @@
             self._suspects.discard(endpoint_id)
             return
         state.failures += 1
-        if state.failures >= _FAILURES_TO_SUSPECT:
-            state.suspect_until_s = now_s + _SUSPECT_S
+        if state.failures >= _MIN_FAILURES_TO_SUSPECT:
+            state.suspect_until_s = now_s + _SUSPECT_DURATION_S
             self._suspects.add(endpoint_id)
 
 
-def _is_gone(state: EndpointState, now_s: float) -> bool:
+def _is_absent(state: EndpointState, now_s: float) -> bool:
     absent_since_s = state.absent_since_s
-    return absent_since_s is not None and now_s - absent_since_s >= _ABSENT_S
+    return (
+        absent_since_s is not None
+        and now_s - absent_since_s >= _ABSENCE_TIMEOUT_S
+    )
 
 
-def _new_state(record, earlier: EndpointState | None) -> EndpointState:
-    """Builds an entry; open requests to an earlier incarnation still count."""
+def _new_state(record, previous: EndpointState | None) -> EndpointState:
+    """Builds an entry; open requests to the previous incarnation count too."""
     return EndpointState(
         endpoint_id=record.endpoint_id,
         pool=record.pool,
         address=Address(ip=record.ip, port=record.port),
         incarnation=record.incarnation,
         cheap=record.cheap,
-        own_requests=earlier.own_requests if earlier else 0,
+        own_requests=previous.own_requests if previous else 0,
     )
