--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of client accounts, counted and reported by windows."""
+"""Counts requests by client account and reports them by time window."""
 
 from daisyhub.billing._controller import UsageReporter
 from daisyhub.billing._order_desk_client import (
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -1,4 +1,4 @@
-"""Seals and reports usage windows while this daemon has the duty."""
+"""Seals and reports usage windows while this daemon holds the duty."""
 
 import anyio
 import msgspec
@@ -27,32 +27,32 @@
 
 __all__ = ["UsageReporter"]
 
-_SEALS_KIND = "usage-windows"
-# Seconds between looks at the windows.
-_TICK_S = 0.25
-# Windows after which a seal is deleted; nobody reports one that old.
-_KEPT_SEALS = 24
+_SEAL_KIND = "usage-windows"
+# Interval between ticks of the core.
+_TICK_INTERVAL_S = 0.25
+# Windows after which a seal is deleted; no daemon reports one that old.
+_SEAL_RETENTION_WINDOWS = 24
 
 
 class _Seal(msgspec.Struct, frozen=True, kw_only=True):
-    """The figures of one window, fixed for good."""
+    """The final counts of one window by account, as stored."""
 
     counts: dict[str, int]
 
 
 class UsageReporter(DutyBoundController):
-    """Reports what all daemons counted.
+    """Reports the request counts of all daemons to the platform.
 
     Args:
-        duty: Tells whether this daemon is in charge.
-        book: What the daemons counted.
+        duty: The duty to report usage.
+        aggregator: Counts of all daemons.
         live: Returns the incarnations of the live daemons by id.
-        store: Where seals lie.
-        desk: Takes reports.
-        clock: Returns the true time.
+        store: Stores the seals.
+        order_desk: Receives the reports.
+        clock: Returns the time that the daemons agree on, seconds since 1970.
         window_s: Length of a window.
-        late_s: Time after a window's end by which its report is due.
-        log: Where decisions are noted.
+        report_deadline_s: Time after a window's end by which its report is due.
+        log: Logs sealed and reported windows and failures.
     """
 
     name = "usage_reports"
@@ -60,49 +60,49 @@
     def __init__(
         self,
         duty,
-        book: UsageAggregator,
+        aggregator: UsageAggregator,
         live,
         store: ObjectStore,
-        desk: OrderDeskClient,
+        order_desk: OrderDeskClient,
         clock,
         window_s: float,
-        late_s: float,
+        report_deadline_s: float,
         log: DecisionLog,
     ):
         super().__init__(duty)
-        self._book = book
-        self._live = live
+        self._usage_aggregator = aggregator
+        self._get_live_incarnations = live
         self._store = store
-        self._desk = desk
+        self._order_desk = order_desk
         self._clock = clock
         self._window_s = window_s
-        self._late_s = late_s
+        self._report_deadline_s = report_deadline_s
         self._log = log
-        self._core = WindowCore(window_s, late_s)
+        self._core = WindowCore(window_s, report_deadline_s)
         self._tasks = None
 
     def status(self) -> dict[str, object]:
-        """Tells the windows that wait for their report."""
+        """Returns the windows that ended and aren't reported yet."""
         return {"waiting": list(self._core.open_windows)}
 
     async def hold(self) -> None:
-        """Works until the duty is lost; see `DutyBoundController.hold`."""
-        self._core = WindowCore(self._window_s, self._late_s)
+        """Runs until the duty is lost; see `DutyBoundController.hold`."""
+        self._core = WindowCore(self._window_s, self._report_deadline_s)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             while self._duty.fencing:
-                self._handle(WindowTick(self._complete_before()))
-                await anyio.sleep(_TICK_S)
+                self._handle(WindowTick(self._first_incomplete_window()))
+                await anyio.sleep(_TICK_INTERVAL_S)
             tasks.cancel_scope.cancel()
 
-    def _complete_before(self) -> int:
-        """Returns the first open window that some live daemon may change."""
-        live = self._live()
-        present = int(self._clock() // self._window_s)
+    def _first_incomplete_window(self) -> int:
+        """Returns the first window that isn't final in every live daemon."""
+        live = self._get_live_incarnations()
+        current_window = int(self._clock() // self._window_s)
         for window in self._core.open_windows:
-            if not self._book.is_complete(window, live):
+            if not self._usage_aggregator.is_complete(window, live):
                 return window
-        return present
+        return current_window
 
     def _handle(self, event: object) -> None:
         for action in self._core.handle(event, self._clock()):
@@ -112,11 +112,11 @@
                 self._tasks.start_soon(self._report, action)
 
     async def _seal(self, window: int) -> None:
-        """Fixes a window's figures, or takes those that stand."""
-        counts = self._book.total(window)
+        """Seals a window's counts, or reads those of an existing seal."""
+        counts = self._usage_aggregator.total(window)
         name = str(window)
         try:
-            counts = await self._create(name, counts)
+            counts = await self._create_seal(name, counts)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
             self._log.note("seal_failed", window=window, reason=str(exc))
             self._handle(SealFailed(window))
@@ -126,27 +126,29 @@
             window=window,
             counts=counts,
             late_s=round(self._clock() - (window + 1) * self._window_s, 2),
-            is_complete=self._book.is_complete(window, self._live()),
+            is_complete=self._usage_aggregator.is_complete(
+                window, self._get_live_incarnations()
+            ),
         )
-        self._book.forget_before(window - _KEPT_SEALS)
+        self._usage_aggregator.discard_before(window - _SEAL_RETENTION_WINDOWS)
         self._handle(WindowSealed(window, counts))
-        await self._delete_old(window - _KEPT_SEALS)
+        await self._delete_old(window - _SEAL_RETENTION_WINDOWS)
 
-    async def _create(self, name: str, counts: dict[str, int]):
+    async def _create_seal(self, name: str, counts: dict[str, int]):
         content = msgspec.json.encode(_Seal(counts=counts))
         try:
-            await self._store.create(_SEALS_KIND, name, content)
+            await self._store.create(_SEAL_KIND, name, content)
         except ObjectConflictError as exc:
-            found = exc.found or await self._store.read(_SEALS_KIND, name)
+            found = exc.found or await self._store.read(_SEAL_KIND, name)
             if found is None:
                 raise ObjectStoreError(
-                    f"seal {name} is gone", may_be_done=True
+                    f"seal {name} was deleted", may_be_done=True
                 ) from exc
             return msgspec.json.decode(found.spec, type=_Seal).counts
         except ObjectStoreError as exc:
             if not exc.may_be_done:
                 raise
-            found = await self._store.read(_SEALS_KIND, name)
+            found = await self._store.read(_SEAL_KIND, name)
             if found is None:
                 raise
             return msgspec.json.decode(found.spec, type=_Seal).counts
@@ -156,7 +158,7 @@
         fencing = self._duty.fencing
         if not fencing:
             return
-        outcome = await self._desk.report_usage(
+        outcome = await self._order_desk.report_usage(
             action.window, action.counts, fencing
         )
         self._log.note(
@@ -166,12 +168,14 @@
             outcome=outcome.value,
         )
         if outcome is OrderDeskOutcome.STALE_FENCING:
-            self._duty.step_down("the platform saw a higher number")
+            self._duty.step_down(
+                "the platform has seen a higher fencing number"
+            )
         is_done = outcome is OrderDeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
 
     async def _delete_old(self, window: int) -> None:
         try:
-            await self._store.delete(_SEALS_KIND, str(window))
+            await self._store.delete(_SEAL_KIND, str(window))
         except ObjectStoreError as exc:
             self._log.note("seal_delete_failed", window=window, reason=str(exc))
--- a/daisyhub/billing/_order_desk_client.py
+++ b/daisyhub/billing/_order_desk_client.py
@@ -1,4 +1,7 @@
-"""The platform's interface for usage reports and endpoint orders."""
+"""Interface of clients of the platform's order desk.
+
+The order desk takes usage reports and orders for endpoints.
+"""
 
 import abc
 import enum
@@ -7,7 +10,14 @@
 
 
 class OrderDeskOutcome(enum.Enum):
-    """What the platform said to a call."""
+    """Outcome of a call of the order desk.
+
+    Attributes:
+        DONE: The call took effect.
+        STALE_FENCING: Rejected, since a higher fencing number was used before.
+        REFUSED: The call was rejected or could not be sent.
+        UNKNOWN: No response; the call may have taken effect.
+    """
 
     DONE = "done"
     STALE_FENCING = "deposed"
@@ -16,22 +26,30 @@
 
 
 class OrderDeskClient(abc.ABC):
-    """Calls the platform; each call names its sender and fencing number."""
+    """Calls the order desk with the sender's name and a fencing number."""
 
     @abc.abstractmethod
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> OrderDeskOutcome:
-        """Reports a window; an exact repeat does no harm.
+        """Reports a window; idempotent for equal counts.
 
         Args:
-            window: Its number since 1970.
-            counts: Requests that began to run in it, by account.
-            fencing: Number of the duty.
+            window: Number of the window, counted since 1970.
+            counts: Number of its requests that started to run, by account.
+            fencing: Fencing number of the duty.
         """
 
     @abc.abstractmethod
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
     ) -> OrderDeskOutcome:
-        """Orders how many endpoints of one kind a failure domain has."""
+        """Orders a number of endpoints of a pool in a failure domain.
+
+        Args:
+            pool: Name of the pool.
+            domain: The failure domain.
+            count: Desired total number of endpoints.
+            cheap: Whether to order spot capacity.
+            fencing: Fencing number of the duty.
+        """
--- a/daisyhub/billing/_usage_aggregator.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -1,4 +1,4 @@
-"""What every daemon counted, as its pings told."""
+"""Aggregates the request counts that daemons send in their pings."""
 
 import dataclasses
 
@@ -6,26 +6,26 @@
 
 __all__ = ["UsageAggregator"]
 
-# Windows kept of each start of a daemon.
-_KEPT_WINDOWS = 8
+# Windows stored per incarnation of a daemon.
+_MAX_WINDOWS = 8
 
 
 @dataclasses.dataclass(slots=True)
-class _Page:
-    """One start of one daemon."""
+class _DaemonUsage:
+    """Counts of one incarnation of one daemon."""
 
     counts: dict[int, dict[str, int]] = dataclasses.field(default_factory=dict)
     closed_before: int = 0
 
 
 class UsageAggregator:
-    """Keeps the highest counts of each start of each daemon.
+    """Stores the newest counts of each incarnation of each daemon.
 
-    A daemon that died leaves the counts of its last ping.
+    Of a daemon that crashed, the counts of its last ping remain.
     """
 
     def __init__(self):
-        self._pages: dict[tuple[str, int], _Page] = {}
+        self._usage_by_daemon: dict[tuple[str, int], _DaemonUsage] = {}
 
     def update(
         self,
@@ -34,39 +34,50 @@
         usage: tuple[WindowCounts, ...],
         closed_before: int,
     ) -> None:
-        """Takes what one start of a daemon counted so far."""
-        page = self._pages.setdefault((daemon_id, incarnation), _Page())
-        page.closed_before = max(page.closed_before, closed_before)
-        for told in usage:
-            page.counts[told.window] = told.counts
-        for window in sorted(page.counts)[:-_KEPT_WINDOWS]:
-            del page.counts[window]
-
-    def forget_before(self, window: int) -> None:
-        """Drops starts of daemons that count nothing from a window on."""
-        for key, page in list(self._pages.items()):
-            if page.closed_before < window and max(page.counts, default=0) < (
-                window
-            ):
-                del self._pages[key]
+        """Stores the counts of one incarnation of a daemon.
+
+        Args:
+            daemon_id: The daemon.
+            incarnation: Its incarnation.
+            usage: Its counts so far, by window.
+            closed_before: The first window whose counts may still increase.
+        """
+        daemon_usage = self._usage_by_daemon.setdefault(
+            (daemon_id, incarnation), _DaemonUsage()
+        )
+        daemon_usage.closed_before = max(
+            daemon_usage.closed_before, closed_before
+        )
+        for window_counts in usage:
+            daemon_usage.counts[window_counts.window] = window_counts.counts
+        for window in sorted(daemon_usage.counts)[:-_MAX_WINDOWS]:
+            del daemon_usage.counts[window]
+
+    def discard_before(self, window: int) -> None:
+        """Removes incarnations without counts for a window or later ones."""
+        for key, daemon_usage in list(self._usage_by_daemon.items()):
+            if daemon_usage.closed_before < window and max(
+                daemon_usage.counts, default=0
+            ) < (window):
+                del self._usage_by_daemon[key]
 
     def total(self, window: int) -> dict[str, int]:
-        """Returns the requests of a window by account."""
+        """Returns the number of requests of a window by account."""
         total: dict[str, int] = {}
-        for page in self._pages.values():
-            for account, count in page.counts.get(window, {}).items():
+        for daemon_usage in self._usage_by_daemon.values():
+            for account, count in daemon_usage.counts.get(window, {}).items():
                 total[account] = total.get(account, 0) + count
         return total
 
     def is_complete(self, window: int, live: dict[str, int]) -> bool:
-        """Whether every live daemon closed a window.
+        """Whether the counts of a window are final in every live daemon.
 
         Args:
-            window: Its number.
+            window: Number of the window.
             live: Incarnations of the live daemons by id.
         """
         return all(
-            (page := self._pages.get(key)) is not None
-            and page.closed_before > window
+            (daemon_usage := self._usage_by_daemon.get(key)) is not None
+            and daemon_usage.closed_before > window
             for key in live.items()
         )
--- a/daisyhub/billing/_usage_meter.py
+++ b/daisyhub/billing/_usage_meter.py
@@ -1,4 +1,4 @@
-"""Counts the requests of each account in windows of the true time."""
+"""Counts the requests of each account in time windows."""
 
 from collections.abc import Callable
 
@@ -6,16 +6,17 @@
 
 __all__ = ["UsageMeter", "WindowCounts"]
 
-# Windows kept; the oldest is long reported: reports are due two windows late.
-_KEPT_WINDOWS = 8
+# Windows stored. The oldest was reported long before it is dropped, since
+# reports are due two windows after a window's end.
+_MAX_WINDOWS = 8
 
 
 class WindowCounts(msgspec.Struct, frozen=True, array_like=True):
-    """What one start of one daemon counted in one window.
+    """Counts of one incarnation of a daemon in one window.
 
     Attributes:
-        window: Number of the window since 1970.
-        counts: Requests that began to run, by account.
+        window: Number of the window, counted since 1970.
+        counts: Number of requests that started to run, by account.
     """
 
     window: int
@@ -23,11 +24,14 @@
 
 
 class UsageMeter:
-    """Counts requests; those in flight hold their window open.
+    """Counts the requests of this daemon.
+
+    A request counts in the window in which it was sent. The window isn't
+    closed while such a request is open.
 
     Args:
-        window_s: Length of a window, seconds.
-        clock: Returns the true time, seconds since 1970.
+        window_s: Length of a window.
+        clock: Returns the time that the daemons agree on, seconds since 1970.
     """
 
     def __init__(self, window_s: float, clock: Callable[[], float]):
@@ -35,34 +39,40 @@
         self._clock = clock
         self._counts: dict[int, dict[str, int]] = {}
         self._open: dict[int, tuple[int, str]] = {}
-        self._tokens = 0
+        self._last_token = 0
 
     def open(self, account: str) -> int:
-        """Notes a request that is sent now; returns its token."""
-        self._tokens += 1
-        self._open[self._tokens] = (self._window(), account)
-        return self._tokens
+        """Records that a request is sent; returns its token.
+
+        Args:
+            account: Its client account; empty if it has none.
+        """
+        self._last_token += 1
+        self._open[self._last_token] = (self._current_window(), account)
+        return self._last_token
 
     def close(self, token: int, *, has_run: bool) -> None:
-        """Ends a request, and counts it if it began to run."""
+        """Records the end of a request and counts it if it started to run."""
         window, account = self._open.pop(token)
         if not has_run or not account:
             return
         counts = self._counts.setdefault(window, {})
         counts[account] = counts.get(account, 0) + 1
-        while len(self._counts) > _KEPT_WINDOWS:
+        while len(self._counts) > _MAX_WINDOWS:
             del self._counts[min(self._counts)]
 
     def snapshot(self) -> tuple[WindowCounts, ...]:
-        """Returns the counts of all windows that are kept."""
+        """Returns the counts of the stored windows in ascending order."""
         return tuple(
             WindowCounts(window, dict(counts))
             for window, counts in sorted(self._counts.items())
         )
 
     def closed_before(self) -> int:
-        """Returns the first window whose counts may still rise."""
-        return min([self._window(), *(w for w, _ in self._open.values())])
+        """Returns the first window whose counts may still increase."""
+        return min(
+            [self._current_window(), *(w for w, _ in self._open.values())]
+        )
 
-    def _window(self) -> int:
+    def _current_window(self) -> int:
         return int(self._clock() // self._window_s)
--- a/daisyhub/billing/_window_core.py
+++ b/daisyhub/billing/_window_core.py
@@ -1,8 +1,8 @@
 """Decides when a usage window is sealed and reported.
 
-A seal is an object that is created once: it fixes the figures of a window, so
-that whoever reports it, however often, reports the same. Times are true time,
-seconds since 1970.
+A seal is a stored object with the counts of a window. It is created once and
+never changed, so that every report of a window, by any daemon, has the same
+counts. Times are seconds since 1970, by the time that the daemons agree on.
 """
 
 import dataclasses
@@ -19,25 +19,27 @@
     "WindowTick",
 ]
 
-# Windows before the present one that a new holder looks after: reports are
-# due two windows after a window's end.
-_TAKEN_UP = 3
-# Share of the time until a report is due for which a daemon that hasn't
-# closed a window is waited for; the rest is for the store and the platform.
-_WAIT_SHARE = 0.6
-# Seconds before a failed call is made again.
-_RETRY_S = 0.4
-# Seconds after a window's end before it is sealed at the earliest: the last
-# counts travel with pings.
-_SETTLE_S = 1.0
+# Windows before the current one that a new holder processes. Reports are due
+# two windows after a window's end.
+_INITIAL_WINDOWS = 3
+# Maximum wait for daemons that haven't closed a window, as a fraction of the
+# time until its report is due. The rest is for the calls of the store and the
+# platform.
+_MAX_WAIT_RATIO = 0.6
+# Delay before a failed call is repeated.
+_RETRY_DELAY_S = 0.4
+# Minimum time from a window's end until it is sealed, since the last counts
+# arrive with pings.
+_SEAL_DELAY_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowTick:
-    """Time has passed.
+    """A periodic tick.
 
     Attributes:
-        complete_before: The first window that some live daemon hasn't closed.
+        complete_before: The first window that isn't final in every live
+            daemon.
     """
 
     complete_before: int
@@ -45,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowSealed:
-    """These figures stand for a window."""
+    """A window is sealed with these counts, by this daemon or another."""
 
     window: int
     counts: dict[str, int]
@@ -53,18 +55,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealFailed:
-    """The store gave no usable answer."""
+    """A seal could be neither created nor read."""
 
     window: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WindowReported:
-    """A report was answered.
+    """The call that reports a window ended.
 
     Attributes:
-        window: The window.
-        is_done: Whether the platform has it.
+        window: Number of the window.
+        is_done: Whether the platform accepted the report.
     """
 
     window: int
@@ -73,14 +75,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SealWindow:
-    """Action: fix the figures that are known now, if none stand yet."""
+    """Action: seal a window with the current counts unless it is sealed."""
 
     window: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportWindow:
-    """Action: report the figures that stand."""
+    """Action: report the counts of a window's seal."""
 
     window: int
     counts: dict[str, int]
@@ -94,38 +96,38 @@
 
 
 class WindowCore(Core):
-    """Decides about all windows while this daemon has the duty.
+    """Decides about all windows while this daemon holds the duty.
 
     Args:
         window_s: Length of a window.
-        late_s: Time after a window's end by which its report is due.
+        report_deadline_s: Time after a window's end by which its report is due.
     """
 
-    def __init__(self, window_s: float, late_s: float):
+    def __init__(self, window_s: float, report_deadline_s: float):
         self.window_s = window_s
-        self.late_s = late_s
-        self._next: int | None = None
+        self.report_deadline_s = report_deadline_s
+        self._next_window: int | None = None
         self._open: dict[int, _Window] = {}
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """Ticks come several times a second; there is no other wake-up."""
+        """None: the controller sends periodic ticks."""
         return None
 
     @property
     def open_windows(self) -> tuple[int, ...]:
-        """Windows that ended and aren't reported."""
+        """Numbers of the windows that ended and aren't reported yet."""
         return tuple(sorted(self._open))
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one window event; returns what to do."""
+        """Processes an event; returns `SealWindow` and `ReportWindow`."""
         match event:
             case WindowTick():
                 return self._on_tick(event, now_s)
             case WindowSealed():
                 return self._on_sealed(event)
             case SealFailed():
-                self._pause(event.window, now_s)
+                self._schedule_retry(event.window, now_s)
             case WindowReported():
                 self._on_reported(event, now_s)
             case _:
@@ -133,12 +135,12 @@
         return []
 
     def _on_tick(self, event: WindowTick, now_s: float) -> list[object]:
-        present = int(now_s // self.window_s)
-        if self._next is None:
-            self._next = present - _TAKEN_UP
-        while self._next < present:
-            self._open[self._next] = _Window()
-            self._next += 1
+        current_window = int(now_s // self.window_s)
+        if self._next_window is None:
+            self._next_window = current_window - _INITIAL_WINDOWS
+        while self._next_window < current_window:
+            self._open[self._next_window] = _Window()
+            self._next_window += 1
         actions: list[object] = []
         for number, window in sorted(self._open.items()):
             if window.is_busy or now_s < window.retry_at_s:
@@ -153,10 +155,13 @@
 
     def _may_seal(self, window: int, tick: WindowTick, now_s: float) -> bool:
         end_s = (window + 1) * self.window_s
-        if now_s < end_s + _SETTLE_S:
+        if now_s < end_s + _SEAL_DELAY_S:
             return False
         is_complete = window < tick.complete_before
-        return is_complete or now_s >= end_s + _WAIT_SHARE * self.late_s
+        return (
+            is_complete
+            or now_s >= end_s + _MAX_WAIT_RATIO * self.report_deadline_s
+        )
 
     def _on_sealed(self, event: WindowSealed) -> list[object]:
         window = self._open.get(event.window)
@@ -169,10 +174,10 @@
         if event.is_done:
             self._open.pop(event.window, None)
             return
-        self._pause(event.window, now_s)
+        self._schedule_retry(event.window, now_s)
 
-    def _pause(self, number: int, now_s: float) -> None:
+    def _schedule_retry(self, number: int, now_s: float) -> None:
         window = self._open.get(number)
         if window is not None:
             window.is_busy = False
-            window.retry_at_s = now_s + _RETRY_S
+            window.retry_at_s = now_s + _RETRY_DELAY_S
--- a/daisyhub/billing/tests/test_proof_windows.py
+++ b/daisyhub/billing/tests/test_proof_windows.py
@@ -1,7 +1,8 @@
-"""Proof: whatever reports a window reports the same figures.
+"""Property tests: all reports of a usage window have the same counts.
 
-Two daemons have the duty one after the other and at one time; their books
-differ. Faults: answers lost, seals that land late, failed calls, restarts.
+Two daemons hold the duty one after the other and at the same time, with
+different counts. Faults: lost responses, seals that are created late, failed
+calls, restarts.
 """
 
 import unittest
@@ -28,115 +29,123 @@
 from daisyhub.testing.proofs import find_failure, run_proof
 
 WINDOW_S = 5.0
-LATE_S = 10.0
+REPORT_DEADLINE_S = 10.0
 DAEMONS = (0, 1)
 
 
 class WindowMachine(RuleBasedStateMachine):
-    """Two holders, one store of seals, and the platform's record."""
+    """Two holders, one store of seals, and the reports at the platform."""
 
     core_class = WindowCore
 
     @initialize()
     def start(self):
         self.now_s = 1000.0
-        self.cores = [self.core_class(WINDOW_S, LATE_S) for _ in DAEMONS]
-        self.todo = {n: [] for n in DAEMONS}
+        self.cores = [
+            self.core_class(WINDOW_S, REPORT_DEADLINE_S) for _ in DAEMONS
+        ]
+        self.pending_actions = {n: [] for n in DAEMONS}
         self.seals = {}
-        self.late = []
+        self.delayed_seals = []
         self.reported = {}
-        self.since = dict.fromkeys(DAEMONS, self.present())
+        self.started_window = dict.fromkeys(DAEMONS, self.current_window())
 
-    def present(self):
+    def current_window(self):
         return int(self.now_s // WINDOW_S)
 
     def feed(self, number, event):
-        self.todo[number] += self.cores[number].handle(event, self.now_s)
+        self.pending_actions[number] += self.cores[number].handle(
+            event, self.now_s
+        )
 
-    @rule(seconds=st.sampled_from([0.5, 2.0, 6.0]), complete=st.booleans())
-    def pass_time(self, seconds, complete):
+    @rule(seconds=st.sampled_from([0.5, 2.0, 6.0]), is_complete=st.booleans())
+    def pass_time(self, seconds, is_complete):
         self.now_s += seconds
-        before = int(self.now_s // WINDOW_S) if complete else 0
+        before = int(self.now_s // WINDOW_S) if is_complete else 0
         for number in DAEMONS:
             self.feed(number, WindowTick(before))
 
     @rule(
         number=st.sampled_from(DAEMONS),
-        fate=st.sampled_from(["good", "good", "lost", "late", "fail"]),
+        result=st.sampled_from(["good", "good", "lost", "late", "fail"]),
     )
-    def act(self, number, fate):
-        if not self.todo[number]:
+    def act(self, number, result):
+        if not self.pending_actions[number]:
             return
-        action = self.todo[number].pop(0)
+        action = self.pending_actions[number].pop(0)
         if isinstance(action, SealWindow):
-            self.seal(number, action.window, fate)
+            self.seal(number, action.window, result)
         else:
-            self.report(number, action, fate)
+            self.report(number, action, result)
 
-    def seal(self, number, window, fate):
+    def seal(self, number, window, result):
         counts = {"account": 10 * number + window % 7}
-        if fate == "late":
-            self.late.append((window, counts))
-        if fate in ("good", "lost"):
+        if result == "late":
+            self.delayed_seals.append((window, counts))
+        if result in ("good", "lost"):
             self.seals.setdefault(window, counts)
-        if fate == "good":
+        if result == "good":
             self.feed(number, WindowSealed(window, self.seals[window]))
         else:
             self.feed(number, SealFailed(window))
 
-    def report(self, number, action, fate):
+    def report(self, number, action, result):
         assert isinstance(action, ReportWindow)
-        if fate != "fail":
+        if result != "fail":
             known = self.reported.setdefault(action.window, action.counts)
-            assert known == action.counts, f"window {action.window} twice"
-        is_done = fate == "good"
+            assert known == action.counts, (
+                f"window {action.window} was reported with other counts"
+            )
+        is_done = result == "good"
         self.feed(number, WindowReported(action.window, is_done))
 
     @rule()
-    def late_seal_lands(self):
-        if self.late:
-            window, counts = self.late.pop(0)
+    def store_delayed_seal(self):
+        if self.delayed_seals:
+            window, counts = self.delayed_seals.pop(0)
             self.seals.setdefault(window, counts)
 
     @rule(number=st.sampled_from(DAEMONS))
     def restart(self, number):
-        self.cores[number] = self.core_class(WINDOW_S, LATE_S)
-        self.todo[number] = []
-        self.since[number] = self.present()
+        self.cores[number] = self.core_class(WINDOW_S, REPORT_DEADLINE_S)
+        self.pending_actions[number] = []
+        self.started_window[number] = self.current_window()
 
     def teardown(self):
-        """Once faults end, all windows since a daemon's start are."""
+        """Once faults end, all windows since a daemon's start are reported."""
         for _ in range(60):
             self.pass_time(0.5, True)
             for number in DAEMONS:
                 for _ in range(4):
                     self.act(number, "good")
-        wanted = range(min(self.since.values()), self.present() - 1)
-        missing = set(wanted) - set(self.reported)
+        expected = range(
+            min(self.started_window.values()), self.current_window() - 1
+        )
+        missing = set(expected) - set(self.reported)
         assert not missing, f"windows {missing} were never reported"
 
 
-class ReportsUnsealed(WindowCore):
-    """Reports what it counted itself while the seal is in doubt."""
+class ReportsUnsealedCounts(WindowCore):
+    """Reports its own counts after a failure, without a seal."""
 
-    def _pause(self, number, now_s):
-        super()._pause(number, now_s)
+    def _schedule_retry(self, number, now_s):
+        super()._schedule_retry(number, now_s)
         self._open[number].counts = {"account": -id(self) % 97}
 
 
-class GivesUp(WindowCore):
+class NeverRetries(WindowCore):
     """Never seals a window again after a failure."""
 
-    def _pause(self, number, now_s):
+    def _schedule_retry(self, number, now_s):
         self._open.pop(number, None)
 
 
 class WindowProof(unittest.TestCase):
-    def test_a_window_has_one_set_of_figures(self):
+    def test_reports_of_a_window_have_the_same_counts(self):
         run_proof(WindowMachine, examples=200)
 
-    def test_broken_cores_are_caught(self):
-        for core in (ReportsUnsealed, GivesUp):
+    def test_broken_cores_are_detected(self):
+        for core in (ReportsUnsealedCounts, NeverRetries):
             machine = type(
                 core.__name__, (WindowMachine,), {"core_class": core}
             )
@@ -145,8 +154,8 @@
 
 
 class WindowCoreTest(unittest.TestCase):
-    def test_a_silent_daemon_is_waited_for_but_not_past_the_report(self):
-        core = WindowCore(WINDOW_S, LATE_S)
+    def test_wait_for_a_silent_daemon_ends_before_the_report_is_due(self):
+        core = WindowCore(WINDOW_S, REPORT_DEADLINE_S)
         core.handle(WindowTick(0), 1000.0)
         self.assertFalse(core.handle(WindowTick(200), 1005.5)[3:])
         actions = core.handle(WindowTick(200), 1009.0)
@@ -155,12 +164,12 @@
         self.assertIn(SealWindow(200), actions)
 
 
-class MeterTest(unittest.TestCase):
+class UsageMeterTest(unittest.TestCase):
     def setUp(self):
         self.now_s = 1001.0
         self.meter = UsageMeter(WINDOW_S, lambda: self.now_s)
 
-    def test_a_request_counts_in_the_window_in_which_it_was_sent(self):
+    def test_request_counts_in_the_window_in_which_it_was_sent(self):
         token = self.meter.open("a")
         self.now_s = 1006.0
         self.assertEqual(self.meter.closed_before(), 200)
@@ -168,23 +177,23 @@
         self.assertEqual(self.meter.closed_before(), 201)
         self.assertEqual(self.meter.snapshot(), (WindowCounts(200, {"a": 1}),))
 
-    def test_what_did_not_run_and_what_has_no_account_is_not_counted(self):
+    def test_requests_not_run_or_without_account_are_not_counted(self):
         self.meter.close(self.meter.open("a"), has_run=False)
         self.meter.close(self.meter.open(""), has_run=True)
         self.assertEqual(self.meter.snapshot(), ())
 
 
-class BookTest(unittest.TestCase):
-    def test_starts_of_a_daemon_add_up_and_repeats_do_not(self):
-        book = UsageAggregator()
+class UsageAggregatorTest(unittest.TestCase):
+    def test_counts_of_incarnations_add_up_and_repeats_do_not(self):
+        aggregator = UsageAggregator()
         for _ in range(3):
-            book.update("d", 1, (WindowCounts(7, {"a": 2}),), 7)
-        book.update("d", 2, (WindowCounts(7, {"a": 1}),), 8)
-        self.assertEqual(book.total(7), {"a": 3})
-
-    def test_a_window_is_complete_once_every_live_daemon_closed_it(self):
-        book = UsageAggregator()
-        book.note("d", 2, (), 8)
-        self.assertTrue(book.is_complete(7, {"d": 2}))
-        self.assertFalse(book.is_complete(8, {"d": 2}))
-        self.assertFalse(book.is_complete(7, {"d": 2, "e": 1}))
+            aggregator.update("d", 1, (WindowCounts(7, {"a": 2}),), 7)
+        aggregator.update("d", 2, (WindowCounts(7, {"a": 1}),), 8)
+        self.assertEqual(aggregator.total(7), {"a": 3})
+
+    def test_window_is_complete_once_every_live_daemon_closed_it(self):
+        aggregator = UsageAggregator()
+        aggregator.update("d", 2, (), 8)
+        self.assertTrue(aggregator.is_complete(7, {"d": 2}))
+        self.assertFalse(aggregator.is_complete(8, {"d": 2}))
+        self.assertFalse(aggregator.is_complete(7, {"d": 2, "e": 1}))
--- a/daisyhub/duties/tests/test_proof_duties.py
+++ b/daisyhub/duties/tests/test_proof_duties.py
@@ -213,7 +213,7 @@
     def test_one_holder_at_a_time_without_fencing_checks(self):
         run_proof(UncheckedMachine, examples=200)
 
-    def test_broken_cores_are_caught(self):
+    def test_broken_cores_are_detected(self):
         for core in (ReusesFencingNumber, ReacquiresImmediately):
             with self.subTest(core.__name__):
                 self.assertIsNotNone(find_failure(machine_for(core)))
