--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,4 +1,4 @@
-"""New weight versions, brought to engines in stages."""
+"""Loading of new weight versions by engines, a few at a time."""
 
 from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._controller import VersionReader, WeightLoadController
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -1,4 +1,4 @@
-"""Brings new weights to the engines while this daemon has the duty."""
+"""Has engines load new weights while this daemon holds the duty."""
 
 import abc
 import time
@@ -33,42 +33,46 @@
 
 __all__ = ["VersionReader", "WeightLoadController"]
 
-# Seconds between looks at the engines.
-_TICK_S = 0.1
-# Seconds between lists of the versions beside their watch; a version that is
-# seen later keeps a trainer's next step waiting.
-_VERIFY_S = 1.5
+# Interval between observations of the engines.
+_TICK_INTERVAL_S = 0.1
+# Interval between lists that verify the watch of the versions. A version that
+# is received late delays the trainer's next step.
+_VERIFY_INTERVAL_S = 1.5
 
 
 class VersionReader(abc.ABC):
-    """Reads the versions that trainers name in the store."""
+    """Decodes the versions that trainers publish in the store.
+
+    Attributes:
+        kind: Kind of the stored objects.
+    """
 
     kind: str
 
     @abc.abstractmethod
     def read(self, found: StoredObject) -> VersionPublished:
-        """Returns what an object names.
+        """Returns the version that an object publishes.
 
         Raises:
-            ValueError: It can't be read.
+            ValueError: The object is invalid.
         """
 
 
 class WeightLoadController(DutyBoundController):
-    """Orders engines to load what trainers name.
+    """Orders engines to load the versions that trainers publish.
 
     Args:
-        duty: Tells whether this daemon is in charge.
-        holder: Machine name that orders carry.
-        store: Where versions are named.
-        reader: Reads them.
-        port: Talks to engines.
+        duty: The duty to order loads.
+        holder: Name of this machine, sent with each order.
+        store: Stores the published versions.
+        reader: Decodes them.
+        client: Calls engines.
         directory: Endpoints.
-        manifests: Tells which routes want samples of a single version.
-        open_run_count: Tells how many runs are open at an engine.
-        demand: Tells the work asked for by model.
-        loads_share: Share of a model's engines that load at one time.
-        log: Where decisions are noted.
+        manifests: Routes; they may require samples of a single version.
+        open_run_count: Returns the number of open runs at an engine.
+        demand: Returns the requested work by model.
+        loads_share: Fraction of a pool's engines that load concurrently.
+        log: Logs versions, orders and assignments.
     """
 
     name = "weight_stages"
@@ -79,7 +83,7 @@
         holder: str,
         store: ObjectStore,
         reader: VersionReader,
-        port: EngineClient,
+        client: EngineClient,
         directory: EndpointDirectory,
         manifests: ManifestController,
         open_run_count: Callable[[str], int],
@@ -91,16 +95,16 @@
         self._holder = holder
         self._store = store
         self._reader = reader
-        self._port = port
+        self._client = client
         self._directory = directory
         self._manifests = manifests
         self._open_run_count = open_run_count
-        self._demand = demand
+        self._get_demand = demand
         self._loads_share = loads_share
         self._log = log
         self._cores: dict[str, WeightLoadCore] = {}
-        self._named: dict[str, VersionPublished] = {}
-        self._serves: dict[str, str] = {}
+        self._published: dict[str, VersionPublished] = {}
+        self._model_by_engine: dict[str, str] = {}
         self._tasks = None
 
     def is_loading(self, endpoint_id: str) -> bool:
@@ -108,36 +112,36 @@
         return any(c.is_loading(endpoint_id) for c in self._cores.values())
 
     def status(self) -> dict[str, object]:
-        """Tells the newest version of each model, and who serves which."""
+        """Returns the last published versions and the models by engine."""
         return {
-            "named": {n.model: n.version for n in self._named.values()},
-            "serves": dict(self._serves),
+            "named": {n.model: n.version for n in self._published.values()},
+            "serves": dict(self._model_by_engine),
         }
 
     async def hold(self) -> None:
-        """Works until the duty is lost; see `DutyBoundController.hold`."""
+        """Runs until the duty is lost; see `DutyBoundController.hold`."""
         watcher = KindWatcher(
-            self._store, self._reader.kind, self._log, self._on_version
+            self._store, self._reader.kind, self._log, self._on_version_object
         )
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
                 tasks.start_soon(watcher.run)
-                tasks.start_soon(self.verify, watcher, _VERIFY_S)
+                tasks.start_soon(self.verify, watcher, _VERIFY_INTERVAL_S)
                 while self._duty.fencing:
-                    self._look()
-                    await anyio.sleep(_TICK_S)
+                    self._observe_engines()
+                    await anyio.sleep(_TICK_INTERVAL_S)
                 tasks.cancel_scope.cancel()
         finally:
             self._tasks = None
             self._cores.clear()
-            self._named.clear()
+            self._published.clear()
 
-    def _on_version(self, found: StoredObject) -> None:
+    def _on_version_object(self, found: StoredObject) -> None:
         if found.is_deleted:
             return
         try:
-            named = self._reader.read(found)
+            published = self._reader.read(found)
         except ValueError as exc:
             self._log.note(
                 "version_unreadable", name=found.name, reason=str(exc)
@@ -145,17 +149,17 @@
             return
         self._log.note(
             "version_named",
-            model=named.model,
-            version=named.version,
+            model=published.model,
+            version=published.version,
             revision=found.revision,
         )
-        self._named[named.model] = named
+        self._published[published.model] = published
         for core in self._cores.values():
-            self._handle(core, named)
-        self._look()
+            self._handle(core, published)
+        self._observe_engines()
 
-    def _look(self) -> None:
-        """Shows each pool's engines to its core."""
+    def _observe_engines(self) -> None:
+        """Sends the observed engines of each pool to the pool's core."""
         pools: dict[str, list[Endpoint]] = {}
         for endpoint in self._directory.all():
             if endpoint.entry.versions and not endpoint.entry.is_leaving:
@@ -164,55 +168,65 @@
             core = self._cores.get(pool)
             if core is None:
                 core = self._cores[pool] = WeightLoadCore(self._loads_share)
-                for named in self._named.values():
-                    self._handle(core, named)
-            self._share(engines)
-            sights = tuple(self._sight(endpoint) for endpoint in engines)
-            self._handle(core, EnginesObserved(sights, self._mode()))
-
-    def _share(self, engines: list[Endpoint]) -> None:
-        """Decides which engine of a pool serves which model."""
+                for published in self._published.values():
+                    self._handle(core, published)
+            self._assign_models(engines)
+            observations = tuple(
+                self._observe(endpoint) for endpoint in engines
+            )
+            self._handle(
+                core, EnginesObserved(observations, self._current_mode())
+            )
+
+    def _assign_models(self, engines: list[Endpoint]) -> None:
+        """Updates which engine of a pool serves which model."""
         models = {m for e in engines for m in e.entry.versions}
-        demand = self._demand()
+        demand = self._get_demand()
         ids = [endpoint.entry.endpoint_id for endpoint in engines]
-        shared = assign_engines(
+        assigned = assign_engines(
             ids,
             {model: demand.get(model, 1.0) for model in models},
-            self._serves,
+            self._model_by_engine,
         )
-        changed = {e: m for e, m in shared.items() if self._serves.get(e) != m}
+        changed = {
+            e: m
+            for e, m in assigned.items()
+            if self._model_by_engine.get(e) != m
+        }
         if changed:
             self._log.note("engines_shared", changed=changed, demand=demand)
         for endpoint_id in ids:
-            self._serves.pop(endpoint_id, None)
-        self._serves.update(shared)
+            self._model_by_engine.pop(endpoint_id, None)
+        self._model_by_engine.update(assigned)
 
-    def _mode(self) -> LoadMode:
+    def _current_mode(self) -> LoadMode:
         manifest = self._manifests.manifest
         is_single = manifest is not None and any(
             route.is_single_version for route in manifest.routes
         )
         return LoadMode.FINISH if is_single else LoadMode.CONTINUE
 
-    def _sight(self, endpoint: Endpoint) -> EngineObservation:
+    def _observe(self, endpoint: Endpoint) -> EngineObservation:
         entry = endpoint.entry
         return EngineObservation(
             endpoint_id=entry.endpoint_id,
             incarnation=entry.incarnation,
             versions=entry.versions,
             runs=self._open_run_count(entry.endpoint_id),
-            model=self._serves.get(entry.endpoint_id, ""),
+            model=self._model_by_engine.get(entry.endpoint_id, ""),
         )
 
     def _handle(self, core: WeightLoadCore, event: object) -> None:
         for action in core.handle(event, time.monotonic()):
             if isinstance(action, SendOrder):
-                self._tasks.start_soon(self._order, core, action)
+                self._tasks.start_soon(self._send_order, core, action)
             elif isinstance(action, FetchReport):
-                self._tasks.start_soon(self._report, core, action)
+                self._tasks.start_soon(self._fetch_report, core, action)
 
-    async def _order(self, core: WeightLoadCore, action: SendOrder) -> None:
-        """Sends an order; the number is read as the last step before."""
+    async def _send_order(
+        self, core: WeightLoadCore, action: SendOrder
+    ) -> None:
+        """Sends an order with the fencing number read just before."""
         endpoint = self._directory.get(action.endpoint_id)
         fencing = self._duty.fencing
         if endpoint is None or not fencing:
@@ -227,7 +241,7 @@
                 fencing=fencing,
                 orders_taken=action.orders_taken,
             )
-            outcome = await self._port.order(endpoint.entry.address, order)
+            outcome = await self._client.order(endpoint.entry.address, order)
         self._log.note(
             "order",
             endpoint=action.endpoint_id,
@@ -238,14 +252,18 @@
             outcome=outcome.value,
         )
         if outcome is OrderOutcome.STALE_FENCING:
-            self._duty.step_down(f"{action.endpoint_id} saw a higher number")
+            self._duty.step_down(
+                f"{action.endpoint_id} has seen a higher fencing number"
+            )
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
-    async def _report(self, core: WeightLoadCore, action: FetchReport) -> None:
+    async def _fetch_report(
+        self, core: WeightLoadCore, action: FetchReport
+    ) -> None:
         endpoint = self._directory.get(action.endpoint_id)
         report = None
         if endpoint is not None:
-            report = await self._port.report(endpoint.entry.address)
+            report = await self._client.report(endpoint.entry.address)
         if report is None:
             self._handle(core, ReportFailed(action.endpoint_id))
             return
--- a/daisyhub/weights/_engine_client.py
+++ b/daisyhub/weights/_engine_client.py
@@ -1,4 +1,4 @@
-"""What engines are asked and told, apart from how it is spelled."""
+"""Interface of engine clients, independent of the wire format."""
 
 import abc
 import dataclasses
@@ -16,14 +16,30 @@
 
 
 class LoadMode(enum.Enum):
-    """What becomes of requests that run when new weights come."""
+    """How running requests are treated when new weights are loaded.
+
+    Attributes:
+        FINISH: They finish with the old weights before the load.
+        CONTINUE: They continue with the new weights after the load.
+    """
 
     FINISH = "finish"
     CONTINUE = "continue"
 
 
 class OrderOutcome(enum.Enum):
-    """What an engine said to an order."""
+    """Outcome of an order.
+
+    Attributes:
+        ACCEPTED: The engine starts to load the version.
+        ALREADY_LOADED: The engine has the version already.
+        CONFLICT: The engine has accepted another number of orders than
+            expected.
+        STALE_FENCING: The engine has seen a higher fencing number.
+        OTHER_ENDPOINT: Another endpoint listens at the address.
+        REFUSED: The engine rejected the order, or it wasn't sent.
+        UNKNOWN: No response; the engine may have accepted the order.
+    """
 
     ACCEPTED = "accepted"
     ALREADY_LOADED = "holds"
@@ -39,13 +55,14 @@
     """An order to load a version.
 
     Attributes:
-        endpoint_id: The engine that must carry it out.
+        endpoint_id: The engine that must perform it.
         model: The model.
-        version: Its version.
-        mode: What becomes of open requests.
-        holder: Machine that gives the order.
-        fencing: Its number.
-        orders_taken: How many orders the engine must have taken before.
+        version: Version of its weights.
+        mode: How running requests are treated.
+        holder: Name of the machine that sends the order.
+        fencing: Fencing number of the duty.
+        orders_taken: Number of orders that the engine must have accepted
+            since its start; otherwise it rejects this one.
     """
 
     endpoint_id: str
@@ -59,14 +76,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EngineReport:
-    """What an engine tells of itself, some hundred milliseconds late.
+    """An engine's report of its state, several hundred milliseconds old.
 
     Attributes:
-        versions: Weight version by model.
-        is_busy: Whether it carries out an order.
-        orders_taken: Orders accepted since its start.
-        waiting: Requests that wait there.
-        running: Requests that run there.
+        versions: Version of the weights by model.
+        is_busy: Whether it is performing an order.
+        orders_taken: Number of orders accepted since its start.
+        waiting: Number of queued requests.
+        running: Number of running requests.
     """
 
     versions: dict[str, int]
@@ -77,14 +94,14 @@
 
 
 class EngineClient(abc.ABC):
-    """Talks to engines."""
+    """Sends orders to engines and fetches their reports."""
 
     @abc.abstractmethod
     async def order(
         self, address: Address, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order; a lost answer is `UNKNOWN`."""
+        """Sends an order; returns `UNKNOWN` if there is no response."""
 
     @abc.abstractmethod
     async def report(self, address: Address) -> EngineReport | None:
-        """Returns an engine's report, or None if none came."""
+        """Returns an engine's report, or None if the call failed."""
--- a/daisyhub/weights/_load_core.py
+++ b/daisyhub/weights/_load_core.py
@@ -1,12 +1,13 @@
 """Decides which engine loads which version of which model, and when.
 
-Answers the load of trainers that name a version every few seconds and whose
-next step needs it: a part of a pool's engines loads at one time, those with
-the fewest runs first, so that the others go on serving the open step.
+Trainers publish a version every few seconds and need it for their next step.
+Only a fraction of a pool's engines loads at one time, those with the fewest
+runs first, so that the others continue to serve the open step.
 
-An order whose answer was lost is followed up by the engine's report. It is
-sent again only with the same count of orders that the engine must have taken,
-so that of two copies one is refused, however late it arrives.
+If the response to an order is lost, the order is in doubt until the engine's
+report shows whether it was accepted. It is sent again only with the same
+expected number of accepted orders, so that the engine rejects one of the two
+copies, however late it arrives.
 
 Times are seconds on a monotonic clock.
 """
@@ -30,21 +31,21 @@
     "VersionPublished",
 ]
 
-# Seconds from an accepted order until its load may be over, and between looks
-# at the report after that; a load takes about a second.
-_FIRST_LOOK_S = 0.8
-_LOOK_S = 0.25
-# Seconds after which a load that isn't over no longer keeps others waiting.
-_LONGEST_LOAD_S = 6.0
-# Seconds without effect after which an order in doubt is sent again.
-_DOUBT_S = 0.6
-# Seconds before an engine that refused or failed is tried again.
-_RETRY_S = 0.5
+# Delay from an accepted order to the first report, and interval between further
+# reports. A load takes about a second.
+_FIRST_REPORT_DELAY_S = 0.8
+_REPORT_INTERVAL_S = 0.25
+# Time after which a load that hasn't ended no longer delays other engines.
+_LOAD_TIMEOUT_S = 6.0
+# Time without effect after which an order in doubt may be sent again.
+_DOUBT_TIMEOUT_S = 0.6
+# Delay before an engine that refused an order or failed gets another.
+_RETRY_DELAY_S = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionPublished:
-    """A trainer named a version."""
+    """A trainer published a version of a model's weights."""
 
     model: str
     version: int
@@ -52,13 +53,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineObservation:
-    """An engine as seen now.
+    """The observed state of one engine.
 
     Attributes:
         endpoint_id: Its id.
-        incarnation: Its start; a restart forgets orders.
-        versions: Weight version by model.
-        runs: Runs open there.
+        incarnation: Its incarnation; a restart resets its count of orders.
+        versions: Version of the weights by model.
+        runs: Number of open runs.
         model: The model that it serves; empty if it serves all.
     """
 
@@ -71,11 +72,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesObserved:
-    """The engines of a pool that may be ordered.
+    """The engines of a pool were observed.
 
     Attributes:
-        engines: What is seen of each.
-        mode: What becomes of open requests.
+        engines: All engines of the pool that may get orders.
+        mode: How running requests are treated during a load.
     """
 
     engines: tuple[EngineObservation, ...]
@@ -84,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderAnswered:
-    """An order was answered, or its answer was lost."""
+    """The call that sends an order ended, with or without a response."""
 
     endpoint_id: str
     outcome: OrderOutcome
@@ -92,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportReceived:
-    """An engine reported."""
+    """A report was received from an engine."""
 
     endpoint_id: str
     report: EngineReport
@@ -100,14 +101,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportFailed:
-    """An engine did not report."""
+    """A report could not be fetched."""
 
     endpoint_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Action: order a version of a model."""
+    """Action: order an engine to load a version of a model."""
 
     endpoint_id: str
     model: str
@@ -118,7 +119,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchReport:
-    """Action: read an engine's report."""
+    """Action: fetch an engine's report."""
 
     endpoint_id: str
 
@@ -132,53 +133,53 @@
 
 @dataclasses.dataclass(slots=True)
 class _Engine:
-    """One engine.
+    """State of one engine.
 
     Attributes:
-        sight: What was last seen of it.
-        phase: How far the last order got.
-        since_s: Since when it is in that phase.
-        look_at_s: When to read its report.
-        retry_at_s: When it may be ordered again.
-        orders_taken: Orders that the next one must find taken; None until a
-            report tells.
-        model: Model that was last ordered.
-        target: Its version.
-        is_asked: Whether a report is on its way.
+        observation: Its last observed state.
+        phase: Phase of the last order.
+        phase_since_s: When the phase began.
+        report_due_s: When to fetch its report.
+        retry_at_s: When it may get another order.
+        orders_taken: Number of orders that it has accepted, sent with the
+            next order; None until it is reported.
+        model: Model of the last order.
+        target_version: Version of the last order.
+        is_report_pending: Whether its report is being fetched.
     """
 
-    sight: EngineObservation
+    observation: EngineObservation
     phase: _Phase = _Phase.IDLE
-    since_s: float = -math.inf
-    look_at_s: float = math.inf
+    phase_since_s: float = -math.inf
+    report_due_s: float = math.inf
     retry_at_s: float = -math.inf
     orders_taken: int | None = None
     model: str = ""
-    target: int = 0
-    is_asked: bool = False
+    target_version: int = 0
+    is_report_pending: bool = False
 
 
 class WeightLoadCore(Core):
-    """Decides about one pool's engines.
+    """Decides about the engines of one pool.
 
     Args:
-        loads_share: Share of the engines that may load at one time.
+        loads_share: Fraction of the engines that may load concurrently.
     """
 
     def __init__(self, loads_share: float):
         self.loads_share = loads_share
-        self._named: dict[str, int] = {}
+        self._newest_versions: dict[str, int] = {}
         self._mode = LoadMode.CONTINUE
         self._engines: dict[str, _Engine] = {}
 
     @property
-    def named(self) -> dict[str, int]:
-        """The newest version that was named, by model."""
-        return self._named
+    def newest_versions(self) -> dict[str, int]:
+        """The newest published version by model."""
+        return self._newest_versions
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """Sights come several times a second; there is no other wake-up."""
+        """None: the controller sends periodic observations."""
         return None
 
     def is_loading(self, endpoint_id: str) -> bool:
@@ -187,13 +188,13 @@
         return engine is not None and engine.phase is not _Phase.IDLE
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one stage event; returns `SendOrder` and `FetchReport`."""
+        """Processes an event; returns `SendOrder` and `FetchReport`."""
         match event:
             case VersionPublished():
-                known = self._named.get(event.model, 0)
-                self._named[event.model] = max(known, event.version)
+                known = self._newest_versions.get(event.model, 0)
+                self._newest_versions[event.model] = max(known, event.version)
             case EnginesObserved():
-                self._on_sights(event)
+                self._on_observed(event)
             case OrderAnswered():
                 self._on_answered(event, now_s)
             case ReportReceived():
@@ -201,25 +202,30 @@
             case ReportFailed():
                 self._on_report_failed(event, now_s)
             case _:
-                raise TypeError(f"not a stage event: {event!r}")
-        return self._look(now_s) + self._order(now_s)
+                raise TypeError(f"not a weight load event: {event!r}")
+        return self._fetch_due_reports(now_s) + self._order_loads(now_s)
 
-    def _on_sights(self, event: EnginesObserved) -> None:
+    def _on_observed(self, event: EnginesObserved) -> None:
         self._mode = event.mode
-        seen = {sight.endpoint_id: sight for sight in event.engines}
-        for endpoint_id in [e for e in self._engines if e not in seen]:
+        observed_by_id = {
+            observation.endpoint_id: observation
+            for observation in event.engines
+        }
+        for endpoint_id in [
+            e for e in self._engines if e not in observed_by_id
+        ]:
             del self._engines[endpoint_id]
-        for endpoint_id, sight in seen.items():
+        for endpoint_id, observation in observed_by_id.items():
             known = self._engines.get(endpoint_id)
             is_same = (
                 known is not None
-                and known.sight.incarnation == sight.incarnation
+                and known.observation.incarnation == observation.incarnation
             )
             if not is_same:
-                known = self._engines[endpoint_id] = _Engine(sight)
-            known.sight = sight
-            if known.phase is _Phase.LOADING and _has_target(known):
-                _rest(known)
+                known = self._engines[endpoint_id] = _Engine(observation)
+            known.observation = observation
+            if known.phase is _Phase.LOADING and _has_target_version(known):
+                _end_order(known)
 
     def _on_answered(self, event: OrderAnswered, now_s: float) -> None:
         engine = self._engines.get(event.endpoint_id)
@@ -228,134 +234,144 @@
         match event.outcome:
             case OrderOutcome.ACCEPTED:
                 engine.orders_taken = (engine.orders_taken or 0) + 1
-                self._load(engine, now_s)
+                self._start_load(engine, now_s)
             case OrderOutcome.ALREADY_LOADED:
-                _rest(engine)
-                held = {**engine.sight.versions, engine.model: engine.target}
-                engine.sight = dataclasses.replace(engine.sight, versions=held)
+                _end_order(engine)
+                versions = {
+                    **engine.observation.versions,
+                    engine.model: engine.target_version,
+                }
+                engine.observation = dataclasses.replace(
+                    engine.observation, versions=versions
+                )
             case OrderOutcome.UNKNOWN | OrderOutcome.CONFLICT:
                 engine.phase = _Phase.DOUBTFUL
-                engine.since_s = now_s
-                engine.look_at_s = now_s
+                engine.phase_since_s = now_s
+                engine.report_due_s = now_s
             case _:
-                _rest(engine)
-                engine.retry_at_s = now_s + _RETRY_S
+                _end_order(engine)
+                engine.retry_at_s = now_s + _RETRY_DELAY_S
 
-    def _load(self, engine: _Engine, now_s: float) -> None:
+    def _start_load(self, engine: _Engine, now_s: float) -> None:
         engine.phase = _Phase.LOADING
-        engine.since_s = now_s
-        engine.look_at_s = now_s + _FIRST_LOOK_S
+        engine.phase_since_s = now_s
+        engine.report_due_s = now_s + _FIRST_REPORT_DELAY_S
 
     def _on_report(self, event: ReportReceived, now_s: float) -> None:
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return
-        engine.is_asked = False
-        engine.look_at_s = now_s + _LOOK_S
+        engine.is_report_pending = False
+        engine.report_due_s = now_s + _REPORT_INTERVAL_S
         report = event.report
         known = engine.orders_taken or 0
         version = report.versions.get(engine.model, 0)
-        if version >= engine.target and not report.is_busy:
+        if version >= engine.target_version and not report.is_busy:
             engine.orders_taken = max(known, report.orders_taken)
-            engine.sight = dataclasses.replace(
-                engine.sight, versions=report.versions
+            engine.observation = dataclasses.replace(
+                engine.observation, versions=report.versions
             )
-            _rest(engine)
+            _end_order(engine)
             return
         if engine.orders_taken is None:
             engine.orders_taken = report.orders_taken
         if engine.phase is _Phase.DOUBTFUL:
-            self._settle(engine, report, now_s)
+            self._resolve_doubt(engine, report, now_s)
         elif engine.phase is _Phase.LOADING:
-            self._on_loading(engine, report, now_s)
+            self._check_load_timeout(engine, report, now_s)
 
-    def _settle(
+    def _resolve_doubt(
         self, engine: _Engine, report: EngineReport, now_s: float
     ) -> None:
-        """Finds out whether an order in doubt was accepted."""
+        """Determines from a report whether an order in doubt was accepted."""
         if report.is_busy or report.orders_taken > engine.orders_taken:
             engine.orders_taken = report.orders_taken
-            self._load(engine, now_s)
-        elif now_s - engine.since_s >= _DOUBT_S:
-            # The copy that may still come expects the same count of orders.
-            _rest(engine)
+            self._start_load(engine, now_s)
+        elif now_s - engine.phase_since_s >= _DOUBT_TIMEOUT_S:
+            # A delayed copy expects the same number of accepted orders, so the
+            # engine accepts only one of the two.
+            _end_order(engine)
 
-    def _on_loading(
+    def _check_load_timeout(
         self, engine: _Engine, report: EngineReport, now_s: float
     ) -> None:
-        """Gives up a load that takes too long."""
-        if now_s - engine.since_s <= _LONGEST_LOAD_S:
+        """Ends an order whose load exceeds the timeout."""
+        if now_s - engine.phase_since_s <= _LOAD_TIMEOUT_S:
             return
         engine.orders_taken = report.orders_taken
-        _rest(engine)
-        engine.retry_at_s = now_s + _RETRY_S
+        _end_order(engine)
+        engine.retry_at_s = now_s + _RETRY_DELAY_S
 
     def _on_report_failed(self, event: ReportFailed, now_s: float) -> None:
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return
-        engine.is_asked = False
-        engine.look_at_s = now_s + _LOOK_S
-        limit_s = _LONGEST_LOAD_S
+        engine.is_report_pending = False
+        engine.report_due_s = now_s + _REPORT_INTERVAL_S
+        limit_s = _LOAD_TIMEOUT_S
         if engine.phase is _Phase.DOUBTFUL:
-            limit_s = 2 * _DOUBT_S
-        if now_s - engine.since_s > limit_s:
-            _rest(engine)
-            engine.retry_at_s = now_s + _RETRY_S
+            limit_s = 2 * _DOUBT_TIMEOUT_S
+        if now_s - engine.phase_since_s > limit_s:
+            _end_order(engine)
+            engine.retry_at_s = now_s + _RETRY_DELAY_S
 
-    def _is_behind(self, engine: _Engine) -> bool:
+    def _needs_load(self, engine: _Engine) -> bool:
         is_idle = engine.phase is _Phase.IDLE
-        return is_idle and bool(self._missing(engine.sight))
-
-    def _missing(self, sight: EngineObservation) -> str:
-        """Returns the model whose weights are furthest behind, or empty."""
-        behind = {
-            model: version - sight.versions[model]
-            for model, version in self._named.items()
-            if sight.versions.get(model, version) < version
-            and sight.model in ("", model)
+        return is_idle and bool(self._most_outdated_model(engine.observation))
+
+    def _most_outdated_model(self, observation: EngineObservation) -> str:
+        """Returns the model that lags by the most versions, or empty."""
+        lags = {
+            model: version - observation.versions[model]
+            for model, version in self._newest_versions.items()
+            if observation.versions.get(model, version) < version
+            and observation.model in ("", model)
         }
-        return max(behind, key=lambda m: (behind[m], m), default="")
+        return max(lags, key=lambda m: (lags[m], m), default="")
 
-    def _look(self, now_s: float) -> list[object]:
-        """Asks the engines whose order may have taken effect."""
-        asks = []
+    def _fetch_due_reports(self, now_s: float) -> list[object]:
+        """Fetches due reports of engines with an open or unknown order."""
+        fetches = []
         for endpoint_id, engine in self._engines.items():
-            is_unknown = self._is_behind(engine) and engine.orders_taken is None
-            is_open = engine.phase in (_Phase.LOADING, _Phase.DOUBTFUL)
-            if not is_open and not is_unknown:
+            is_unknown = (
+                self._needs_load(engine) and engine.orders_taken is None
+            )
+            is_order_open = engine.phase in (_Phase.LOADING, _Phase.DOUBTFUL)
+            if not is_order_open and not is_unknown:
                 continue
-            if is_unknown and engine.look_at_s == math.inf:
-                engine.look_at_s = now_s
-            if engine.is_asked or now_s < engine.look_at_s:
+            if is_unknown and engine.report_due_s == math.inf:
+                engine.report_due_s = now_s
+            if engine.is_report_pending or now_s < engine.report_due_s:
                 continue
-            engine.is_asked = True
-            asks.append(FetchReport(endpoint_id))
-        return asks
+            engine.is_report_pending = True
+            fetches.append(FetchReport(endpoint_id))
+        return fetches
 
-    def _order(self, now_s: float) -> list[object]:
-        """Orders as many engines as may load now, idle ones first."""
+    def _order_loads(self, now_s: float) -> list[object]:
+        """Orders as many loads as allowed, engines with few runs first."""
         busy = sum(e.phase is not _Phase.IDLE for e in self._engines.values())
-        most = max(1, round(self.loads_share * len(self._engines)))
-        behind = [
+        max_loads = max(1, round(self.loads_share * len(self._engines)))
+        outdated = [
             engine
             for engine in self._engines.values()
-            if self._is_behind(engine)
+            if self._needs_load(engine)
             and engine.orders_taken is not None
             and now_s >= engine.retry_at_s
         ]
-        behind.sort(key=lambda e: (e.sight.runs, e.sight.endpoint_id))
+        outdated.sort(
+            key=lambda e: (e.observation.runs, e.observation.endpoint_id)
+        )
         orders = []
-        for engine in behind[: max(0, most - busy)]:
+        for engine in outdated[: max(0, max_loads - busy)]:
             engine.phase = _Phase.ORDERED
-            engine.since_s = now_s
-            engine.model = self._missing(engine.sight)
-            engine.target = self._named[engine.model]
+            engine.phase_since_s = now_s
+            engine.model = self._most_outdated_model(engine.observation)
+            engine.target_version = self._newest_versions[engine.model]
             orders.append(
                 SendOrder(
-                    engine.sight.endpoint_id,
+                    engine.observation.endpoint_id,
                     engine.model,
-                    engine.target,
+                    engine.target_version,
                     self._mode,
                     engine.orders_taken,
                 )
@@ -363,13 +379,16 @@
         return orders
 
 
-def _has_target(engine: _Engine) -> bool:
+def _has_target_version(engine: _Engine) -> bool:
     """Whether an engine has the version that it was last ordered to load."""
-    return engine.sight.versions.get(engine.model, 0) >= engine.target
+    return (
+        engine.observation.versions.get(engine.model, 0)
+        >= engine.target_version
+    )
 
 
-def _rest(engine: _Engine) -> None:
-    """Ends an order, whatever came of it."""
+def _end_order(engine: _Engine) -> None:
+    """Ends an order, whether or not it took effect."""
     engine.phase = _Phase.IDLE
-    engine.look_at_s = math.inf
-    engine.is_asked = False
+    engine.report_due_s = math.inf
+    engine.is_report_pending = False
