--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -82,9 +82,9 @@
 class _RestartingSlots(SlotTable):
     """Plain baseline: a lost sample takes its whole group with it."""
 
-    def fail(self, attempt: int, now_s: float) -> None:
-        place = self.place_of(attempt)
-        super().fail(attempt, now_s)
+    def fail_attempt(self, attempt: int, now_s: float) -> None:
+        place = self.slot_of(attempt)
+        super().fail_attempt(attempt, now_s)
         if place is None:
             return
         group = place[0]
@@ -92,9 +92,9 @@
             if slot.sample is None:
                 continue
             slot.sample = None
-            self._missing[group] += 1
+            self._missing_samples[group] += 1
             self.dropped_samples += 1
-            self._try_later(group, index, now_s)
+            self._schedule_retry(group, index, now_s)
 
 
 class _GroupRestartingCore(LotCore):
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -125,7 +125,7 @@
             case SampleReceived():
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
-                self._slots.fail(event.attempt, now_s)
+                self._slots.fail_attempt(event.attempt, now_s)
             case (
                 PullRequested()
                 | OpenRequested()
@@ -204,12 +204,12 @@
         self._must_read = True
 
     def _on_ready(self, event: SampleReceived, now_s: float) -> list[object]:
-        place = self._slots.place_of(event.attempt)
+        place = self._slots.slot_of(event.attempt)
         if place is None:
             return []
         if not check_spans(event.answer):
             self.invalid_answers += 1
-            self._slots.fail(event.attempt, now_s)
+            self._slots.fail_attempt(event.attempt, now_s)
             return []
         answer = event.answer
         sample = Sample(
