--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -51,7 +51,7 @@
         order_desk: Receives the reports.
         clock: Returns the time that the daemons agree on, seconds since 1970.
         window_s: Length of a window.
-        report_deadline_s: Time after a window's end by which its report is due.
+        late_s: Time after a window's end by which its report is due.
         log: Logs sealed and reported windows and failures.
     """
 
@@ -66,7 +66,7 @@
         order_desk: OrderDeskClient,
         clock,
         window_s: float,
-        report_deadline_s: float,
+        late_s: float,
         log: DecisionLog,
     ):
         super().__init__(duty)
@@ -76,9 +76,9 @@
         self._order_desk = order_desk
         self._clock = clock
         self._window_s = window_s
-        self._report_deadline_s = report_deadline_s
+        self._report_deadline_s = late_s
         self._log = log
-        self._core = WindowCore(window_s, report_deadline_s)
+        self._core = WindowCore(window_s, late_s)
         self._tasks = None
 
     def status(self) -> dict[str, object]:
--- a/daisyhub/billing/_usage_aggregator.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -62,7 +62,7 @@
                 del self._usage_by_daemon[key]
 
     def total(self, window: int) -> dict[str, int]:
-        """Returns the number of requests of a window by account."""
+        """Returns the requests of a window by account."""
         total: dict[str, int] = {}
         for daemon_usage in self._usage_by_daemon.values():
             for account, count in daemon_usage.counts.get(window, {}).items():
@@ -70,10 +70,10 @@
         return total
 
     def is_complete(self, window: int, live: dict[str, int]) -> bool:
-        """Whether the counts of a window are final in every live daemon.
+        """Whether every live daemon closed a window.
 
         Args:
-            window: Number of the window.
+            window: Its number.
             live: Incarnations of the live daemons by id.
         """
         return all(
