--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,7 +1,7 @@
 """Counts requests by client account and reports them by time window."""
 
 from daisyhub.billing._controller import UsageReporter
-from daisyhub.billing._order_desk_client import (
+from daisyhub.billing._desk import (
     OrderDeskClient,
     OrderDeskOutcome,
 )
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -3,7 +3,7 @@
 import anyio
 import msgspec
 
-from daisyhub.billing._order_desk_client import (
+from daisyhub.billing._desk import (
     OrderDeskClient,
     OrderDeskOutcome,
 )
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,6 +1,5 @@
 """Loading of new weight versions by engines, a few at a time."""
 
-from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._engine_client import (
     EngineClient,
@@ -20,6 +19,7 @@
     VersionPublished,
     WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
     "FetchReport",
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -12,7 +12,6 @@
 from daisyhub.duty_bound import DutyBoundController
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import KindWatcher, ObjectStore, StoredObject
-from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._engine_client import (
     EngineClient,
     LoadMode,
@@ -30,6 +29,7 @@
     VersionPublished,
     WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = ["VersionReader", "WeightLoadController"]
 
