--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -18,14 +18,14 @@
 )
 
 __all__ = [
+    "DRAIN_PREFIX",
+    "DrainOrder",
     "Endpoint",
     "EndpointDirectory",
     "EndpointEntry",
-    "DRAIN_PREFIX",
-    "DrainOrder",
-    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
+    "EndpointUpdate",
     "LeastLoaded",
     "RoundRobin",
 ]
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -18,9 +18,9 @@
 __all__ = [
     "DRAIN_PREFIX",
     "DrainOrder",
-    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
+    "EndpointUpdate",
 ]
 
 DRAIN_PREFIX = "news/drain/"
--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -18,8 +18,8 @@
 )
 
 __all__ = [
-    "OrderDeskOutcome",
     "OrderDeskClient",
+    "OrderDeskOutcome",
     "ReportWindow",
     "SealFailed",
     "SealWindow",
--- a/daisyhub/billing/_desk.py
+++ b/daisyhub/billing/_desk.py
@@ -6,7 +6,7 @@
 import abc
 import enum
 
-__all__ = ["OrderDeskOutcome", "OrderDeskClient"]
+__all__ = ["OrderDeskClient", "OrderDeskOutcome"]
 
 
 class OrderDeskOutcome(enum.Enum):
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -20,10 +20,10 @@
 __all__ = [
     "DutyCallFailed",
     "DutyCore",
-    "FencingRejected",
-    "DutyRecordReceived",
     "DutyRecord",
+    "DutyRecordReceived",
     "DutyTick",
+    "FencingRejected",
     "ReadDuty",
     "WriteDuty",
 ]
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -22,21 +22,21 @@
 from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
-    "FetchReport",
     "EngineClient",
+    "EngineObservation",
     "EngineReport",
+    "EnginesObserved",
+    "FetchReport",
     "LoadMode",
     "OrderAnswered",
     "OrderOutcome",
     "ReportFailed",
     "ReportReceived",
     "SendOrder",
-    "EngineObservation",
-    "EnginesObserved",
-    "WeightLoadCore",
-    "VersionPublished",
     "VersionOrder",
+    "VersionPublished",
     "VersionReader",
     "WeightLoadController",
+    "WeightLoadCore",
     "assign_engines",
 ]
--- a/daisyhub/weights/_load_core.py
+++ b/daisyhub/weights/_load_core.py
@@ -2,7 +2,7 @@
 
 Trainers publish a version every few seconds and need it for their next step.
 Only a fraction of a pool's engines loads at one time, those with the fewest
-runs first, so that the others continue to serve the open step.
+runs first, so that the others continue to serve the current training step.
 
 If the response to an order is lost, the order is in doubt until the engine's
 report shows whether it was accepted. It is sent again only with the same
@@ -20,15 +20,15 @@
 from daisyhub.weights._engine_client import EngineReport, LoadMode, OrderOutcome
 
 __all__ = [
+    "EngineObservation",
+    "EnginesObserved",
     "FetchReport",
     "OrderAnswered",
     "ReportFailed",
     "ReportReceived",
     "SendOrder",
-    "EngineObservation",
-    "EnginesObserved",
-    "WeightLoadCore",
     "VersionPublished",
+    "WeightLoadCore",
 ]
 
 # Delay from an accepted order to the first report, and interval between further
@@ -330,7 +330,11 @@
         return max(lags, key=lambda m: (lags[m], m), default="")
 
     def _fetch_due_reports(self, now_s: float) -> list[object]:
-        """Fetches due reports of engines with an open or unknown order."""
+        """Returns actions that fetch the due reports.
+
+        A report is needed while an order is open, and before the first order,
+        which must state how many orders the engine has accepted.
+        """
         fetches = []
         for endpoint_id, engine in self._engines.items():
             is_unknown = (
@@ -349,7 +353,9 @@
 
     def _order_loads(self, now_s: float) -> list[object]:
         """Orders as many loads as allowed, engines with few runs first."""
-        busy = sum(e.phase is not _Phase.IDLE for e in self._engines.values())
+        busy_count = sum(
+            e.phase is not _Phase.IDLE for e in self._engines.values()
+        )
         max_loads = max(1, round(self.loads_share * len(self._engines)))
         outdated = [
             engine
@@ -362,7 +368,7 @@
             key=lambda e: (e.observation.runs, e.observation.endpoint_id)
         )
         orders = []
-        for engine in outdated[: max(0, max_loads - busy)]:
+        for engine in outdated[: max(0, max_loads - busy_count)]:
             engine.phase = _Phase.ORDERED
             engine.phase_since_s = now_s
             engine.model = self._most_outdated_model(engine.observation)
