--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,4 +1,4 @@
-"""Requests of client accounts, counted and reported by windows."""
+"""Counts requests by client account and reports them by time window."""
 
 from daisyhub.billing._controller import UsageReporter
 from daisyhub.billing._desk import (
@@ -18,8 +18,8 @@
 )
 
 __all__ = [
-    "OrderDeskOutcome",
     "OrderDeskClient",
+    "OrderDeskOutcome",
     "ReportWindow",
     "SealFailed",
     "SealWindow",
