--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -1,4 +1,4 @@
-"""Endpoints: what is known of them, and which one gets a request."""
+"""Endpoint state and load balancing."""
 
 from daisyhub.balancing._balancers import (
     LeastLoaded,
@@ -18,14 +18,14 @@
 )
 
 __all__ = [
+    "DRAIN_PREFIX",
+    "DrainOrder",
     "Endpoint",
     "EndpointDirectory",
     "EndpointEntry",
-    "DRAIN_PREFIX",
-    "DrainOrder",
-    "EndpointUpdate",
     "EndpointState",
     "EndpointTable",
+    "EndpointUpdate",
     "LeastLoaded",
     "RoundRobin",
 ]
