--- a/daisyhub/duties/__init__.py
+++ b/daisyhub/duties/__init__.py
@@ -1,11 +1,11 @@
-"""Duties that one daemon at a time has, with a number that rises."""
+"""Duties: tasks that one daemon at a time holds, with fencing numbers."""
 
 from daisyhub.duties._controller import DutyController, choose_candidate
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyFound,
     DutyRecord,
+    DutyRecordReceived,
     DutyTick,
     FencingRejected,
     ReadDuty,
@@ -16,10 +16,10 @@
     "DutyCallFailed",
     "DutyController",
     "DutyCore",
-    "FencingRejected",
-    "DutyFound",
     "DutyRecord",
+    "DutyRecordReceived",
     "DutyTick",
+    "FencingRejected",
     "ReadDuty",
     "WriteDuty",
     "choose_candidate",
