--- a/daisyhub/lots/_listing_core.py
+++ b/daisyhub/lots/_listing_core.py
@@ -1,8 +1,9 @@
-"""Decides when finished items of one lot are listed, and at which position.
+"""Decides when the results of one lot are listed, and at which position.
 
-Results are listed in chunks at the true end of the list. The store decides
-what stands at a position; whatever stands there goes before what is kept
-here. Whole groups are listed at once, as trainers wait for whole groups.
+Results are appended to the lot's list in chunks. The store decides which chunk
+occupies a position: if another daemon stored one there first, that chunk is
+adopted and the local results are appended after it. A complete group is listed
+immediately, as trainers wait for whole groups.
 """
 
 import dataclasses
@@ -12,21 +13,22 @@
 from daisyhub.lots._types import ItemResult
 
 __all__ = [
-    "ChunkFailed",
-    "ChunkStands",
+    "ChunkStored",
+    "ChunkWriteFailed",
     "ItemFinished",
     "ListingCore",
     "ListingTick",
     "WriteChunk",
 ]
 
-# Seconds for which a finished item waits for the rest of its group: half of
-# the pause between two reads of a trainer.
-_GROUP_WAIT_S = 0.25
-# Seconds after a failed write; some round trips to the store.
-_FAILED_PAUSE_S = 0.2
-# Bytes of text in one chunk; an object holds a megabyte with all escapes.
-_CHUNK_BYTES = 400_000
+# Maximum time in seconds for which a result waits for the rest of its group:
+# half of the interval between two reads of a trainer.
+_MAX_GROUP_WAIT_S = 0.25
+# Seconds before a failed write is retried: some round trips to the store.
+_WRITE_RETRY_DELAY_S = 0.2
+# Maximum text length of a chunk that holds several results. An object may have
+# a megabyte, JSON escapes included.
+_MAX_CHUNK_CHARACTERS = 400_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -34,8 +36,8 @@
     """An item has its result.
 
     Attributes:
-        result: What is to be listed.
-        is_group_done: Whether it was the last of its group.
+        result: The result to list.
+        is_group_done: Whether all items of its group have results.
     """
 
     result: ItemResult
@@ -43,16 +45,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkStands:
-    """These results stand in the store from a position on."""
+class ChunkStored:
+    """The store holds this chunk at a position.
+
+    Attributes:
+        first: Position of its first result.
+        results: Its results, which another daemon may have written.
+    """
 
     first: int
     results: tuple[ItemResult, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ChunkFailed:
-    """A write brought no usable answer; it may have taken effect."""
+class ChunkWriteFailed:
+    """A write returned no usable response; it may have taken effect."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,7 +69,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteChunk:
-    """Action: create the chunk, and tell what stands there then."""
+    """Action: create a chunk and report which chunk is stored there.
+
+    Attributes:
+        first: Position of its first result.
+        results: Its results.
+    """
 
     first: int
     results: tuple[ItemResult, ...]
@@ -79,88 +91,88 @@
         self._total = total
         self._listed: list[ItemResult] = []
         self._listed_ids: set[str] = set()
-        self._chunks: list[int] = []
+        self._chunk_positions: list[int] = []
         self._pending: dict[str, ItemResult] = {}
         self._write_at_s = math.inf
-        self._paused_until_s = -math.inf
-        self._is_waiting = False
+        self._retry_at_s = -math.inf
+        self._is_writing = False
 
     @property
     def listed(self) -> list[ItemResult]:
-        """All results that stand in the store; not to be changed."""
+        """All results known to be stored, by position; don't modify."""
         return self._listed
 
     @property
     def chunks(self) -> list[int]:
-        """First positions of the chunks."""
-        return self._chunks
+        """Positions of the first results of the stored chunks."""
+        return self._chunk_positions
 
     @property
-    def is_whole(self) -> bool:
+    def is_complete(self) -> bool:
         """Whether every item is listed."""
         return len(self._listed) >= self._total
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When waiting results are to be written."""
-        if self._is_waiting or not self._pending:
+        """When pending results are to be written; None for never."""
+        if self._is_writing or not self._pending:
             return None
-        return max(self._write_at_s, self._paused_until_s)
+        return max(self._write_at_s, self._retry_at_s)
 
     def is_listed(self, item_id: str) -> bool:
-        """Whether an item stands in the store."""
+        """Whether an item's result is known to be stored."""
         return item_id in self._listed_ids
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns at most one `WriteChunk`."""
+        """Handles one event; returns at most one `WriteChunk`."""
         match event:
             case ItemFinished():
-                self._on_finished(event, now_s)
-            case ChunkStands():
-                self._on_stands(event, now_s)
-            case ChunkFailed():
-                self._is_waiting = False
+                self._on_item_finished(event, now_s)
+            case ChunkStored():
+                self._on_chunk_stored(event, now_s)
+            case ChunkWriteFailed():
+                self._is_writing = False
                 self._write_at_s = now_s
-                self._paused_until_s = now_s + _FAILED_PAUSE_S
+                self._retry_at_s = now_s + _WRITE_RETRY_DELAY_S
             case ListingTick():
                 pass
             case _:
                 raise TypeError(f"not a listing event: {event!r}")
         return self._write(now_s)
 
-    def _on_finished(self, event: ItemFinished, now_s: float) -> None:
+    def _on_item_finished(self, event: ItemFinished, now_s: float) -> None:
         result = event.result
         if result.item_id in self._listed_ids:
             return
         self._pending[result.item_id] = result
         is_last = len(self._listed) + len(self._pending) >= self._total
-        wait_s = 0.0 if event.is_group_done or is_last else _GROUP_WAIT_S
+        wait_s = 0.0 if event.is_group_done or is_last else _MAX_GROUP_WAIT_S
         self._write_at_s = min(self._write_at_s, now_s + wait_s)
 
-    def _on_stands(self, event: ChunkStands, now_s: float) -> None:
-        self._is_waiting = False
+    def _on_chunk_stored(self, event: ChunkStored, now_s: float) -> None:
+        self._is_writing = False
         if event.first != len(self._listed):
             return
-        self._chunks.append(event.first)
+        self._chunk_positions.append(event.first)
         for result in event.results:
             self._listed.append(result)
             self._listed_ids.add(result.item_id)
             self._pending.pop(result.item_id, None)
         if self._pending:
-            self._write_at_s = min(self._write_at_s, now_s + _GROUP_WAIT_S)
+            self._write_at_s = min(self._write_at_s, now_s + _MAX_GROUP_WAIT_S)
 
     def _write(self, now_s: float) -> list[object]:
         due_s = self.next_wakeup_s
         if due_s is None or now_s < due_s:
             return []
-        chosen = []
+        chunk = []
         size = 0
         for result in self._pending.values():
             size += len(result.text)
-            if chosen and size > _CHUNK_BYTES:
+            if chunk and size > _MAX_CHUNK_CHARACTERS:
                 break
-            chosen.append(result)
-        is_all = len(chosen) == len(self._pending)
+            chunk.append(result)
+        is_all = len(chunk) == len(self._pending)
         self._write_at_s = math.inf if is_all else now_s
-        self._is_waiting = True
-        return [WriteChunk(len(self._listed), tuple(chosen))]
+        self._is_writing = True
+        return [WriteChunk(len(self._listed), tuple(chunk))]
