--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -135,11 +135,11 @@
         record = msgspec.convert(found.value, WithdrawnKeys)
         self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer(self, heard: PeerSummaryReceived) -> None:
+    def on_peer_summary(self, heard: PeerSummaryReceived) -> None:
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
-    async def answer_fetch(self, fetch: ConfigFetch) -> ConfigParts:
+    async def handle_fetch_request(self, fetch: ConfigFetch) -> ConfigParts:
         """Serves a peer's `ConfigFetch`."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -136,7 +136,7 @@
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
+    async def handle_fetch_request(self, _: EndpointFetch) -> EndpointParts:
         """Serves a peer's `EndpointFetch`."""
         records = tuple(_record_of(state) for state in self._table.all())
         return EndpointParts(records=records)
@@ -182,7 +182,7 @@
         state.last_received_at_s = time.monotonic()
         news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
-            self._peers.add_news(news)
+            self._peers.add_update(news)
         self._table.apply_update(news)
 
 
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -39,10 +39,10 @@
     LotTick,
     OpenBody,
     OpenRequested,
-    ProgressAnswer,
-    PullAnswer,
+    ProgressResponse,
     PullBody,
     PullRequested,
+    PullResponse,
     ReadState,
     RefusalReason,
     RefuseCall,
@@ -59,7 +59,7 @@
 )
 from daisyhub.settings import DaemonSettings
 
-__all__ = ["LotSeat", "SeatTools", "decode_body"]
+__all__ = ["LotServer", "LotServerDependencies", "decode_body"]
 
 _RETRY_S = 1.0
 _CALL_WAIT_S = 5.0
@@ -80,12 +80,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SeatTools:
+class LotServerDependencies:
     """What a seat needs of its daemon."""
 
     cfg: DaemonSettings
     client: PlatformClient
-    keeper: LeaseFactory
+    lease_factory: LeaseFactory
     http: HttpClient
     table: EndpointTable
     balancer: Balancer
@@ -102,7 +102,7 @@
     answer: object = None
 
 
-class LotSeat:
+class LotServer:
     """Tries to hold one lot and serves it while it does.
 
     The lease keeps other daemons from doing the same work; that groups are
@@ -112,11 +112,11 @@
         ready: Set once the lease was acquired, or the seat is over.
     """
 
-    def __init__(self, spec: LotSpec, tools: SeatTools):
+    def __init__(self, spec: LotSpec, tools: LotServerDependencies):
         self.spec = spec
         self.ready = anyio.Event()
         self._tools = tools
-        self._lease = tools.keeper.new_lease(f"lots/{spec.lot_id}")
+        self._lease = tools.lease_factory.new_lease(f"lots/{spec.lot_id}")
         self._core: LotCore | None = None
         self._engines = LotEngines(
             spec, tools.table, tools.balancer, tools.http
@@ -140,7 +140,7 @@
             "remaining": core.remaining if core else None,
             "open_pulls": len(core.open_pulls) if core else None,
             "dropped_stale": core.dropped_samples if core else None,
-            "dropped_spans": core.invalid_answers if core else None,
+            "dropped_spans": core.invalid_responses if core else None,
             "fencing": self._lease.fencing,
         }
 
@@ -340,7 +340,7 @@
     match action:
         case DeliverGroups():
             return _json_answer(
-                PullAnswer(
+                PullResponse(
                     pull_id=action.pull_id,
                     groups=action.groups,
                     remaining=action.remaining,
@@ -348,7 +348,7 @@
             )
         case SendProgress():
             return _json_answer(
-                ProgressAnswer(
+                ProgressResponse(
                     remaining=action.remaining,
                     open_pulls=action.open_pulls,
                     closed=action.is_closed,
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_watch.py
@@ -6,22 +6,22 @@
 import anyio
 
 from daisyhub.base import Controller
-from daisyhub.controllers._news_core import (
-    DeliverNews,
+from daisyhub.controllers._watch_core import (
+    DeliverObject,
     DeliveryFailed,
-    NewsBegin,
-    NewsCore,
-    NewsDelivered,
-    WatchAnswered,
+    ObjectDelivered,
+    WatchCore,
     WatchFailed,
-    WatchNews,
+    WatchObjects,
+    WatchResponseReceived,
+    WatchStarted,
 )
 from daisyhub.exceptions import PlatformUnavailableError
 from daisyhub.hosting import PlatformClient, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.settings import TimingSettings
 
-__all__ = ["NewsController"]
+__all__ = ["WatchController"]
 
 NEWS_PREFIX = "news/"
 
@@ -30,7 +30,7 @@
 Listener = Callable[[PlatformObject], Awaitable[None]]
 
 
-class NewsController(Controller):
+class WatchController(Controller):
     """One watch for everything that all daemons must hear.
 
     Args:
@@ -45,7 +45,7 @@
         self._timing = timing
         self._prefixes: list[str] = []
         self._listeners: list[Listener] = []
-        self._core = NewsCore((), timing.watch_wait_s)
+        self._core = WatchCore((), timing.watch_wait_s)
 
     def add_listener(self, prefix: str, listener: Listener) -> None:
         """Calls `listener` with each changed object under `prefix`.
@@ -55,7 +55,7 @@
         """
         self._prefixes.append(prefix)
         self._listeners.append(listener)
-        self._core = NewsCore(tuple(self._prefixes), self._timing.watch_wait_s)
+        self._core = WatchCore(tuple(self._prefixes), self._timing.watch_wait_s)
 
     def status(self) -> dict[str, object]:
         """Tells whether the platform answers."""
@@ -67,17 +67,17 @@
 
     async def run(self) -> None:
         """Watches until cancelled."""
-        event = NewsBegin()
+        event = WatchStarted()
         while True:
             for action in self._core.handle(event, time.monotonic()):
                 match action:
-                    case DeliverNews():
+                    case DeliverObject():
                         await self._deliver(action)
-                    case WatchNews():
+                    case WatchObjects():
                         event = await self._watch(action)
 
-    async def _deliver(self, action: DeliverNews) -> None:
-        event = NewsDelivered(action.listener, action.found)
+    async def _deliver(self, action: DeliverObject) -> None:
+        event = ObjectDelivered(action.listener, action.found)
         try:
             await self._listeners[action.listener](action.found)
         except Exception as exc:  # noqa: BLE001 - others must hear theirs.
@@ -85,7 +85,7 @@
             event = DeliveryFailed(action.listener, action.found)
         self._core.handle(event, time.monotonic())
 
-    async def _watch(self, action: WatchNews) -> object:
+    async def _watch(self, action: WatchObjects) -> object:
         await anyio.sleep(action.pause_s)
         try:
             revision, objects = await self._client.watch(
@@ -96,4 +96,4 @@
         except PlatformUnavailableError as exc:
             log.warning("the platform does not answer: {}", exc)
             return WatchFailed()
-        return WatchAnswered(revision, objects)
+        return WatchResponseReceived(revision, objects)
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_watch_core.py
@@ -12,14 +12,14 @@
 from daisyhub.hosting import PlatformObject
 
 __all__ = [
-    "DeliverNews",
+    "DeliverObject",
     "DeliveryFailed",
-    "NewsBegin",
-    "NewsCore",
-    "NewsDelivered",
-    "WatchAnswered",
+    "WatchStarted",
+    "WatchCore",
+    "ObjectDelivered",
+    "WatchResponseReceived",
     "WatchFailed",
-    "WatchNews",
+    "WatchObjects",
 ]
 
 _RETRY_S = 0.5
@@ -28,12 +28,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsBegin:
+class WatchStarted:
     """Event: start."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchAnswered:
+class WatchResponseReceived:
     """Event: the store's revision and the objects changed."""
 
     revision: int
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsDelivered:
+class ObjectDelivered:
     """Event: a listener took an object."""
 
     listener: int
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchNews:
+class WatchObjects:
     """Action: watch, after a pause."""
 
     after_revision: int
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DeliverNews:
+class DeliverObject:
     """Action: give an object to a listener."""
 
     listener: int
@@ -84,7 +84,7 @@
     due_s: float
 
 
-class NewsCore(Core):
+class WatchCore(Core):
     """The state of one watch.
 
     Args:
@@ -115,15 +115,15 @@
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes one event; deliveries come before the next watch."""
         match event:
-            case NewsBegin():
+            case WatchStarted():
                 return [self._watch(now_s)]
-            case WatchAnswered():
+            case WatchResponseReceived():
                 return self._on_answer(event, now_s)
             case WatchFailed():
                 self.is_connected = False
                 due = self._due(now_s)
                 return [*due, self._watch(now_s, pause_s=_RETRY_S)]
-            case NewsDelivered():
+            case ObjectDelivered():
                 self._on_delivered(event)
                 return []
             case DeliveryFailed():
@@ -131,10 +131,12 @@
                 return []
         raise TypeError(f"not a news event: {event!r}")
 
-    def _on_answer(self, event: WatchAnswered, now_s: float) -> list[object]:
+    def _on_answer(
+        self, event: WatchResponseReceived, now_s: float
+    ) -> list[object]:
         # In the order of listeners, so that withdrawn keys can come first.
         deliveries = [
-            DeliverNews(listener, found)
+            DeliverObject(listener, found)
             for listener, prefix in enumerate(self.prefixes)
             for found in event.objects
             if found.key.startswith(prefix)
@@ -161,24 +163,24 @@
         pause_s = min(_MOST_RETRY_S, _RETRY_S * 2 ** min(tries, 8))
         self._undelivered[place] = _Undelivered(event.found, now_s + pause_s)
 
-    def _due(self, now_s: float) -> list[DeliverNews]:
+    def _due(self, now_s: float) -> list[DeliverObject]:
         """Returns what to deliver again."""
         return [
-            DeliverNews(listener, item.found)
+            DeliverObject(listener, item.found)
             for (listener, _), item in self._undelivered.items()
             if now_s >= item.due_s
         ]
 
-    def _on_delivered(self, event: NewsDelivered) -> None:
+    def _on_delivered(self, event: ObjectDelivered) -> None:
         place = (event.listener, event.found.key)
         self._undelivered.pop(place, None)
         self._tries.pop(place, None)
 
-    def _watch(self, now_s: float, pause_s: float = 0.0) -> WatchNews:
+    def _watch(self, now_s: float, pause_s: float = 0.0) -> WatchObjects:
         # A list does not wait, nor does the first watch after an outage.
         if not self._is_listed:
-            return WatchNews(0, 0.0, pause_s)
+            return WatchObjects(0, 0.0, pause_s)
         wait_s = self.wait_s if self.is_connected else 0.0
         for item in self._undelivered.values():
             wait_s = min(wait_s, max(_RETRY_S, item.due_s - now_s))
-        return WatchNews(self.revision, wait_s, pause_s)
+        return WatchObjects(self.revision, wait_s, pause_s)
