--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -11,7 +11,7 @@
 
 from daisyhub.rollouts import (
     DeliverGroups,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotSpec,
@@ -62,7 +62,7 @@
     core = LotCore(_spec(), "daemon-busan-0/1764799000000000.77")
     core.handle(LotTick(), 0.0)
     actions = core.handle(StateRead(LotState(), 0), 0.0)
-    answer = EngineAnswer(
+    answer = EngineResponse(
         tokens=tuple(range(TOKENS)),
         spans=(Span(version=1, start=0, end=TOKENS),),
     )
--- a/benchmarks/lot_stragglers.py
+++ b/benchmarks/lot_stragglers.py
@@ -12,7 +12,7 @@
 
 from daisyhub.rollouts import (
     CancelSample,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotSpec,
@@ -38,7 +38,7 @@
 # How many times slower the first engine is; it may also never answer.
 SLOWNESS = {"even": 1.0, "slow": 5.0, "hung": 1e9}
 
-_ANSWER = EngineAnswer(tokens=(1,), spans=(Span(version=1, start=0, end=1),))
+_ANSWER = EngineResponse(tokens=(1,), spans=(Span(version=1, start=0, end=1),))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -12,7 +12,7 @@
 from daisyhub.rollouts import (
     CancelSample,
     DeliverGroups,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotSpec,
@@ -383,11 +383,11 @@
         )
 
 
-def _answer(first: int, last: int) -> EngineAnswer:
+def _answer(first: int, last: int) -> EngineResponse:
     spans = (Span(version=first, start=0, end=1),)
     if last != first:
         spans += (Span(version=last, start=1, end=2),)
-    return EngineAnswer(tokens=(0,) * len(spans), spans=spans)
+    return EngineResponse(tokens=(0,) * len(spans), spans=spans)
 
 
 def run_lots(site: Site, policy: LotPolicy, seed: int) -> LotResult:
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -28,7 +28,7 @@
 )
 from daisyhub.rollouts import (
     DeliverGroups,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotSpec,
@@ -74,9 +74,9 @@
     )
 
 
-def _answer() -> EngineAnswer:
+def _answer() -> EngineResponse:
     spans = (Span(version=1, start=0, end=_TOKENS),)
-    return EngineAnswer(tokens=tuple(range(_TOKENS)), spans=spans)
+    return EngineResponse(tokens=tuple(range(_TOKENS)), spans=spans)
 
 
 class _LotRun:
@@ -159,11 +159,11 @@
     """Returns an engine's answer as it comes over the wire."""
     ids = tuple((7919 * n) % _VOCABULARY for n in range(tokens))
     span = Span(version=1, start=0, end=tokens)
-    return msgspec.json.encode(EngineAnswer(tokens=ids, spans=(span,)))
+    return msgspec.json.encode(EngineResponse(tokens=ids, spans=(span,)))
 
 
-def _decode(data: bytes) -> EngineAnswer:
-    return msgspec.json.decode(data, type=EngineAnswer)
+def _decode(data: bytes) -> EngineResponse:
+    return msgspec.json.decode(data, type=EngineResponse)
 
 
 def _decode_us(tokens: int) -> float:
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -10,7 +10,7 @@
 from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
 from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.logs import get_logger
-from daisyhub.rollouts import EngineAnswer, Generate, LotSpec
+from daisyhub.rollouts import EngineResponse, Generate, LotSpec
 
 __all__ = ["LotEngines"]
 
@@ -58,7 +58,7 @@
         if scope is not None:
             scope.cancel()
 
-    async def generate(self, action: Generate) -> EngineAnswer | None:
+    async def generate(self, action: Generate) -> EngineResponse | None:
         """Returns an engine's whole answer, or None."""
         state = self._choose(action)
         if state is None:
@@ -89,7 +89,7 @@
 
     async def _ask(
         self, action: Generate, state: EndpointState
-    ) -> EngineAnswer | None:
+    ) -> EngineResponse | None:
         prompt = _EnginePrompt(
             prompt=self._spec.prompts[action.group],
             max_tokens=self._spec.max_tokens,
@@ -120,9 +120,9 @@
         return None if has_failed else _decode(answer)
 
 
-def _decode(answer: HttpAnswer) -> EngineAnswer | None:
+def _decode(answer: HttpAnswer) -> EngineResponse | None:
     try:
-        return msgspec.json.decode(answer.body, type=EngineAnswer)
+        return msgspec.json.decode(answer.body, type=EngineResponse)
     except msgspec.DecodeError as exc:
         log.warning("an engine's answer is unreadable: {}", exc)
         return None
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -29,7 +29,7 @@
 from daisyhub.rollouts._lot_types import (
     MAX_GROUPS,
     AckBody,
-    EngineAnswer,
+    EngineResponse,
     Group,
     LotSpec,
     LotState,
@@ -91,7 +91,7 @@
     "WriteState",
     "MAX_GROUPS",
     "AckBody",
-    "EngineAnswer",
+    "EngineResponse",
     "Group",
     "LotSpec",
     "LotState",
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -6,7 +6,7 @@
 
 __all__ = [
     "AckBody",
-    "EngineAnswer",
+    "EngineResponse",
     "Group",
     "MAX_GROUPS",
     "LotSpec",
@@ -62,7 +62,7 @@
     samples: tuple[Sample, ...]
 
 
-class EngineAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class EngineResponse(msgspec.Struct, frozen=True, kw_only=True):
     """A model engine's answer to a generation request."""
 
     tokens: tuple[int, ...]
@@ -168,7 +168,7 @@
     is_closed: bool = False
 
 
-def check_spans(answer: EngineAnswer) -> bool:
+def check_spans(answer: EngineResponse) -> bool:
     """Whether spans cover the tokens, in order, without gap or overlap."""
     end = 0
     for span in answer.spans:
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -20,7 +20,7 @@
     CancelSample,
     CountUsage,
     DeliverGroups,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotReleased,
@@ -81,7 +81,7 @@
         spans = spans[:-1] + [Span(version=9, start=99, end=100)]
     elif lie == "short":
         versions = (*versions, versions[-1] + 1)
-    return EngineAnswer(tokens=tuple(versions), spans=tuple(spans))
+    return EngineResponse(tokens=tuple(versions), spans=tuple(spans))
 
 
 class LotMachine(RuleBasedStateMachine):
