--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -40,9 +40,9 @@
     OpenBody,
     OpenRequested,
     ProgressAnswer,
-    PullAnswer,
     PullBody,
     PullRequested,
+    PullResponse,
     ReadState,
     RefusalReason,
     RefuseCall,
@@ -340,7 +340,7 @@
     match action:
         case DeliverGroups():
             return _json_answer(
-                PullAnswer(
+                PullResponse(
                     pull_id=action.pull_id,
                     groups=action.groups,
                     remaining=action.remaining,
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -13,7 +13,7 @@
     "LotState",
     "OpenBody",
     "ProgressAnswer",
-    "PullAnswer",
+    "PullResponse",
     "PullBody",
     "PullRecord",
     "Sample",
@@ -103,7 +103,7 @@
     pull_id: PullId
 
 
-class PullAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class PullResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Whole groups; `remaining` counts those not handed over yet."""
 
     pull_id: str
