--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -39,7 +39,7 @@
     LotTick,
     OpenBody,
     OpenRequested,
-    ProgressAnswer,
+    ProgressResponse,
     PullBody,
     PullRequested,
     PullResponse,
@@ -348,7 +348,7 @@
             )
         case SendProgress():
             return _json_answer(
-                ProgressAnswer(
+                ProgressResponse(
                     remaining=action.remaining,
                     open_pulls=action.open_pulls,
                     closed=action.is_closed,
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -12,7 +12,7 @@
     "LotSpec",
     "LotState",
     "OpenBody",
-    "ProgressAnswer",
+    "ProgressResponse",
     "PullResponse",
     "PullBody",
     "PullRecord",
@@ -111,7 +111,7 @@
     remaining: int
 
 
-class ProgressAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class ProgressResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Answers open, ack and close.
 
     Attributes:
