--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -140,7 +140,7 @@
             "remaining": core.remaining if core else None,
             "open_pulls": len(core.open_pulls) if core else None,
             "dropped_stale": core.dropped_samples if core else None,
-            "dropped_spans": core.invalid_answers if core else None,
+            "dropped_spans": core.invalid_responses if core else None,
             "fencing": self._lease.fencing,
         }
 
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -64,7 +64,7 @@
     def __init__(self, spec: LotSpec, holder: str):
         self.spec = spec
         self.holder = holder
-        self.invalid_answers = 0
+        self.invalid_responses = 0
         self._slots = SlotTable(spec)
         self._state: LotState | None = None
         self._version = 0
@@ -208,7 +208,7 @@
         if place is None:
             return []
         if not check_spans(event.answer):
-            self.invalid_answers += 1
+            self.invalid_responses += 1
             self._slots.fail_attempt(event.attempt, now_s)
             return []
         answer = event.answer
