--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -207,13 +207,13 @@
         place = self._slots.slot_of(event.attempt)
         if place is None:
             return []
-        if not check_spans(event.answer):
+        if not check_spans(event.response):
             self.invalid_responses += 1
             self._slots.fail_attempt(event.attempt, now_s)
             return []
-        answer = event.answer
+        response = event.response
         sample = Sample(
-            index=place[1], tokens=answer.tokens, spans=answer.spans
+            index=place[1], tokens=response.tokens, spans=response.spans
         )
         return self._slots.finish(event.attempt, sample)
 
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -52,7 +52,7 @@
     """An engine answered attempt `attempt`; the core checks the answer."""
 
     attempt: int
-    answer: EngineResponse
+    response: EngineResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -168,11 +168,11 @@
     is_closed: bool = False
 
 
-def check_spans(answer: EngineResponse) -> bool:
+def check_spans(response: EngineResponse) -> bool:
     """Whether spans cover the tokens, in order, without gap or overlap."""
     end = 0
-    for span in answer.spans:
+    for span in response.spans:
         if span.start != end or span.end <= span.start:
             return False
         end = span.end
-    return bool(answer.tokens) and end == len(answer.tokens)
+    return bool(response.tokens) and end == len(response.tokens)
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -184,15 +184,15 @@
         self.trainer += who != "engines"
         self.engines = max(self.trainer, self.engines + (who != "trainer"))
 
-    def take(self, answer):
+    def take(self, response):
         """The oracle: what a rank takes from the call it waits for."""
         for rank, call in list(self.waiting.items()):
-            if call.call != answer.call:
+            if call.call != response.call:
                 continue
             del self.waiting[rank]
-            if answer.groups:
+            if response.groups:
                 self.pulls[rank] += 1
-            for group in answer.groups:
+            for group in response.groups:
                 self.check_group(group, call)
 
     def check_group(self, group, call):
@@ -309,9 +309,9 @@
         versions = (self.engines,) * 2
         if kind == "swap":
             versions = (self.engines - 1, self.engines)
-        answer = engine_answer(versions, kind)
+        response = engine_answer(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
-            self.feed(holder, SampleReceived(action.attempt, answer))
+            self.feed(holder, SampleReceived(action.attempt, response))
         return True
 
     def apply(self, write):
@@ -413,10 +413,12 @@
 
     def _on_ready(self, event, now_s):
         place = self._slots.slot_of(event.attempt)
-        spans = event.answer.spans or (Span(version=99, start=0, end=1),)
+        spans = event.response.spans or (Span(version=99, start=0, end=1),)
         if place is None:
             return []
-        sample = Sample(index=place[1], tokens=event.answer.tokens, spans=spans)
+        sample = Sample(
+            index=place[1], tokens=event.response.tokens, spans=spans
+        )
         return self._slots.finish(event.attempt, sample)
 
 
