--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -59,7 +59,7 @@
 )
 from daisyhub.settings import DaemonSettings
 
-__all__ = ["LotSeat", "SeatTools", "decode_body"]
+__all__ = ["LotServer", "SeatTools", "decode_body"]
 
 _RETRY_S = 1.0
 _CALL_WAIT_S = 5.0
@@ -102,7 +102,7 @@
     answer: object = None
 
 
-class LotSeat:
+class LotServer:
     """Tries to hold one lot and serves it while it does.
 
     The lease keeps other daemons from doing the same work; that groups are
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -7,7 +7,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.controllers._lot_seat import (
-    LotSeat,
+    LotServer,
     SeatTools,
     decode_body,
 )
@@ -53,11 +53,11 @@
         self._tools = tools
         self._network = network
         self._specs = LotSpecStore(tools.client)
-        self._seats: dict[str, LotSeat] = {}
+        self._seats: dict[str, LotServer] = {}
         self._holders: dict[str, str] = {}
         self._is_released = False
         self._new_seats, self._to_run = anyio.create_memory_object_stream[
-            LotSeat
+            LotServer
         ](_SEATS_TO_START)
 
     def status(self) -> dict[str, object]:
@@ -118,7 +118,7 @@
                 retry_after_s=exc.retry_after_s,
             )
 
-    async def _serve_here(self, seat: LotSeat, call: LotCall) -> LotAnswer:
+    async def _serve_here(self, seat: LotServer, call: LotCall) -> LotAnswer:
         with anyio.move_on_after(_TAKE_WAIT_S):
             await seat.ready.wait()
         if not seat.is_serving:
@@ -173,7 +173,7 @@
                     return
                 version = found.version
 
-    async def _take_seat(self, call: LotCall) -> LotSeat:
+    async def _take_seat(self, call: LotCall) -> LotServer:
         spec = await self._find_spec(call)
         if spec.account != call.account:
             raise _unknown_lot()
@@ -181,7 +181,7 @@
             raise _being_taken()
         seat = self._seats.get(call.lot_id)
         if seat is None:
-            seat = LotSeat(spec, self._tools)
+            seat = LotServer(spec, self._tools)
             self._seats[call.lot_id] = seat
             await self._new_seats.send(seat)
         return seat
@@ -214,7 +214,7 @@
             sample_timeout_s=lot_class.sample_timeout_s,
         )
 
-    async def _run_seat(self, seat: LotSeat) -> None:
+    async def _run_seat(self, seat: LotServer) -> None:
         try:
             await seat.run()
         finally:
