--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -59,7 +59,7 @@
 )
 from daisyhub.settings import DaemonSettings
 
-__all__ = ["LotServer", "SeatTools", "decode_body"]
+__all__ = ["LotServer", "LotServerDependencies", "decode_body"]
 
 _RETRY_S = 1.0
 _CALL_WAIT_S = 5.0
@@ -80,7 +80,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SeatTools:
+class LotServerDependencies:
     """What a seat needs of its daemon."""
 
     cfg: DaemonSettings
@@ -112,7 +112,7 @@
         ready: Set once the lease was acquired, or the seat is over.
     """
 
-    def __init__(self, spec: LotSpec, tools: SeatTools):
+    def __init__(self, spec: LotSpec, tools: LotServerDependencies):
         self.spec = spec
         self.ready = anyio.Event()
         self._tools = tools
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -8,7 +8,7 @@
 from daisyhub.base import Controller
 from daisyhub.controllers._lot_seat import (
     LotServer,
-    SeatTools,
+    LotServerDependencies,
     decode_body,
 )
 from daisyhub.controllers._lot_specs import LotSpecStore
@@ -49,7 +49,7 @@
 
     name = "lots"
 
-    def __init__(self, tools: SeatTools, network: PeerNetwork):
+    def __init__(self, tools: LotServerDependencies, network: PeerNetwork):
         self._tools = tools
         self._network = network
         self._specs = LotSpecStore(tools.client)
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -22,7 +22,7 @@
     UsageController,
     WeightController,
 )
-from daisyhub.controllers._lot_seat import SeatTools
+from daisyhub.controllers._lot_seat import LotServerDependencies
 from daisyhub.exceptions import DocumentError
 from daisyhub.filters import (
     AccountFilter,
@@ -167,8 +167,8 @@
         ranked = rank_candidates(duty, [self.cfg.daemon_id, *live])
         return self.cfg.daemon_id in ranked[:_CANDIDATES]
 
-    def _seat_tools(self) -> SeatTools:
-        return SeatTools(
+    def _seat_tools(self) -> LotServerDependencies:
+        return LotServerDependencies(
             cfg=self.cfg,
             client=self.platform,
             keeper=self.keeper,
