--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -147,7 +147,7 @@
             self.peers,
             self.metrics,
         )
-        self.lots = LotController(self._seat_tools(), self.network)
+        self.lots = LotController(self._lot_server_dependencies(), self.network)
         self.claims = ClaimController(self.platform)
         self.news = NewsController(self.platform, cfg.timing)
         self.news.add_listener("news/keys", self.config.on_withdrawn)
@@ -167,7 +167,7 @@
         ranked = rank_candidates(duty, [self.cfg.daemon_id, *live])
         return self.cfg.daemon_id in ranked[:_CANDIDATES]
 
-    def _seat_tools(self) -> LotServerDependencies:
+    def _lot_server_dependencies(self) -> LotServerDependencies:
         return LotServerDependencies(
             cfg=self.cfg,
             client=self.platform,
