--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from daisyhub.base import Controller
-from daisyhub.controllers._lot_seat import (
+from daisyhub.controllers._lot_server import (
     LotServer,
     LotServerDependencies,
     decode_body,
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -22,7 +22,7 @@
     UsageController,
     WeightController,
 )
-from daisyhub.controllers._lot_seat import LotServerDependencies
+from daisyhub.controllers._lot_server import LotServerDependencies
 from daisyhub.exceptions import DocumentError
 from daisyhub.filters import (
     AccountFilter,
