--- a/daisyhub/controllers/__init__.py
+++ b/daisyhub/controllers/__init__.py
@@ -3,7 +3,7 @@
 from daisyhub.controllers._config import ConfigController
 from daisyhub.controllers._endpoints import EndpointController
 from daisyhub.controllers._lots import LotController
-from daisyhub.controllers._news import NewsController
+from daisyhub.controllers._news import WatchController
 from daisyhub.controllers._orders import OrderController
 from daisyhub.controllers._peers import PeerController
 from daisyhub.controllers._usage import UsageController
@@ -13,7 +13,7 @@
     "ConfigController",
     "EndpointController",
     "LotController",
-    "NewsController",
+    "WatchController",
     "OrderController",
     "PeerController",
     "UsageController",
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -21,7 +21,7 @@
 from daisyhub.logs import get_logger
 from daisyhub.settings import TimingSettings
 
-__all__ = ["NewsController"]
+__all__ = ["WatchController"]
 
 NEWS_PREFIX = "news/"
 
@@ -30,7 +30,7 @@
 Listener = Callable[[PlatformObject], Awaitable[None]]
 
 
-class NewsController(Controller):
+class WatchController(Controller):
     """One watch for everything that all daemons must hear.
 
     Args:
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -16,10 +16,10 @@
     ConfigController,
     EndpointController,
     LotController,
-    NewsController,
     OrderController,
     PeerController,
     UsageController,
+    WatchController,
     WeightController,
 )
 from daisyhub.controllers._lot_server import LotServerDependencies
@@ -149,7 +149,7 @@
         )
         self.lots = LotController(self._lot_server_dependencies(), self.network)
         self.claims = ClaimController(self.platform)
-        self.news = NewsController(self.platform, cfg.timing)
+        self.news = WatchController(self.platform, cfg.timing)
         self.news.add_listener("news/keys", self.config.on_withdrawn)
         self.news.add_listener("news/config", self.config.on_head)
         self.news.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
