--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -50,9 +50,9 @@
     DeliverNews,
     DeliveryFailed,
     NewsBegin,
-    NewsCore,
     NewsDelivered,
     WatchAnswered,
+    WatchCore,
     WatchFailed,
     WatchNews,
 )
@@ -92,7 +92,7 @@
 
     acceptance_class = AcceptanceCore
     adoption_class = AdoptionCore
-    news_class = NewsCore
+    news_class = WatchCore
 
     @initialize()
     def start(self):
@@ -432,7 +432,7 @@
         return []
 
 
-class ForgetsFailures(NewsCore):
+class ForgetsFailures(WatchCore):
     """Broken: what a listener could not take is skipped."""
 
     def _on_delivery_failed(self, event, now_s):
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -10,9 +10,9 @@
     DeliverNews,
     DeliveryFailed,
     NewsBegin,
-    NewsCore,
     NewsDelivered,
     WatchAnswered,
+    WatchCore,
     WatchFailed,
     WatchNews,
 )
@@ -45,7 +45,7 @@
         self._timing = timing
         self._prefixes: list[str] = []
         self._listeners: list[Listener] = []
-        self._core = NewsCore((), timing.watch_wait_s)
+        self._core = WatchCore((), timing.watch_wait_s)
 
     def add_listener(self, prefix: str, listener: Listener) -> None:
         """Calls `listener` with each changed object under `prefix`.
@@ -55,7 +55,7 @@
         """
         self._prefixes.append(prefix)
         self._listeners.append(listener)
-        self._core = NewsCore(tuple(self._prefixes), self._timing.watch_wait_s)
+        self._core = WatchCore(tuple(self._prefixes), self._timing.watch_wait_s)
 
     def status(self) -> dict[str, object]:
         """Tells whether the platform answers."""
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -15,7 +15,7 @@
     "DeliverNews",
     "DeliveryFailed",
     "NewsBegin",
-    "NewsCore",
+    "WatchCore",
     "NewsDelivered",
     "WatchAnswered",
     "WatchFailed",
@@ -84,7 +84,7 @@
     due_s: float
 
 
-class NewsCore(Core):
+class WatchCore(Core):
     """The state of one watch.
 
     Args:
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -6,8 +6,8 @@
     DeliverNews,
     DeliveryFailed,
     NewsBegin,
-    NewsCore,
     WatchAnswered,
+    WatchCore,
     WatchNews,
 )
 from daisyhub.hosting import PlatformObject
@@ -19,7 +19,7 @@
 
 class NewsCoreTest(unittest.TestCase):
     def setUp(self):
-        self.core = NewsCore(("news/keys", "news/"), 20.0)
+        self.core = WatchCore(("news/keys", "news/"), 20.0)
         self.core.handle(NewsBegin(), 0.0)
 
     def test_a_store_without_objects_is_waited_on(self):
