--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -49,12 +49,12 @@
 from daisyhub.controllers._news_core import (
     DeliverNews,
     DeliveryFailed,
-    NewsBegin,
     NewsDelivered,
     WatchAnswered,
     WatchCore,
     WatchFailed,
     WatchNews,
+    WatchStarted,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -74,7 +74,7 @@
     def __init__(self, core_class, news_class):
         self.core = core_class()
         self.news = news_class(("news/keys", "news/config"), 20.0)
-        self.watch = self.news.handle(NewsBegin(), 0.0)[-1]
+        self.watch = self.news.handle(WatchStarted(), 0.0)[-1]
         self.fetches = []
         self.seen_version = 0
         self.seen_withdrawn = frozenset()
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -9,12 +9,12 @@
 from daisyhub.controllers._news_core import (
     DeliverNews,
     DeliveryFailed,
-    NewsBegin,
     NewsDelivered,
     WatchAnswered,
     WatchCore,
     WatchFailed,
     WatchNews,
+    WatchStarted,
 )
 from daisyhub.exceptions import PlatformUnavailableError
 from daisyhub.hosting import PlatformClient, PlatformObject
@@ -67,7 +67,7 @@
 
     async def run(self) -> None:
         """Watches until cancelled."""
-        event = NewsBegin()
+        event = WatchStarted()
         while True:
             for action in self._core.handle(event, time.monotonic()):
                 match action:
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -14,7 +14,7 @@
 __all__ = [
     "DeliverNews",
     "DeliveryFailed",
-    "NewsBegin",
+    "WatchStarted",
     "WatchCore",
     "NewsDelivered",
     "WatchAnswered",
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsBegin:
+class WatchStarted:
     """Event: start."""
 
 
@@ -115,7 +115,7 @@
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes one event; deliveries come before the next watch."""
         match event:
-            case NewsBegin():
+            case WatchStarted():
                 return [self._watch(now_s)]
             case WatchAnswered():
                 return self._on_answer(event, now_s)
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -5,10 +5,10 @@
 from daisyhub.controllers._news_core import (
     DeliverNews,
     DeliveryFailed,
-    NewsBegin,
     WatchAnswered,
     WatchCore,
     WatchNews,
+    WatchStarted,
 )
 from daisyhub.hosting import PlatformObject
 
@@ -20,7 +20,7 @@
 class NewsCoreTest(unittest.TestCase):
     def setUp(self):
         self.core = WatchCore(("news/keys", "news/"), 20.0)
-        self.core.handle(NewsBegin(), 0.0)
+        self.core.handle(WatchStarted(), 0.0)
 
     def test_a_store_without_objects_is_waited_on(self):
         watch = self.core.handle(WatchAnswered(0, ()), 0.0)[-1]
