--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -49,7 +49,7 @@
 from daisyhub.controllers._news_core import (
     DeliverNews,
     DeliveryFailed,
-    NewsDelivered,
+    ObjectDelivered,
     WatchAnswered,
     WatchCore,
     WatchFailed,
@@ -258,7 +258,7 @@
         value = action.found.value
         heard = HeadReceived(value) if action.listener else None
         daemon.feed(heard or WithdrawnKeysReceived(value.key_ids), self.now_s)
-        done = NewsDelivered(action.listener, action.found)
+        done = ObjectDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
 
     @rule(
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -9,7 +9,7 @@
 from daisyhub.controllers._news_core import (
     DeliverNews,
     DeliveryFailed,
-    NewsDelivered,
+    ObjectDelivered,
     WatchAnswered,
     WatchCore,
     WatchFailed,
@@ -77,7 +77,7 @@
                         event = await self._watch(action)
 
     async def _deliver(self, action: DeliverNews) -> None:
-        event = NewsDelivered(action.listener, action.found)
+        event = ObjectDelivered(action.listener, action.found)
         try:
             await self._listeners[action.listener](action.found)
         except Exception as exc:  # noqa: BLE001 - others must hear theirs.
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -16,7 +16,7 @@
     "DeliveryFailed",
     "WatchStarted",
     "WatchCore",
-    "NewsDelivered",
+    "ObjectDelivered",
     "WatchAnswered",
     "WatchFailed",
     "WatchNews",
@@ -46,7 +46,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NewsDelivered:
+class ObjectDelivered:
     """Event: a listener took an object."""
 
     listener: int
@@ -123,7 +123,7 @@
                 self.is_connected = False
                 due = self._due(now_s)
                 return [*due, self._watch(now_s, pause_s=_RETRY_S)]
-            case NewsDelivered():
+            case ObjectDelivered():
                 self._on_delivered(event)
                 return []
             case DeliveryFailed():
@@ -169,7 +169,7 @@
             if now_s >= item.due_s
         ]
 
-    def _on_delivered(self, event: NewsDelivered) -> None:
+    def _on_delivered(self, event: ObjectDelivered) -> None:
         place = (event.listener, event.found.key)
         self._undelivered.pop(place, None)
         self._tries.pop(place, None)
