--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -47,7 +47,7 @@
     write_head,
 )
 from daisyhub.controllers._news_core import (
-    DeliverNews,
+    DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
     WatchAnswered,
@@ -247,7 +247,7 @@
             if isinstance(action, WatchNews):
                 daemon.watch = action
                 continue
-            assert isinstance(action, DeliverNews)
+            assert isinstance(action, DeliverObject)
             self.deliver(daemon, action, is_failing)
 
     def deliver(self, daemon, action, is_failing):
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -7,7 +7,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.controllers._news_core import (
-    DeliverNews,
+    DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
     WatchAnswered,
@@ -71,12 +71,12 @@
         while True:
             for action in self._core.handle(event, time.monotonic()):
                 match action:
-                    case DeliverNews():
+                    case DeliverObject():
                         await self._deliver(action)
                     case WatchNews():
                         event = await self._watch(action)
 
-    async def _deliver(self, action: DeliverNews) -> None:
+    async def _deliver(self, action: DeliverObject) -> None:
         event = ObjectDelivered(action.listener, action.found)
         try:
             await self._listeners[action.listener](action.found)
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -12,7 +12,7 @@
 from daisyhub.hosting import PlatformObject
 
 __all__ = [
-    "DeliverNews",
+    "DeliverObject",
     "DeliveryFailed",
     "WatchStarted",
     "WatchCore",
@@ -71,7 +71,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class DeliverNews:
+class DeliverObject:
     """Action: give an object to a listener."""
 
     listener: int
@@ -134,7 +134,7 @@
     def _on_answer(self, event: WatchAnswered, now_s: float) -> list[object]:
         # In the order of listeners, so that withdrawn keys can come first.
         deliveries = [
-            DeliverNews(listener, found)
+            DeliverObject(listener, found)
             for listener, prefix in enumerate(self.prefixes)
             for found in event.objects
             if found.key.startswith(prefix)
@@ -161,10 +161,10 @@
         pause_s = min(_MOST_RETRY_S, _RETRY_S * 2 ** min(tries, 8))
         self._undelivered[place] = _Undelivered(event.found, now_s + pause_s)
 
-    def _due(self, now_s: float) -> list[DeliverNews]:
+    def _due(self, now_s: float) -> list[DeliverObject]:
         """Returns what to deliver again."""
         return [
-            DeliverNews(listener, item.found)
+            DeliverObject(listener, item.found)
             for (listener, _), item in self._undelivered.items()
             if now_s >= item.due_s
         ]
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -3,7 +3,7 @@
 import unittest
 
 from daisyhub.controllers._news_core import (
-    DeliverNews,
+    DeliverObject,
     DeliveryFailed,
     WatchAnswered,
     WatchCore,
@@ -38,7 +38,7 @@
     def test_withdrawn_keys_come_first(self):
         found = (news("news/config", 1), news("news/keys", 2))
         actions = self.core.handle(WatchAnswered(2, found), 0.0)
-        keys = [a.found.key for a in actions if isinstance(a, DeliverNews)]
+        keys = [a.found.key for a in actions if isinstance(a, DeliverObject)]
         self.assertEqual(keys, ["news/keys", "news/config", "news/keys"])
 
     def test_what_always_fails_shortens_no_watch_for_long(self):
