--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -50,10 +50,10 @@
     DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
-    WatchAnswered,
     WatchCore,
     WatchFailed,
     WatchNews,
+    WatchResponseReceived,
     WatchStarted,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -240,7 +240,7 @@
         daemon = self.daemons[name]
         event = WatchFailed()
         if not is_down and (name, "store") not in self.cut:
-            event = WatchAnswered(
+            event = WatchResponseReceived(
                 *self.store.watch(daemon.watch.after_revision, lag)
             )
         for action in daemon.news.handle(event, self.now_s):
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -10,10 +10,10 @@
     DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
-    WatchAnswered,
     WatchCore,
     WatchFailed,
     WatchNews,
+    WatchResponseReceived,
     WatchStarted,
 )
 from daisyhub.exceptions import PlatformUnavailableError
@@ -96,4 +96,4 @@
         except PlatformUnavailableError as exc:
             log.warning("the platform does not answer: {}", exc)
             return WatchFailed()
-        return WatchAnswered(revision, objects)
+        return WatchResponseReceived(revision, objects)
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -17,7 +17,7 @@
     "WatchStarted",
     "WatchCore",
     "ObjectDelivered",
-    "WatchAnswered",
+    "WatchResponseReceived",
     "WatchFailed",
     "WatchNews",
 ]
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchAnswered:
+class WatchResponseReceived:
     """Event: the store's revision and the objects changed."""
 
     revision: int
@@ -117,7 +117,7 @@
         match event:
             case WatchStarted():
                 return [self._watch(now_s)]
-            case WatchAnswered():
+            case WatchResponseReceived():
                 return self._on_answer(event, now_s)
             case WatchFailed():
                 self.is_connected = False
@@ -131,7 +131,9 @@
                 return []
         raise TypeError(f"not a news event: {event!r}")
 
-    def _on_answer(self, event: WatchAnswered, now_s: float) -> list[object]:
+    def _on_answer(
+        self, event: WatchResponseReceived, now_s: float
+    ) -> list[object]:
         # In the order of listeners, so that withdrawn keys can come first.
         deliveries = [
             DeliverObject(listener, found)
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -5,9 +5,9 @@
 from daisyhub.controllers._news_core import (
     DeliverObject,
     DeliveryFailed,
-    WatchAnswered,
     WatchCore,
     WatchNews,
+    WatchResponseReceived,
     WatchStarted,
 )
 from daisyhub.hosting import PlatformObject
@@ -23,31 +23,31 @@
         self.core.handle(WatchStarted(), 0.0)
 
     def test_a_store_without_objects_is_waited_on(self):
-        watch = self.core.handle(WatchAnswered(0, ()), 0.0)[-1]
+        watch = self.core.handle(WatchResponseReceived(0, ()), 0.0)[-1]
         self.assertEqual(watch, WatchNews(0, 20.0))
 
     def test_a_lower_revision_lists_anew(self):
-        self.core.handle(WatchAnswered(9, ()), 0.0)
-        watch = self.core.handle(WatchAnswered(3, ()), 1.0)[-1]
+        self.core.handle(WatchResponseReceived(9, ()), 0.0)
+        watch = self.core.handle(WatchResponseReceived(3, ()), 1.0)[-1]
         self.assertEqual((watch.after_revision, watch.wait_s), (0, 0.0))
         self.assertGreater(watch.pause_s, 0)
         found = (news("news/keys", 2),)
-        actions = self.core.handle(WatchAnswered(3, found), 2.0)
+        actions = self.core.handle(WatchResponseReceived(3, found), 2.0)
         self.assertEqual(actions[-1], WatchNews(3, 20.0))
 
     def test_withdrawn_keys_come_first(self):
         found = (news("news/config", 1), news("news/keys", 2))
-        actions = self.core.handle(WatchAnswered(2, found), 0.0)
+        actions = self.core.handle(WatchResponseReceived(2, found), 0.0)
         keys = [a.found.key for a in actions if isinstance(a, DeliverObject)]
         self.assertEqual(keys, ["news/keys", "news/config", "news/keys"])
 
     def test_what_always_fails_shortens_no_watch_for_long(self):
         found = news("news/config", 1)
-        self.core.handle(WatchAnswered(1, (found,)), 0.0)
+        self.core.handle(WatchResponseReceived(1, (found,)), 0.0)
         now_s, waits = 0.0, []
         for _ in range(12):
             self.core.handle(DeliveryFailed(1, found), now_s)
-            watch = self.core.handle(WatchAnswered(1, ()), now_s)[-1]
+            watch = self.core.handle(WatchResponseReceived(1, ()), now_s)[-1]
             waits.append(watch.wait_s)
             now_s += watch.wait_s
         self.assertEqual(waits[0], 0.5)
