--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -52,7 +52,7 @@
     ObjectDelivered,
     WatchCore,
     WatchFailed,
-    WatchNews,
+    WatchObjects,
     WatchResponseReceived,
     WatchStarted,
 )
@@ -244,7 +244,7 @@
                 *self.store.watch(daemon.watch.after_revision, lag)
             )
         for action in daemon.news.handle(event, self.now_s):
-            if isinstance(action, WatchNews):
+            if isinstance(action, WatchObjects):
                 daemon.watch = action
                 continue
             assert isinstance(action, DeliverObject)
--- a/daisyhub/controllers/_news.py
+++ b/daisyhub/controllers/_news.py
@@ -12,7 +12,7 @@
     ObjectDelivered,
     WatchCore,
     WatchFailed,
-    WatchNews,
+    WatchObjects,
     WatchResponseReceived,
     WatchStarted,
 )
@@ -73,7 +73,7 @@
                 match action:
                     case DeliverObject():
                         await self._deliver(action)
-                    case WatchNews():
+                    case WatchObjects():
                         event = await self._watch(action)
 
     async def _deliver(self, action: DeliverObject) -> None:
@@ -85,7 +85,7 @@
             event = DeliveryFailed(action.listener, action.found)
         self._core.handle(event, time.monotonic())
 
-    async def _watch(self, action: WatchNews) -> object:
+    async def _watch(self, action: WatchObjects) -> object:
         await anyio.sleep(action.pause_s)
         try:
             revision, objects = await self._client.watch(
--- a/daisyhub/controllers/_news_core.py
+++ b/daisyhub/controllers/_news_core.py
@@ -19,7 +19,7 @@
     "ObjectDelivered",
     "WatchResponseReceived",
     "WatchFailed",
-    "WatchNews",
+    "WatchObjects",
 ]
 
 _RETRY_S = 0.5
@@ -62,7 +62,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WatchNews:
+class WatchObjects:
     """Action: watch, after a pause."""
 
     after_revision: int
@@ -176,11 +176,11 @@
         self._undelivered.pop(place, None)
         self._tries.pop(place, None)
 
-    def _watch(self, now_s: float, pause_s: float = 0.0) -> WatchNews:
+    def _watch(self, now_s: float, pause_s: float = 0.0) -> WatchObjects:
         # A list does not wait, nor does the first watch after an outage.
         if not self._is_listed:
-            return WatchNews(0, 0.0, pause_s)
+            return WatchObjects(0, 0.0, pause_s)
         wait_s = self.wait_s if self.is_connected else 0.0
         for item in self._undelivered.values():
             wait_s = min(wait_s, max(_RETRY_S, item.due_s - now_s))
-        return WatchNews(self.revision, wait_s, pause_s)
+        return WatchObjects(self.revision, wait_s, pause_s)
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -6,7 +6,7 @@
     DeliverObject,
     DeliveryFailed,
     WatchCore,
-    WatchNews,
+    WatchObjects,
     WatchResponseReceived,
     WatchStarted,
 )
@@ -24,7 +24,7 @@
 
     def test_a_store_without_objects_is_waited_on(self):
         watch = self.core.handle(WatchResponseReceived(0, ()), 0.0)[-1]
-        self.assertEqual(watch, WatchNews(0, 20.0))
+        self.assertEqual(watch, WatchObjects(0, 20.0))
 
     def test_a_lower_revision_lists_anew(self):
         self.core.handle(WatchResponseReceived(9, ()), 0.0)
@@ -33,7 +33,7 @@
         self.assertGreater(watch.pause_s, 0)
         found = (news("news/keys", 2),)
         actions = self.core.handle(WatchResponseReceived(3, found), 2.0)
-        self.assertEqual(actions[-1], WatchNews(3, 20.0))
+        self.assertEqual(actions[-1], WatchObjects(3, 20.0))
 
     def test_withdrawn_keys_come_first(self):
         found = (news("news/config", 1), news("news/keys", 2))
