--- a/daisyhub/controllers/__init__.py
+++ b/daisyhub/controllers/__init__.py
@@ -3,10 +3,10 @@
 from daisyhub.controllers._config import ConfigController
 from daisyhub.controllers._endpoints import EndpointController
 from daisyhub.controllers._lots import LotController
-from daisyhub.controllers._news import WatchController
 from daisyhub.controllers._orders import OrderController
 from daisyhub.controllers._peers import PeerController
 from daisyhub.controllers._usage import UsageController
+from daisyhub.controllers._watch import WatchController
 from daisyhub.controllers._weights import WeightController
 
 __all__ = [
