--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -46,7 +46,7 @@
     sections_at,
     write_head,
 )
-from daisyhub.controllers._news_core import (
+from daisyhub.controllers._watch_core import (
     DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
--- a/daisyhub/controllers/_watch.py
+++ b/daisyhub/controllers/_watch.py
@@ -6,7 +6,7 @@
 import anyio
 
 from daisyhub.base import Controller
-from daisyhub.controllers._news_core import (
+from daisyhub.controllers._watch_core import (
     DeliverObject,
     DeliveryFailed,
     ObjectDelivered,
--- a/daisyhub/controllers/tests/test_news_core.py
+++ b/daisyhub/controllers/tests/test_news_core.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from daisyhub.controllers._news_core import (
+from daisyhub.controllers._watch_core import (
     DeliverObject,
     DeliveryFailed,
     WatchCore,
