--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -149,11 +149,11 @@
         )
         self.lots = LotController(self._lot_server_dependencies(), self.network)
         self.claims = ClaimController(self.platform)
-        self.news = WatchController(self.platform, cfg.timing)
-        self.news.add_listener("news/keys", self.config.on_withdrawn)
-        self.news.add_listener("news/config", self.config.on_head)
-        self.news.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
-        self.news.add_listener("news/weights/", self.weights.on_weights)
+        self.watch = WatchController(self.platform, cfg.timing)
+        self.watch.add_listener("news/keys", self.config.on_withdrawn)
+        self.watch.add_listener("news/config", self.config.on_head)
+        self.watch.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
+        self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
         self.network.add_callee(ConfigFetch, self.config.answer_fetch)
@@ -184,7 +184,7 @@
     def controllers(self) -> tuple[Controller, ...]:
         """All controllers."""
         return (
-            self.news,
+            self.watch,
             self.config,
             self.peers,
             self.endpoints,
