--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -182,7 +182,7 @@
         state.last_received_at_s = time.monotonic()
         news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
-            self._peers.add_news(news)
+            self._peers.add_update(news)
         self._table.apply_update(news)
 
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -108,7 +108,7 @@
             if daemon_id in self._incarnations
         }
 
-    def add_news(self, news: EndpointUpdate) -> None:
+    def add_update(self, news: EndpointUpdate) -> None:
         """Notes endpoint news for a later tick; leaving goes at once."""
         if news.is_leaving:
             self._leaving[news.endpoint_id] = (news, _NEWS_REPEATS)
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -123,7 +123,7 @@
             self.counters,
             self.shares,
         )
-        self.table.add_listener(self.peers.add_news)
+        self.table.add_listener(self.peers.add_update)
         self.keeper.set_candidate_rule(self._is_candidate)
         self.endpoints = EndpointController(
             cfg,
