--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -139,7 +139,7 @@
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
-    async def answer_fetch(self, fetch: ConfigFetch) -> ConfigParts:
+    async def handle_fetch_request(self, fetch: ConfigFetch) -> ConfigParts:
         """Serves a peer's `ConfigFetch`."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -136,7 +136,7 @@
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
+    async def handle_fetch_request(self, _: EndpointFetch) -> EndpointParts:
         """Serves a peer's `EndpointFetch`."""
         records = tuple(_record_of(state) for state in self._table.all())
         return EndpointParts(records=records)
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -156,8 +156,10 @@
         self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
-        self.network.add_callee(ConfigFetch, self.config.answer_fetch)
-        self.network.add_callee(EndpointFetch, self.endpoints.answer_fetch)
+        self.network.add_callee(ConfigFetch, self.config.handle_fetch_request)
+        self.network.add_callee(
+            EndpointFetch, self.endpoints.handle_fetch_request
+        )
         self.network.add_callee(LotCall, self.lots.answer_call)
 
     def _is_candidate(self, duty: str) -> bool:
