--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -102,7 +102,7 @@
                 retry_after_s=_RETRY_S,
             ) from exc
 
-    async def answer_call(self, call: LotCall) -> LotAnswer:
+    async def handle_forwarded_call(self, call: LotCall) -> LotAnswer:
         """Serves a call that a peer passed on; never passes it further."""
         seat = self._seats.get(call.lot_id)
         if seat is None or not seat.is_serving:
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -160,7 +160,7 @@
         self.network.add_callee(
             EndpointFetch, self.endpoints.handle_fetch_request
         )
-        self.network.add_callee(LotCall, self.lots.answer_call)
+        self.network.add_callee(LotCall, self.lots.handle_forwarded_call)
 
     def _is_candidate(self, duty: str) -> bool:
         """Whether this daemon is among the first for a duty of its domain."""
