--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -135,7 +135,7 @@
         record = msgspec.convert(found.value, WithdrawnKeys)
         self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer(self, heard: PeerSummaryReceived) -> None:
+    def on_peer_summary(self, heard: PeerSummaryReceived) -> None:
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -181,7 +181,7 @@
     def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
         self._versions[sender] = beat.config_version
         self._feed(HeartbeatHeard(sender, beat))
-        self._config.on_peer(
+        self._config.on_peer_summary(
             PeerSummaryReceived(
                 sender,
                 beat.config_version,
