--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -85,7 +85,7 @@
 
     cfg: DaemonSettings
     client: PlatformClient
-    keeper: LeaseFactory
+    lease_factory: LeaseFactory
     http: HttpClient
     table: EndpointTable
     balancer: Balancer
@@ -116,7 +116,7 @@
         self.spec = spec
         self.ready = anyio.Event()
         self._tools = tools
-        self._lease = tools.keeper.new_lease(f"lots/{spec.lot_id}")
+        self._lease = tools.lease_factory.new_lease(f"lots/{spec.lot_id}")
         self._core: LotCore | None = None
         self._engines = LotEngines(
             spec, tools.table, tools.balancer, tools.http
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -59,7 +59,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseFactory,
+        lease_factory: LeaseFactory,
         table: EndpointTable,
         config: ConfigController,
     ):
@@ -67,7 +67,9 @@
         self._client = client
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty_lease(f"orders/{cfg.failure_domain}")
+        self._lease = lease_factory.new_duty_lease(
+            f"orders/{cfg.failure_domain}"
+        )
         self._core = OrderCore(cfg.failure_domain)
 
     def status(self) -> dict[str, object]:
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -76,7 +76,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseFactory,
+        lease_factory: LeaseFactory,
         counters: UsageCounters,
         peers: PeerController,
         metrics: Metrics,
@@ -87,7 +87,9 @@
         self._peers = peers
         self._metrics = metrics
         self._counted_window = -1
-        self._lease = keeper.new_duty_lease(f"usage/{cfg.failure_domain}")
+        self._lease = lease_factory.new_duty_lease(
+            f"usage/{cfg.failure_domain}"
+        )
         timing = cfg.timing
         self._step_s = min(_STEP_S, timing.usage_grace_s / 2)
         self._flush_core = FlushCore(counters, self._step_s)
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -67,7 +67,7 @@
     def __init__(
         self,
         cfg: DaemonSettings,
-        keeper: LeaseFactory,
+        lease_factory: LeaseFactory,
         http: HttpClient,
         table: EndpointTable,
         config: ConfigController,
@@ -76,7 +76,9 @@
         self._http = http
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty_lease(f"weights/{cfg.failure_domain}")
+        self._lease = lease_factory.new_duty_lease(
+            f"weights/{cfg.failure_domain}"
+        )
         self._core = WeightCore(_extra_margin_s(cfg.timing))
         self._published: dict[str, int] = {}
         self._wakeup = anyio.Event()
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -96,7 +96,9 @@
         self.platform = PlatformClient(
             self.cfg.platform_address, self.http, timing.platform_timeout_s
         )
-        self.keeper = LeaseFactory(self.platform, self.process_id, timing)
+        self.lease_factory = LeaseFactory(
+            self.platform, self.process_id, timing
+        )
         self.network = PeerNetwork(self.cfg, self.incarnation)
         self.counters = UsageCounters(
             self.cfg.daemon_id, self.incarnation, timing.usage_window_s
@@ -124,7 +126,7 @@
             self.shares,
         )
         self.table.add_listener(self.peers.add_update)
-        self.keeper.set_candidate_rule(self._is_candidate)
+        self.lease_factory.set_candidate_rule(self._is_candidate)
         self.endpoints = EndpointController(
             cfg,
             self.platform,
@@ -134,15 +136,15 @@
             self.network,
         )
         self.weights = WeightController(
-            cfg, self.keeper, self.http, self.table, self.config
+            cfg, self.lease_factory, self.http, self.table, self.config
         )
         self.orders = OrderController(
-            cfg, self.platform, self.keeper, self.table, self.config
+            cfg, self.platform, self.lease_factory, self.table, self.config
         )
         self.usage = UsageController(
             cfg,
             self.platform,
-            self.keeper,
+            self.lease_factory,
             self.counters,
             self.peers,
             self.metrics,
@@ -173,7 +175,7 @@
         return LotServerDependencies(
             cfg=self.cfg,
             client=self.platform,
-            keeper=self.keeper,
+            lease_factory=self.lease_factory,
             http=self.http,
             table=self.table,
             balancer=LeastLoaded(self.incarnation),
