--- a/daisyhub/controllers/__init__.py
+++ b/daisyhub/controllers/__init__.py
@@ -1,4 +1,4 @@
-"""Controllers: each keeps one part of the daemon's state up to date."""
+"""Controllers, each of which keeps one part of the daemon's state current."""
 
 from daisyhub.controllers._config import ConfigController
 from daisyhub.controllers._endpoints import EndpointController
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -1,4 +1,4 @@
-"""Keeps the configuration in force; it takes only higher versions."""
+"""Keeps the active configuration and replaces it by higher versions only."""
 
 import time
 from collections.abc import Callable
@@ -42,21 +42,22 @@
 __all__ = ["ConfigController"]
 
 _FETCH_TIMEOUT_S = 2.0
-_PLATFORM = ""
+_PLATFORM_SOURCE = ""
 
 log = get_logger("config")
 
 
 class ConfigController(Controller):
-    """Adopts configurations from the platform and from peers.
+    """Activates configurations from the platform and from peers.
 
-    Nothing is adopted from disk, so that a restarted daemon can't fall back.
-    What to adopt and to fetch is decided by `AdoptionCore`.
+    Configurations are never read from disk, so that a restarted daemon can't
+    return to an older version. `AdoptionCore` decides what to activate and
+    what to fetch.
 
     Args:
-        client: The platform.
-        network: The peers.
-        keys: The key table to fill.
+        client: Client of the platform.
+        network: Connections to peers.
+        keys: Table that receives the API keys of the configuration.
     """
 
     name = "config"
@@ -68,79 +69,80 @@
         self._network = network
         self._keys = keys
         self._core = AdoptionCore()
-        self._table: RouteTable | None = None
+        self._route_table: RouteTable | None = None
         self._listeners: list[Callable[[], None]] = []
         self._fetches: list[FetchFromPeer | FetchParts] = []
         self._wakeup = anyio.Event()
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """The active version; 0 if there is none yet."""
         return self._core.version
 
     @property
     def withdrawn_count(self) -> int:
-        """How many keys are known to be withdrawn."""
+        """Count of API keys known to be withdrawn."""
         return len(self._core.withdrawn)
 
     @property
     def withdrawn_digest(self) -> str:
-        """Digest of the withdrawn key ids."""
+        """Digest of the ids of withdrawn API keys."""
         return self._core.withdrawn_digest
 
     @property
     def document(self) -> Document:
-        """The document in force; an empty one before the first."""
+        """The active document; an empty one if there is none yet."""
         snapshot = self._core.snapshot
         return snapshot.document if snapshot else empty_document()
 
     @property
     def route_table(self) -> RouteTable | None:
-        """The routes in force; None before the first configuration."""
-        return self._table
+        """The active routes; None if there is no configuration yet."""
+        return self._route_table
 
     def add_listener(self, listener: Callable[[], None]) -> None:
-        """Calls `listener` after each adopted change."""
+        """Calls `listener` when the configuration or withdrawn keys change."""
         self._listeners.append(listener)
 
     def status(self) -> dict[str, object]:
-        """Tells the version in force."""
+        """Returns the active version and the count of withdrawn keys."""
         return {
             "version": self.version,
             "withdrawn_keys": self.withdrawn_count,
         }
 
     async def run(self) -> None:
-        """Carries fetches out, again when they failed."""
+        """Runs the fetches that the core requests, and ticks it when due."""
         async with anyio.create_task_group() as tasks:
             while True:
                 for fetch in self._fetches:
                     tasks.start_soon(self._fetch, fetch)
                 self._fetches = []
-                with anyio.move_on_after(self._pause_s()):
+                with anyio.move_on_after(self._tick_delay_s()):
                     await self._wakeup.wait()
                 self._wakeup = anyio.Event()
                 self._feed(AdoptionTick())
 
-    def _pause_s(self) -> float | None:
+    def _tick_delay_s(self) -> float | None:
+        """Returns the time until the core's next tick; None if none is due."""
         due_s = self._core.next_wakeup_s
         return None if due_s is None else max(0.0, due_s - time.monotonic())
 
     async def on_head(self, found: PlatformObject) -> None:
-        """Takes a head from the platform's watch."""
+        """Handles a changed configuration head from the watch."""
         self._feed(HeadReceived(msgspec.convert(found.value, ConfigHead)))
 
     async def on_withdrawn(self, found: PlatformObject) -> None:
-        """Takes the withdrawn keys from the platform's watch."""
+        """Handles a changed list of withdrawn keys from the watch."""
         record = msgspec.convert(found.value, WithdrawnKeys)
         self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer_summary(self, heard: PeerSummaryReceived) -> None:
-        """Takes what a peer's heartbeat tells."""
-        self._feed(heard)
+    def on_peer_summary(self, summary: PeerSummaryReceived) -> None:
+        """Handles the summary of a peer's configuration from its heartbeat."""
+        self._feed(summary)
 
     async def handle_fetch_request(self, fetch: ConfigFetch) -> ConfigParts:
-        """Serves a peer's `ConfigFetch`."""
+        """Returns the active configuration without parts the peer has."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
         contents = {
@@ -160,20 +162,20 @@
             match action:
                 case WithdrawKeys(key_ids):
                     self._keys.withdraw(key_ids)
-                    log.info("{} keys are withdrawn", len(key_ids))
-                    self._tell()
+                    log.info("{} API keys are withdrawn", len(key_ids))
+                    self._notify_listeners()
                 case ActivateSnapshot(snapshot):
-                    self._put_in_force(snapshot)
+                    self._activate(snapshot)
                 case FetchParts() | FetchFromPeer():
                     self._fetches.append(action)
         if self._fetches or due_s != self._core.next_wakeup_s:
             self._wakeup.set()
 
-    def _put_in_force(self, snapshot: Snapshot) -> None:
-        self._table = RouteTable(snapshot.document)
+    def _activate(self, snapshot: Snapshot) -> None:
+        self._route_table = RouteTable(snapshot.document)
         self._keys.replace_keys(snapshot.document.keys)
-        log.info("version {} is in force", snapshot.head.version)
-        self._tell()
+        log.info("configuration version {} is active", snapshot.head.version)
+        self._notify_listeners()
 
     async def _fetch(self, fetch: FetchFromPeer | FetchParts) -> None:
         if isinstance(fetch, FetchParts):
@@ -185,8 +187,8 @@
         try:
             return PartsFetched(await self._store.read_parts(fetch.digests))
         except PlatformUnavailableError as exc:
-            log.info("no parts from the platform: {}", exc)
-            return FetchFailed(_PLATFORM)
+            log.info("fetching parts from the platform failed: {}", exc)
+            return FetchFailed(_PLATFORM_SOURCE)
 
     async def _fetch_from_peer(self, fetch: FetchFromPeer) -> object:
         call = ConfigFetch(known_digests=fetch.known_digests)
@@ -195,7 +197,11 @@
                 fetch.daemon_id, call, _FETCH_TIMEOUT_S
             )
         except PeerUnreachableError as exc:
-            log.info("no configuration from {}: {}", fetch.daemon_id, exc)
+            log.info(
+                "fetching the configuration from {} failed: {}",
+                fetch.daemon_id,
+                exc,
+            )
             return FetchFailed(fetch.daemon_id)
         if not isinstance(parts, ConfigParts):
             return FetchFailed(fetch.daemon_id)
@@ -203,6 +209,6 @@
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
         )
 
-    def _tell(self) -> None:
+    def _notify_listeners(self) -> None:
         for listener in self._listeners:
             listener()
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -1,4 +1,4 @@
-"""Keeps the endpoint table: the platform's list, and probes of a share."""
+"""Updates the endpoint table from the platform's list and from probes."""
 
 import time
 from collections.abc import Callable
@@ -35,24 +35,24 @@
 __all__ = ["EndpointController"]
 
 _PROBE_TIMEOUT_S = 1.0
-_QUIET_PROBES = 5
+_QUIET_PROBE_INTERVALS = 5
 
 log = get_logger("endpoints")
 
 
 class EndpointController(Controller):
-    """Reads the platform's list and probes this daemon's share of it.
+    """Polls the platform's list and probes the endpoints assigned to it.
 
-    Each endpoint is watched by one live daemon of the failure domain, chosen
-    by rendezvous hashing; its news goes to the others in batches.
+    Each endpoint is probed by one live daemon of the failure domain, chosen by
+    rendezvous hashing, which sends updates to the others in batches.
 
     Args:
         cfg: Settings of this daemon.
-        client: The platform.
+        client: Client of the platform.
         http: Sends probes.
-        table: The table to keep.
-        peers: Tells live daemons, and takes news for them.
-        network: Reaches a peer when the platform can't be reached.
+        table: The table to update.
+        peers: Knows the live daemons and sends them updates.
+        network: Connections to peers, used if the platform is unavailable.
     """
 
     name = "endpoints"
@@ -72,11 +72,11 @@
         self._table = table
         self._peers = peers
         self._network = network
-        self._watchers: frozenset[str] = frozenset()
-        self._is_watched: dict[str, bool] = {}
+        self._live_daemons: frozenset[str] = frozenset()
+        self._is_assigned: dict[str, bool] = {}
 
     def status(self) -> dict[str, object]:
-        """Tells each endpoint's state."""
+        """Returns the state of each endpoint, by endpoint id."""
         now_s = time.monotonic()
         return {
             state.endpoint_id: {
@@ -91,22 +91,24 @@
         }
 
     async def run(self) -> None:
-        """Reads and probes until cancelled."""
+        """Polls the list and sends probes until cancelled."""
         async with anyio.create_task_group() as tasks:
             timing = self._cfg.timing
             tasks.start_soon(_repeat, timing.endpoint_poll_s, self._read_list)
-            tasks.start_soon(_repeat, timing.probe_s, self._probe_share)
+            tasks.start_soon(_repeat, timing.probe_s, self._probe_assigned)
 
     async def on_drain(self, found: PlatformObject) -> None:
-        """Takes an operator's order from the platform's watch."""
+        """Handles an operator's drain order from the watch."""
         order = msgspec.convert(found.value, DrainOrder)
-        news = EndpointUpdate(
+        update = EndpointUpdate(
             endpoint_id=order.endpoint_id,
             incarnation=order.incarnation,
             is_leaving=True,
         )
-        if self._table.apply_update(news):
-            log.info("{} is drained by {}", order.endpoint_id, order.author)
+        if self._table.apply_update(update):
+            log.info(
+                "endpoint {} is drained by {}", order.endpoint_id, order.author
+            )
 
     async def _read_list(self) -> None:
         try:
@@ -114,16 +116,17 @@
                 self._cfg.failure_domain
             )
         except PlatformUnavailableError as exc:
-            log.debug("the endpoint list can't be read: {}", exc)
+            log.debug("reading the endpoint list failed: {}", exc)
             if not self._table.all():
-                await self._catch_up()
+                await self._fetch_list_from_peer()
             return
         self._table.apply_list(records, time.monotonic())
 
-    async def _catch_up(self) -> None:
-        """Takes a peer's endpoints: a daemon that starts without the platform.
+    async def _fetch_list_from_peer(self) -> None:
+        """Fills the table from a live peer while the platform is unavailable.
 
-        The platform's list replaces them as soon as it can be read.
+        Used if the daemon starts without the platform. The platform's list
+        replaces these endpoints as soon as it can be read.
         """
         domain = {peer.daemon_id for peer in self._cfg.domain_peers}
         for daemon_id in domain.intersection(self._peers.live_peers()):
@@ -137,56 +140,56 @@
             return
 
     async def handle_fetch_request(self, _: EndpointFetch) -> EndpointParts:
-        """Serves a peer's `EndpointFetch`."""
-        records = tuple(_record_of(state) for state in self._table.all())
+        """Returns all endpoints of the table, for a peer."""
+        records = tuple(_make_record(state) for state in self._table.all())
         return EndpointParts(records=records)
 
-    async def _probe_share(self) -> None:
-        """Probes the quiet endpoints of this daemon's share.
+    async def _probe_assigned(self) -> None:
+        """Probes the assigned endpoints that haven't responded recently.
 
-        Answers to requests carry the same news, so that a busy endpoint
-        needs no probe.
+        Responses to requests carry the same data as a probe, so a busy
+        endpoint needs none.
         """
-        self._follow_live_daemons()
-        quiet_s = _QUIET_PROBES * self._cfg.timing.probe_s
+        self._update_live_daemons()
+        quiet_s = _QUIET_PROBE_INTERVALS * self._cfg.timing.probe_s
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
                 if state.last_received_at_s > oldest_s:
                     continue
-                if self._is_watched_here(state.endpoint_id):
+                if self._is_assigned_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
 
-    def _follow_live_daemons(self) -> None:
-        """Ranks watchers anew once the live daemons have changed."""
+    def _update_live_daemons(self) -> None:
+        """Discards the assignments if the live daemons have changed."""
         live = frozenset((self._cfg.daemon_id, *self._peers.live_peers()))
-        if live != self._watchers:
-            self._watchers = live
-            self._is_watched.clear()
+        if live != self._live_daemons:
+            self._live_daemons = live
+            self._is_assigned.clear()
 
-    def _is_watched_here(self, endpoint_id: str) -> bool:
-        """Whether this daemon is the one that watches the endpoint."""
-        if endpoint_id not in self._is_watched:
-            watcher, *_ = rank_candidates(endpoint_id, self._watchers)
-            self._is_watched[endpoint_id] = watcher == self._cfg.daemon_id
-        return self._is_watched[endpoint_id]
+    def _is_assigned_here(self, endpoint_id: str) -> bool:
+        """Returns whether this daemon probes the endpoint."""
+        if endpoint_id not in self._is_assigned:
+            assigned_id, *_ = rank_candidates(endpoint_id, self._live_daemons)
+            self._is_assigned[endpoint_id] = assigned_id == self._cfg.daemon_id
+        return self._is_assigned[endpoint_id]
 
     async def _probe(self, state: EndpointState) -> None:
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "GET", state.address, "/load", timeout_s=_PROBE_TIMEOUT_S
             )
         except RequestFailedError:
             self._http.forget(state.address)
             return
         state.last_received_at_s = time.monotonic()
-        news = parse_endpoint_headers(state, answer.headers)
-        if _tells_news(state, news):
-            self._peers.add_update(news)
-        self._table.apply_update(news)
+        update = parse_endpoint_headers(state, response.headers)
+        if _is_significant(state, update):
+            self._peers.add_update(update)
+        self._table.apply_update(update)
 
 
-def _record_of(state: EndpointState) -> EndpointRecord:
+def _make_record(state: EndpointState) -> EndpointRecord:
     return EndpointRecord(
         endpoint_id=state.endpoint_id,
         pool=state.pool,
@@ -198,19 +201,23 @@
     )
 
 
-def _tells_news(state: EndpointState, news) -> bool:
-    """Whether peers must hear it: new weights, or twice the load."""
-    if news.weight_version > state.weight_version:
+def _is_significant(state: EndpointState, update) -> bool:
+    """Returns whether an update is sent to peers.
+
+    It is if the weight version has risen or the load has reached another
+    power of two.
+    """
+    if update.weight_version > state.weight_version:
         return True
-    return _load_level(news.load) != _load_level(state.reported_load)
+    return _load_level(update.load) != _load_level(state.reported_load)
 
 
 def _load_level(load: float) -> int:
-    """Quantises a load to powers of two."""
+    """Quantizes a load to powers of two: the bit length of its integer part."""
     return int(max(0.0, load)).bit_length()
 
 
-async def _repeat(interval_s: float, work: Callable) -> None:
+async def _repeat(interval_s: float, function: Callable) -> None:
     while True:
-        await work()
+        await function()
         await anyio.sleep(interval_s)
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -1,4 +1,4 @@
-"""Asks engines for the samples of one lot."""
+"""Requests the samples of one lot from engines."""
 
 import time
 
@@ -20,8 +20,8 @@
 log = get_logger("lots")
 
 
-class _EnginePrompt(msgspec.Struct, frozen=True, kw_only=True):
-    """A generation request; `sample` seeds the sample."""
+class _GenerateRequest(msgspec.Struct, frozen=True, kw_only=True):
+    """A generation request; `sample` is the seed."""
 
     prompt: str
     max_tokens: int
@@ -29,12 +29,12 @@
 
 
 class LotEngines:
-    """Sends a lot's attempts to engines and cancels them.
+    """Sends the generation requests of a lot's attempts, and cancels them.
 
     Args:
-        spec: The lot.
+        spec: The lot's spec.
         table: The endpoints.
-        balancer: Chooses among them.
+        balancer: Chooses an endpoint.
         http: Sends requests.
     """
 
@@ -53,13 +53,17 @@
         self._endpoints: dict[int, str] = {}
 
     def cancel(self, attempt: int) -> None:
-        """Gives an attempt up and closes its connection."""
+        """Cancels an attempt and closes its connection."""
         scope = self._scopes.get(attempt)
         if scope is not None:
             scope.cancel()
 
     async def generate(self, action: Generate) -> EngineResponse | None:
-        """Returns an engine's whole answer, or None."""
+        """Returns the complete response of an engine.
+
+        Returns None if there is no endpoint, or if the attempt failed or was
+        cancelled.
+        """
         state = self._choose(action)
         if state is None:
             return None
@@ -67,14 +71,18 @@
         try:
             with anyio.CancelScope() as scope:
                 self._scopes[action.attempt] = scope
-                return await self._ask(action, state)
+                return await self._request(action, state)
         finally:
             del self._scopes[action.attempt]
             del self._endpoints[action.attempt]
         return None
 
     def _choose(self, action: Generate) -> EndpointState | None:
-        """Chooses an engine that has no other attempt for the sample."""
+        """Returns an engine for an attempt; None if there is no endpoint.
+
+        Engines that run another attempt of the same sample are chosen only if
+        there is no other.
+        """
         now_s = time.monotonic()
         used = frozenset(
             self._endpoints[other]
@@ -87,10 +95,10 @@
         endpoint_id = self._balancer.choose(found)
         return self._table.get(endpoint_id) if endpoint_id else None
 
-    async def _ask(
+    async def _request(
         self, action: Generate, state: EndpointState
     ) -> EngineResponse | None:
-        prompt = _EnginePrompt(
+        body = _GenerateRequest(
             prompt=self._spec.prompts[action.group],
             max_tokens=self._spec.max_tokens,
             sample=action.index,
@@ -98,17 +106,17 @@
         has_failed = False
         self._table.record_sent(state.endpoint_id)
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "POST",
                 state.address,
                 "/generate",
                 headers=_JSON,
-                body=msgspec.json.encode(prompt),
+                body=msgspec.json.encode(body),
                 timeout_s=self._spec.sample_timeout_s,
             )
-            has_failed = answer.status != _OK
+            has_failed = response.status != _OK
         except RequestFailedError as exc:
-            log.debug("generation failed: {}", exc)
+            log.debug("generation request failed: {}", exc)
             has_failed = True
             self._http.forget(state.address)
             return None
@@ -116,13 +124,15 @@
             self._table.record_done(
                 state.endpoint_id, failed=has_failed, now_s=time.monotonic()
             )
-        self._table.apply_update(parse_endpoint_headers(state, answer.headers))
-        return None if has_failed else _decode(answer)
+        self._table.apply_update(
+            parse_endpoint_headers(state, response.headers)
+        )
+        return None if has_failed else _decode(response)
 
 
-def _decode(answer: HttpAnswer) -> EngineResponse | None:
+def _decode(response: HttpAnswer) -> EngineResponse | None:
     try:
-        return msgspec.json.decode(answer.body, type=EngineResponse)
+        return msgspec.json.decode(response.body, type=EngineResponse)
     except msgspec.DecodeError as exc:
-        log.warning("an engine's answer is unreadable: {}", exc)
+        log.warning("an engine's response is invalid: {}", exc)
         return None
--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -1,4 +1,4 @@
-"""One lot at its holder: feeds the core and carries its actions out."""
+"""Serves one lot at its holder and executes the actions of its core."""
 
 import dataclasses
 import itertools
@@ -61,14 +61,14 @@
 
 __all__ = ["LotServer", "LotServerDependencies", "decode_body"]
 
-_RETRY_S = 1.0
-_CALL_WAIT_S = 5.0
-_RELEASE_WAIT_S = 2.0
-_IDLE_STEP_S = 1.0
-_SHORTEST_STEP_S = 0.005
-_LEASE_STEP_S = 0.02
+_RETRY_AFTER_S = 1.0
+_CALL_TIMEOUT_S = 5.0
+_RELEASE_TIMEOUT_S = 2.0
+_MAX_TICK_INTERVAL_S = 1.0
+_MIN_TICK_INTERVAL_S = 0.005
+_POLL_INTERVAL_S = 0.02
 _OK = 200
-_REASONS = {
+_ERROR_CODES = {
     RefusalReason.RELEASED: ErrorCode.LOT_ELSEWHERE,
     RefusalReason.PLATFORM: ErrorCode.PLATFORM_UNAVAILABLE,
     RefusalReason.CLOSED: ErrorCode.LOT_CONFLICT,
@@ -81,7 +81,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LotServerDependencies:
-    """What a seat needs of its daemon."""
+    """Settings and components of the daemon that a lot server uses."""
 
     cfg: DaemonSettings
     client: PlatformClient
@@ -95,45 +95,52 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Waiter:
-    """A call that waits for the core's answer."""
+class _PendingCall:
+    """A call for which the core has not returned a response yet.
+
+    Attributes:
+        event: Set once the call has ended.
+        response: The core's action that ended the call; None without one.
+    """
 
     event: anyio.Event = dataclasses.field(default_factory=anyio.Event)
-    answer: object = None
+    response: object = None
 
 
 class LotServer:
-    """Tries to hold one lot and serves it while it does.
+    """Acquires the lease of one lot and serves the lot while it is the holder.
 
-    The lease keeps other daemons from doing the same work; that groups are
-    delivered once rests on the core and the store alone.
+    The lease only prevents other daemons from doing the same work. That each
+    group is delivered once depends on the core and the store alone.
 
     Attributes:
-        ready: Set once the lease was acquired, or the seat is over.
+        ready: Set once the lease has been acquired or the server has stopped.
     """
 
-    def __init__(self, spec: LotSpec, tools: LotServerDependencies):
+    def __init__(self, spec: LotSpec, dependencies: LotServerDependencies):
         self.spec = spec
         self.ready = anyio.Event()
-        self._tools = tools
-        self._lease = tools.lease_factory.new_lease(f"lots/{spec.lot_id}")
+        self._dependencies = dependencies
+        self._lease = dependencies.lease_factory.new_lease(
+            f"lots/{spec.lot_id}"
+        )
         self._core: LotCore | None = None
         self._engines = LotEngines(
-            spec, tools.table, tools.balancer, tools.http
+            spec, dependencies.table, dependencies.balancer, dependencies.http
         )
-        self._own_id = ""
+        self._own_holder_id = ""
         self._call_numbers = itertools.count(1)
-        self._waiters: dict[int, _Waiter] = {}
+        self._pending_calls: dict[int, _PendingCall] = {}
         self._wakeup = anyio.Event()
-        self._is_over = False
+        self._is_stopped = False
 
     @property
     def is_serving(self) -> bool:
-        """Whether calls may be served here."""
-        return self._core is not None and not self._is_over
+        """Whether this server can serve calls."""
+        return self._core is not None and not self._is_stopped
 
     def status(self) -> dict[str, object]:
-        """Tells the lot's progress."""
+        """Returns the lot's progress."""
         core = self._core
         return {
             "held": self.is_serving,
@@ -145,29 +152,29 @@
         }
 
     async def run(self) -> None:
-        """Acquires the lease, then serves the lot until it is over."""
+        """Acquires the lease, then serves the lot until the server stops."""
         try:
             async with anyio.create_task_group() as tasks:
                 self._tasks = tasks
                 tasks.start_soon(self._lease.run)
                 if await self._acquire():
-                    await self._drive()
+                    await self._run_core()
                 tasks.cancel_scope.cancel()
         finally:
-            self._is_over = True
+            self._is_stopped = True
             self.ready.set()
-            for waiter in self._waiters.values():
-                waiter.event.set()
+            for pending in self._pending_calls.values():
+                pending.event.set()
             await self._lease.release()
 
     async def release(self) -> None:
-        """Refuses waiting calls at once and gives the lease up."""
+        """Refuses pending calls at once and releases the lease."""
         if self.is_serving:
             self._feed(LotReleased())
-        with anyio.move_on_after(_RELEASE_WAIT_S):
+        with anyio.move_on_after(_RELEASE_TIMEOUT_S):
             while self.is_serving:
-                await anyio.sleep(_LEASE_STEP_S)
-        self._is_over = True
+                await anyio.sleep(_POLL_INTERVAL_S)
+        self._is_stopped = True
         self._wakeup.set()
         await self._lease.release()
 
@@ -175,25 +182,25 @@
         """Serves one trainer's call.
 
         Raises:
-            Refusal: With the final answer for the trainer.
+            Refusal: The call failed; holds the response for the trainer.
         """
         if call.account != self.spec.account:
             raise Refusal(ErrorCode.LOT_UNKNOWN, "there is no such lot")
         if call.verb == "open":
-            self._check_opening(decode_body(call.body, OpenBody))
+            self._check_open_request(decode_body(call.body, OpenBody))
         number = next(self._call_numbers)
-        waiter = self._waiters[number] = _Waiter()
+        pending = self._pending_calls[number] = _PendingCall()
         try:
             if self.is_serving:
-                self._feed(_event_of(call, number))
+                self._feed(_make_event(call, number))
                 self._wakeup.set()
-                await waiter.event.wait()
+                await pending.event.wait()
         finally:
-            del self._waiters[number]
-        return _answer_of(waiter.answer)
+            del self._pending_calls[number]
+        return _make_response(pending.response)
 
-    def _check_opening(self, body: OpenBody) -> None:
-        """Refuses to open a lot again as another one."""
+    def _check_open_request(self, body: OpenBody) -> None:
+        """Refuses to open a lot again with another class or other prompts."""
         opened = (self.spec.lot_class, self.spec.prompts)
         if (body.lot_class, body.prompts) != opened:
             raise Refusal(
@@ -202,34 +209,37 @@
             )
 
     async def _acquire(self) -> bool:
-        """Waits for the lease; False if another holder keeps it."""
-        timing = self._tools.cfg.timing
-        patience_s = 2 * (timing.lease_term_s + timing.lease_margin_s)
-        with anyio.move_on_after(patience_s):
+        """Waits for the lease; returns whether it was acquired."""
+        timing = self._dependencies.cfg.timing
+        timeout_s = 2 * (timing.lease_term_s + timing.lease_margin_s)
+        with anyio.move_on_after(timeout_s):
             while not self._lease.fencing:
-                await anyio.sleep(_LEASE_STEP_S)
-        if not self._lease.fencing or self._is_over:
+                await anyio.sleep(_POLL_INTERVAL_S)
+        if not self._lease.fencing or self._is_stopped:
             return False
-        self._own_id = self._lease.observed_holder
-        holder = f"{self._own_id}.{time.monotonic_ns()}"
+        self._own_holder_id = self._lease.observed_holder
+        holder = f"{self._own_holder_id}.{time.monotonic_ns()}"
         self._core = LotCore(self.spec, holder)
         self.ready.set()
         return True
 
     @property
-    def _is_deposed(self) -> bool:
-        """Whether another holder was seen; a lapse alone changes nothing."""
-        return self._lease.observed_holder not in ("", self._own_id)
-
-    async def _drive(self) -> None:
-        """Ticks the core at its wake-up times until the seat is over."""
-        while not self._is_over:
-            self._feed(LotReleased() if self._is_deposed else LotTick())
+    def _has_other_holder(self) -> bool:
+        """Whether the lease has another holder.
+
+        If the lease has only expired, the server continues.
+        """
+        return self._lease.observed_holder not in ("", self._own_holder_id)
+
+    async def _run_core(self) -> None:
+        """Ticks the core at its wake-up times until the server stops."""
+        while not self._is_stopped:
+            self._feed(LotReleased() if self._has_other_holder else LotTick())
             wakeup_s = self._core.next_wakeup_s
-            wait_s = _IDLE_STEP_S
+            wait_s = _MAX_TICK_INTERVAL_S
             if wakeup_s is not None:
                 left_s = wakeup_s - time.monotonic()
-                wait_s = min(wait_s, max(_SHORTEST_STEP_S, left_s))
+                wait_s = min(wait_s, max(_MIN_TICK_INTERVAL_S, left_s))
             with anyio.move_on_after(wait_s):
                 await self._wakeup.wait()
             self._wakeup = anyio.Event()
@@ -244,31 +254,33 @@
                 case ReadState() | WriteState():
                     self._tasks.start_soon(self._call_store, action)
                 case CountUsage():
-                    self._count(action)
+                    self._count_usage(action)
                 case DeliverGroups() | SendProgress() | RefuseCall():
-                    self._answer(action)
+                    self._complete_call(action)
                 case StopServing():
-                    log.info("lot {} is given up", self.spec.lot_id)
-                    self._is_over = True
+                    log.info("stopped serving lot {}", self.spec.lot_id)
+                    self._is_stopped = True
                     self._wakeup.set()
 
-    def _answer(
+    def _complete_call(
         self, action: DeliverGroups | SendProgress | RefuseCall
     ) -> None:
-        waiter = self._waiters.get(action.call)
-        if waiter is not None:
-            waiter.answer = action
-            waiter.event.set()
+        pending = self._pending_calls.get(action.call)
+        if pending is not None:
+            pending.response = action
+            pending.event.set()
 
-    def _count(self, action: CountUsage) -> None:
+    def _count_usage(self, action: CountUsage) -> None:
         for tokens in action.tokens:
-            self._tools.counters.add(self.spec.account, tokens, wall_time_s())
+            self._dependencies.counters.add(
+                self.spec.account, tokens, wall_time_s()
+            )
 
     async def _generate(self, action: Generate) -> None:
-        answer = await self._engines.generate(action)
+        response = await self._engines.generate(action)
         event = SampleFailed(action.attempt)
-        if answer is not None:
-            event = SampleReceived(action.attempt, answer)
+        if response is not None:
+            event = SampleReceived(action.attempt, response)
         self._feed(event)
         self._wakeup.set()
 
@@ -286,18 +298,20 @@
 
     async def _read(self) -> StateRead | StateReadFailed:
         try:
-            found = await self._tools.client.get(self._state_key)
+            found = await self._dependencies.client.get(self._state_key)
             if found is None:
                 return StateRead(LotState(), 0)
             state = msgspec.convert(found.value, LotState)
             return StateRead(state, found.version)
         except (PlatformUnavailableError, msgspec.ValidationError) as exc:
-            log.warning("lot {} can't be read: {}", self.spec.lot_id, exc)
+            log.warning(
+                "reading the state of lot {} failed: {}", self.spec.lot_id, exc
+            )
             return StateReadFailed()
 
     async def _write(self, action: WriteState) -> object:
         try:
-            version = await self._tools.client.put(
+            version = await self._dependencies.client.put(
                 self._state_key,
                 msgspec.to_builtins(action.state),
                 expected_version=action.expected_version,
@@ -310,8 +324,8 @@
         return StateWritten(action.write_id, version)
 
 
-def _event_of(call: LotCall, number: int) -> object:
-    until_s = time.monotonic() + _CALL_WAIT_S
+def _make_event(call: LotCall, number: int) -> object:
+    until_s = time.monotonic() + _CALL_TIMEOUT_S
     match call.verb:
         case "open":
             return OpenRequested(call=number, until_s=until_s)
@@ -332,14 +346,18 @@
                 until_s=time.monotonic() + body.wait_s,
                 acks=body.acks,
             )
-    raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"no verb {call.verb!r}")
+    raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"unknown verb {call.verb!r}")
 
 
-def _answer_of(action: object) -> LotAnswer:
-    """Returns the trainer's answer; raises `Refusal` if it is one."""
+def _make_response(action: object) -> LotAnswer:
+    """Returns the response for the trainer.
+
+    Raises:
+        Refusal: The call was refused, or the server stopped before it ended.
+    """
     match action:
         case DeliverGroups():
-            return _json_answer(
+            return _json_response(
                 PullResponse(
                     pull_id=action.pull_id,
                     groups=action.groups,
@@ -347,7 +365,7 @@
                 )
             )
         case SendProgress():
-            return _json_answer(
+            return _json_response(
                 ProgressResponse(
                     remaining=action.remaining,
                     open_pulls=action.open_pulls,
@@ -357,24 +375,24 @@
     reason = RefusalReason.RELEASED
     if isinstance(action, RefuseCall):
         reason = action.reason
-    error = _REASONS[reason]
+    error = _ERROR_CODES[reason]
     is_final = error is ErrorCode.LOT_CONFLICT
     raise Refusal(
-        error, reason.value, retry_after_s=None if is_final else _RETRY_S
+        error, reason.value, retry_after_s=None if is_final else _RETRY_AFTER_S
     )
 
 
-def decode_body(body: bytes, kind: type):
-    """Reads a trainer's JSON body into `kind`.
+def decode_body(body: bytes, body_type: type):
+    """Decodes a trainer's JSON body as a `body_type`.
 
     Raises:
-        Refusal: It isn't a `kind`.
+        Refusal: The body is invalid.
     """
     try:
-        return msgspec.json.decode(body, type=kind)
+        return msgspec.json.decode(body, type=body_type)
     except (msgspec.DecodeError, msgspec.ValidationError) as exc:
         raise Refusal(ErrorCode.BODY_INVALID, str(exc)) from exc
 
 
-def _json_answer(value: object) -> LotAnswer:
+def _json_response(value: object) -> LotAnswer:
     return LotAnswer(status=_OK, body=msgspec.json.encode(value))
--- a/daisyhub/controllers/_lot_specs.py
+++ b/daisyhub/controllers/_lot_specs.py
@@ -1,9 +1,9 @@
-"""Keeps what lots consist of in the platform's store.
+"""Stores the specs of lots in the platform's store.
 
-The store takes values up to a megabyte, so the prompts of a large lot are
-split over several objects. They are named after the digest of all prompts
-and written first; the spec's own object, created last, decides which of two
-openers came first.
+The store accepts values up to a megabyte, so the prompts of a large lot are
+split over several objects. Their keys contain the spec's digest and they are
+written first. The spec's own object is created last; if two callers open the
+same lot, the one that creates this object wins.
 """
 
 import contextlib
@@ -21,12 +21,12 @@
 
 __all__ = ["LotSpecStore", "split_prompts"]
 
-_PART_BYTES = 800_000
-_DIGEST_CHARACTERS = 32
+_MAX_PART_BYTES = 800_000
+_DIGEST_LENGTH = 32
 
 
 class _SpecRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A spec as it is stored; with parts, its own prompts are empty."""
+    """A stored spec; if `parts` isn't 0, `spec.prompts` is empty."""
 
     spec: LotSpec
     digest: str
@@ -34,17 +34,17 @@
 
 
 class LotSpecStore:
-    """Creates and finds specs; specs never change.
+    """Creates and reads specs, which are immutable.
 
     Args:
-        client: The platform.
+        client: Client of the platform.
     """
 
     def __init__(self, client: PlatformClient):
         self._client = client
 
     async def find(self, lot_id: str) -> LotSpec | None:
-        """Returns a lot's spec, or None if the lot was never opened."""
+        """Returns a lot's spec; None if the lot was never opened."""
         found = await self._client.get(_spec_key(lot_id))
         if found is None:
             return None
@@ -59,7 +59,7 @@
         return msgspec.structs.replace(record.spec, prompts=tuple(prompts))
 
     async def create(self, spec: LotSpec) -> LotSpec:
-        """Stores a spec unless there is one; returns the one stored.
+        """Stores a spec unless the lot has one; returns the stored spec.
 
         Raises:
             Refusal: One prompt is too large to be stored.
@@ -71,8 +71,10 @@
             for number, part in enumerate(parts):
                 key = _part_key(spec.lot_id, digest, number)
                 await self._create(key, part, digest)
-            bare = msgspec.structs.replace(spec, prompts=())
-            record = _SpecRecord(spec=bare, digest=digest, parts=len(parts))
+            spec_without_prompts = msgspec.structs.replace(spec, prompts=())
+            record = _SpecRecord(
+                spec=spec_without_prompts, digest=digest, parts=len(parts)
+            )
         key = _spec_key(spec.lot_id)
         await self._create(key, msgspec.to_builtins(record), digest)
         return await self.find(spec.lot_id)
@@ -85,7 +87,7 @@
 
 
 def split_prompts(prompts: tuple[str, ...]) -> list[list[str]]:
-    """Splits prompts so that each part fits an object of the store.
+    """Splits prompts into parts that each fit into one stored object.
 
     Raises:
         Refusal: One prompt is too large to be stored.
@@ -94,12 +96,12 @@
     size = 0
     for prompt in prompts:
         length = len(msgspec.json.encode(prompt)) + 1
-        if length > _PART_BYTES:
+        if length > _MAX_PART_BYTES:
             raise Refusal(
                 ErrorCode.BODY_TOO_LARGE,
-                f"a prompt has {length} bytes, {_PART_BYTES} are allowed",
+                f"a prompt has {length} bytes; the maximum is {_MAX_PART_BYTES}",
             )
-        if size + length > _PART_BYTES:
+        if size + length > _MAX_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(prompt)
@@ -109,7 +111,7 @@
 
 def _digest(spec: LotSpec) -> str:
     data = msgspec.json.encode(spec)
-    return hashlib.sha256(data).hexdigest()[:_DIGEST_CHARACTERS]
+    return hashlib.sha256(data).hexdigest()[:_DIGEST_LENGTH]
 
 
 def _spec_key(lot_id: str) -> str:
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -1,4 +1,4 @@
-"""Holds trainer lots, or passes calls on to the daemon that holds them."""
+"""Serves trainer lots, or forwards calls to the daemon that holds them."""
 
 import contextlib
 
@@ -31,10 +31,10 @@
 __all__ = ["LotController"]
 
 _FORWARD_TIMEOUT_S = 65.0
-_TAKE_WAIT_S = 2.0
-_RETRY_S = 1.0
-_SEATS_TO_START = 1024
-_KNOWN_HOLDERS = 4096
+_ACQUIRE_TIMEOUT_S = 2.0
+_RETRY_AFTER_S = 1.0
+_MAX_QUEUED_SERVERS = 1024
+_MAX_KNOWN_HOLDERS = 4096
 
 log = get_logger("lots")
 
@@ -43,163 +43,166 @@
     """Serves trainers' calls.
 
     Args:
-        tools: What a seat needs.
-        network: Reaches the holders of other lots.
+        dependencies: Passed to each lot server.
+        network: Connections to the holders of other lots.
     """
 
     name = "lots"
 
-    def __init__(self, tools: LotServerDependencies, network: PeerNetwork):
-        self._tools = tools
+    def __init__(
+        self, dependencies: LotServerDependencies, network: PeerNetwork
+    ):
+        self._dependencies = dependencies
         self._network = network
-        self._specs = LotSpecStore(tools.client)
-        self._seats: dict[str, LotServer] = {}
-        self._holders: dict[str, str] = {}
+        self._specs = LotSpecStore(dependencies.client)
+        self._servers: dict[str, LotServer] = {}
+        self._known_holders: dict[str, str] = {}
         self._is_released = False
-        self._new_seats, self._to_run = anyio.create_memory_object_stream[
-            LotServer
-        ](_SEATS_TO_START)
+        self._new_servers, self._servers_to_run = (
+            anyio.create_memory_object_stream[LotServer](_MAX_QUEUED_SERVERS)
+        )
 
     def status(self) -> dict[str, object]:
-        """Tells the lots held here."""
+        """Returns the status of each lot that this daemon serves or acquires."""
         return {
-            lot_id: seat.status()
-            for lot_id, seat in sorted(self._seats.items())
+            lot_id: server.status()
+            for lot_id, server in sorted(self._servers.items())
         }
 
     async def run(self) -> None:
-        """Runs seats until cancelled."""
+        """Runs lot servers until cancelled."""
         async with anyio.create_task_group() as tasks:
-            async for seat in self._to_run:
-                tasks.start_soon(self._run_seat, seat)
+            async for server in self._servers_to_run:
+                tasks.start_soon(self._run_server, server)
 
     async def release(self) -> None:
-        """Gives every lot up at shutdown; waiting calls end at once."""
+        """Releases every lot at shutdown; pending calls end at once."""
         self._is_released = True
         async with anyio.create_task_group() as tasks:
-            for seat in list(self._seats.values()):
-                tasks.start_soon(seat.release)
+            for server in list(self._servers.values()):
+                tasks.start_soon(server.release)
 
     async def serve(self, call: LotCall) -> LotAnswer:
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
-            Refusal: With the final answer for the trainer.
+            Refusal: The call failed; holds the response for the trainer.
         """
         try:
-            seat = self._seats.get(call.lot_id)
-            if seat is not None and seat.is_serving:
-                return await seat.serve(call)
-            answer = await self._ask_holder(call)
-            if answer is not None:
-                return answer
-            seat = await self._take_seat(call)
-            return await self._serve_here(seat, call)
+            server = self._servers.get(call.lot_id)
+            if server is not None and server.is_serving:
+                return await server.serve(call)
+            response = await self._forward_to_holder(call)
+            if response is not None:
+                return response
+            server = await self._get_or_start_server(call)
+            return await self._serve_here(server, call)
         except PlatformUnavailableError as exc:
             raise Refusal(
                 ErrorCode.PLATFORM_UNAVAILABLE,
                 "the platform does not answer",
-                retry_after_s=_RETRY_S,
+                retry_after_s=_RETRY_AFTER_S,
             ) from exc
 
     async def handle_forwarded_call(self, call: LotCall) -> LotAnswer:
-        """Serves a call that a peer passed on; never passes it further."""
-        seat = self._seats.get(call.lot_id)
-        if seat is None or not seat.is_serving:
-            return _elsewhere_answer()
+        """Serves a call that a peer forwarded; never forwards it again."""
+        server = self._servers.get(call.lot_id)
+        if server is None or not server.is_serving:
+            return _elsewhere_response()
         try:
-            return await seat.serve(call)
+            return await server.serve(call)
         except Refusal as exc:
             if exc.error is ErrorCode.LOT_ELSEWHERE:
-                return _elsewhere_answer()
+                return _elsewhere_response()
             return LotAnswer(
                 status=exc.error.status,
                 body=problem_body(exc, call.lot_id),
                 retry_after_s=exc.retry_after_s,
             )
 
-    async def _serve_here(self, seat: LotServer, call: LotCall) -> LotAnswer:
-        with anyio.move_on_after(_TAKE_WAIT_S):
-            await seat.ready.wait()
-        if not seat.is_serving:
-            raise _being_taken()
-        return await seat.serve(call)
+    async def _serve_here(self, server: LotServer, call: LotCall) -> LotAnswer:
+        with anyio.move_on_after(_ACQUIRE_TIMEOUT_S):
+            await server.ready.wait()
+        if not server.is_serving:
+            raise _takeover_refusal()
+        return await server.serve(call)
 
-    async def _ask_holder(self, call: LotCall) -> LotAnswer | None:
-        """Returns the holder's answer, or None if no holder answers.
+    async def _forward_to_holder(self, call: LotCall) -> LotAnswer | None:
+        """Forwards a call to the lot's holder and returns the response.
 
-        While the platform is down, the holder last seen is asked.
+        Returns None if there is no other holder or it does not respond. While
+        the platform is unavailable, the last known holder is used.
         """
         key = f"leases/lots/{call.lot_id}"
         found = None
         try:
-            found = await self._tools.client.get(key)
+            found = await self._dependencies.client.get(key)
             daemon_id = _holder_of(found)
         except PlatformUnavailableError:
-            if call.lot_id not in self._holders:
+            if call.lot_id not in self._known_holders:
                 raise
-            daemon_id = self._holders[call.lot_id]
-        if not daemon_id or daemon_id == self._tools.cfg.daemon_id:
+            daemon_id = self._known_holders[call.lot_id]
+        if not daemon_id or daemon_id == self._dependencies.cfg.daemon_id:
             return None
-        self._note_holder(call.lot_id, daemon_id)
-        answer = None
+        self._record_holder(call.lot_id, daemon_id)
+        response = None
         async with anyio.create_task_group() as tasks:
             if found is not None:
-                tasks.start_soon(self._watch, found, tasks.cancel_scope)
+                tasks.start_soon(self._watch_lease, found, tasks.cancel_scope)
             with contextlib.suppress(PeerUnreachableError):
-                answer = await self._network.call(
+                response = await self._network.call(
                     daemon_id, call, _FORWARD_TIMEOUT_S
                 )
             tasks.cancel_scope.cancel()
-        if answer is None or answer.is_elsewhere:
+        if response is None or response.is_elsewhere:
             return None
-        return answer
+        return response
 
-    def _note_holder(self, lot_id: str, daemon_id: str) -> None:
-        if len(self._holders) >= _KNOWN_HOLDERS:
-            self._holders.clear()
-        self._holders[lot_id] = daemon_id
+    def _record_holder(self, lot_id: str, daemon_id: str) -> None:
+        if len(self._known_holders) >= _MAX_KNOWN_HOLDERS:
+            self._known_holders.clear()
+        self._known_holders[lot_id] = daemon_id
 
-    async def _watch(self, lease: PlatformObject, scope) -> None:
-        """Cancels `scope` once a lease wasn't renewed for a whole term."""
-        timing = self._tools.cfg.timing
+    async def _watch_lease(self, lease: PlatformObject, scope) -> None:
+        """Cancels `scope` when a lease hasn't been renewed for a whole term."""
+        timing = self._dependencies.cfg.timing
         version = lease.version
         while True:
             await anyio.sleep(timing.lease_term_s + timing.lease_margin_s)
             with contextlib.suppress(PlatformUnavailableError):
-                found = await self._tools.client.get(lease.key)
+                found = await self._dependencies.client.get(lease.key)
                 if found is None or found.version == version:
                     scope.cancel()
                     return
                 version = found.version
 
-    async def _take_seat(self, call: LotCall) -> LotServer:
+    async def _get_or_start_server(self, call: LotCall) -> LotServer:
         spec = await self._find_spec(call)
         if spec.account != call.account:
-            raise _unknown_lot()
+            raise _unknown_lot_refusal()
         if self._is_released:
-            raise _being_taken()
-        seat = self._seats.get(call.lot_id)
-        if seat is None:
-            seat = LotServer(spec, self._tools)
-            self._seats[call.lot_id] = seat
-            await self._new_seats.send(seat)
-        return seat
+            raise _takeover_refusal()
+        server = self._servers.get(call.lot_id)
+        if server is None:
+            server = LotServer(spec, self._dependencies)
+            self._servers[call.lot_id] = server
+            await self._new_servers.send(server)
+        return server
 
     async def _find_spec(self, call: LotCall) -> LotSpec:
         spec = await self._specs.find(call.lot_id)
         if spec is not None:
             return spec
         if call.verb != "open":
-            raise _unknown_lot()
+            raise _unknown_lot_refusal()
         return await self._specs.create(self._new_spec(call))
 
     def _new_spec(self, call: LotCall) -> LotSpec:
         body = decode_body(call.body, OpenBody)
-        lots = self._tools.config.document.trainer_lots
+        lots = self._dependencies.config.document.trainer_lots
         lot_class = lots.get(body.lot_class)
         if lot_class is None or lot_class.account != call.account:
-            raise _unknown_lot()
+            raise _unknown_lot_refusal()
         return LotSpec(
             lot_id=call.lot_id,
             lot_class=body.lot_class,
@@ -214,12 +217,12 @@
             sample_timeout_s=lot_class.sample_timeout_s,
         )
 
-    async def _run_seat(self, seat: LotServer) -> None:
+    async def _run_server(self, server: LotServer) -> None:
         try:
-            await seat.run()
+            await server.run()
         finally:
-            if self._seats.get(seat.spec.lot_id) is seat:
-                del self._seats[seat.spec.lot_id]
+            if self._servers.get(server.spec.lot_id) is server:
+                del self._servers[server.spec.lot_id]
 
 
 def _holder_of(found: PlatformObject | None) -> str:
@@ -229,19 +232,19 @@
     return holder.partition("/")[0]
 
 
-def _unknown_lot() -> Refusal:
+def _unknown_lot_refusal() -> Refusal:
     return Refusal(ErrorCode.LOT_UNKNOWN, "there is no such lot")
 
 
-def _being_taken() -> Refusal:
+def _takeover_refusal() -> Refusal:
     return Refusal(
         ErrorCode.LOT_ELSEWHERE,
         "the lot is being taken over",
-        retry_after_s=_RETRY_S,
+        retry_after_s=_RETRY_AFTER_S,
     )
 
 
-def _elsewhere_answer() -> LotAnswer:
+def _elsewhere_response() -> LotAnswer:
     return LotAnswer(
         status=ErrorCode.LOT_ELSEWHERE.status, body=b"", is_elsewhere=True
     )
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -1,4 +1,4 @@
-"""Orders endpoints for the pools of one failure domain."""
+"""Orders endpoints from the platform for the pools of a failure domain."""
 
 import time
 import uuid
@@ -37,20 +37,20 @@
 
 __all__ = ["OrderController"]
 
-_TICK_S = 2.0
+_TICK_INTERVAL_S = 2.0
 
 log = get_logger("orders")
 
 
 class OrderController(Controller):
-    """Carries out the decisions of an `OrderCore` while in charge.
+    """Executes the actions of an `OrderCore` while the lease is held.
 
     Args:
         cfg: Settings of this daemon.
-        client: The platform.
-        keeper: Makes the lease.
+        client: Client of the platform.
+        lease_factory: Creates the lease.
         table: The endpoints.
-        config: The pools and their budgets.
+        config: Provides the pools and their budgets.
     """
 
     name = "orders"
@@ -73,7 +73,7 @@
         self._core = OrderCore(cfg.failure_domain)
 
     def status(self) -> dict[str, object]:
-        """Tells who is in charge and which orders are pending."""
+        """Returns the lease's holder and the pending orders."""
         return {
             "fencing": self._lease.fencing,
             "holder": self._lease.observed_holder,
@@ -88,27 +88,27 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._lease.run)
             while True:
-                await anyio.sleep(_TICK_S)
-                demands = self._demands()
-                await self._feed(OrderTick(self._lease.fencing, demands))
+                await anyio.sleep(_TICK_INTERVAL_S)
+                pool_states = self._pool_states()
+                await self._feed(OrderTick(self._lease.fencing, pool_states))
 
     async def release(self) -> None:
-        """Gives the duty up at shutdown."""
+        """Releases the lease at shutdown."""
         await self._lease.release()
 
-    def _demands(self) -> tuple[PoolState, ...]:
-        """Returns the pools that daisyhub orders endpoints for."""
+    def _pool_states(self) -> tuple[PoolState, ...]:
+        """Returns the pools with automatic orders; empty without the lease."""
         if not self._lease.fencing:
             return ()
         pools = self._config.document.endpoint_pools
         return tuple(
-            self._demand(name, pool)
+            self._pool_state(name, pool)
             for name, pool in sorted(pools.items())
             if pool.orders == "automatic"
         )
 
-    def _demand(self, name: str, pool: EndpointPool) -> PoolState:
-        sights = tuple(
+    def _pool_state(self, name: str, pool: EndpointPool) -> PoolState:
+        observed = tuple(
             ObservedEndpoint(
                 endpoint_id=state.endpoint_id,
                 cheap=state.cheap,
@@ -121,7 +121,7 @@
         )
         return PoolState(
             pool=name,
-            endpoints=sights,
+            endpoints=observed,
             min_endpoints=pool.least,
             max_endpoints=pool.budget,
             target_load=pool.target_load,
@@ -131,8 +131,8 @@
     async def _feed(self, event: object) -> None:
         actions = self._core.handle(event, time.monotonic())
         while actions:
-            answer = await self._perform(actions.pop(0))
-            actions += self._core.handle(answer, time.monotonic())
+            result = await self._perform(actions.pop(0))
+            actions += self._core.handle(result, time.monotonic())
 
     async def _perform(self, action: object) -> object:
         match action:
@@ -173,7 +173,11 @@
         return BookWritten(version)
 
     async def _send(self, action: SendOrder) -> object:
-        """Checks the lease as the last step, then sends."""
+        """Sends an order if the lease still has the order's fencing number.
+
+        The lease is checked immediately before sending. If the platform checks
+        no fencing numbers for orders, an extra margin must be left.
+        """
         order = action.order
         extra_s = self._cfg.timing.lease_margin_s
         if self._cfg.orders_check_fencing:
@@ -185,7 +189,9 @@
                 self._cfg.failure_domain, order, action.fencing
             )
         except PlatformUnavailableError as exc:
-            log.warning("order {} is in doubt: {}", order.order_id, exc)
+            log.warning(
+                "the outcome of order {} is unknown: {}", order.order_id, exc
+            )
             return OrderOutcomeUnknown(order.order_id)
         log.info("order {} {}: {}", order.order_id, order.kind, endpoint_id)
         return OrderResponseReceived(order.order_id, endpoint_id)
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -1,4 +1,4 @@
-"""Heartbeats and batched news between daemons."""
+"""Exchanges heartbeats, endpoint updates, usage and rates with peers."""
 
 import time
 
@@ -38,27 +38,28 @@
 
 __all__ = ["PeerController"]
 
-_NEWS_REPEATS = 3
-_PEERS_PER_NEWS_TICK = 3
+_LEAVING_REPEATS = 3
+_PEERS_PER_BATCH_TICK = 3
 
 log = get_logger("peers")
 
 
 class PeerController(Controller):
-    """Carries out what `MembershipCore` decides, and passes news on.
+    """Executes the actions of `MembershipCore` and sends updates to peers.
 
-    News of leaving endpoints goes to the few daemons that heartbeats go to,
-    and from them to theirs. Loads and copies of usage go to every live daemon
-    of the failure domain, the less often the more of them there are.
+    Updates about leaving endpoints go to the few daemons that heartbeats go
+    to, which forward them in the same way. Other endpoint updates go to every
+    live daemon of the failure domain, less often the more of them there are.
+    Copies of usage parts go to the peers that `UsageCounters` chooses.
 
     Args:
         cfg: Settings of this daemon.
         incarnation: Start of this process, microseconds since the epoch.
-        network: The peer socket.
-        config: Where newer configurations go.
-        table: Where endpoint news goes.
-        counters: Usage to copy.
-        shares: Shares of the accounts' limits.
+        network: Sends messages to peers.
+        config: Receives the configuration summaries of peers.
+        table: Receives the endpoint updates of peers.
+        counters: Usage parts to be copied to peers.
+        shares: Shares of the accounts' rate limits.
     """
 
     name = "peers"
@@ -82,14 +83,14 @@
         self._core = MembershipCore(cfg, incarnation)
         self._incarnations: dict[str, int] = {}
         self._versions: dict[str, int] = {}
-        self._news: dict[str, EndpointUpdate] = {}
-        self._leaving: dict[str, tuple[EndpointUpdate, int]] = {}
-        self._ticks_to_news = 0
+        self._pending_updates: dict[str, EndpointUpdate] = {}
+        self._leaving_updates: dict[str, tuple[EndpointUpdate, int]] = {}
+        self._ticks_to_batch = 0
         self._is_leaving = False
         self._wakeup = anyio.Event()
 
     def status(self) -> dict[str, object]:
-        """Tells which peers are live and the versions last heard."""
+        """Returns the live peers, rate shares and last received versions."""
         return {
             "live": self.live_peers(),
             "rate_shares": self._shares.active_shares(boot_time_s()),
@@ -97,36 +98,39 @@
         }
 
     def live_peers(self) -> list[str]:
-        """Returns the live daemons of the own domain that aren't leaving."""
+        """Returns the live peers of the failure domain that aren't leaving."""
         return self._core.live_members(time.monotonic())
 
     def live_incarnations(self) -> dict[str, int]:
-        """Returns the incarnations of live members that were heard."""
+        """Returns the incarnations of live peers, as far as received."""
         return {
             daemon_id: self._incarnations[daemon_id]
             for daemon_id in self.live_peers()
             if daemon_id in self._incarnations
         }
 
-    def add_update(self, news: EndpointUpdate) -> None:
-        """Notes endpoint news for a later tick; leaving goes at once."""
-        if news.is_leaving:
-            self._leaving[news.endpoint_id] = (news, _NEWS_REPEATS)
+    def add_update(self, update: EndpointUpdate) -> None:
+        """Queues an endpoint update; one about leaving is sent at once."""
+        if update.is_leaving:
+            self._leaving_updates[update.endpoint_id] = (
+                update,
+                _LEAVING_REPEATS,
+            )
             self.wake()
         else:
-            self._news[news.endpoint_id] = news
+            self._pending_updates[update.endpoint_id] = update
 
     def wake(self) -> None:
-        """Tells peers now what changed here."""
+        """Makes `run` send changes to peers now, ahead of the next tick."""
         self._wakeup.set()
 
     def set_leaving(self) -> None:
-        """Tells peers at once that this daemon is shutting down."""
+        """Sends peers at once the message that this daemon is shutting down."""
         self._is_leaving = True
         self._feed(self._posture())
 
     def receive(self, envelope: Envelope, message: object) -> None:
-        """Takes one message of a peer; older incarnations are ignored."""
+        """Handles a message of a peer; ignores those of older incarnations."""
         sender = envelope.sender
         if envelope.incarnation < self._incarnations.get(sender, 0):
             return
@@ -135,11 +139,11 @@
             case Heartbeat():
                 self._on_heartbeat(sender, message)
             case EndpointNewsBatch():
-                self._on_news(message)
+                self._on_endpoint_updates(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
             case RateAsk() | RateGrant():
-                event = _share_event(envelope, message)
+                event = _make_share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
             case UsageHeld():
                 self._counters.on_copies_acknowledged(
@@ -150,7 +154,7 @@
                 )
 
     async def run(self) -> None:
-        """Sends a tick at each interval, and changes when woken."""
+        """Ticks the core at each interval and sends changes when woken."""
         while True:
             due_s = self._core.next_wakeup_s - time.monotonic()
             with anyio.move_on_after(max(0.0, due_s)):
@@ -160,7 +164,7 @@
             self._feed(self._posture())
             if not is_woken:
                 self._feed(MembershipTick())
-                self._send_bulk()
+                self._send_periodic_messages()
             self._send_leaving()
 
     def _posture(self) -> PostureChanged:
@@ -178,68 +182,68 @@
             for daemon_id in action.targets:
                 self._network.send(daemon_id, action.heartbeat)
 
-    def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
-        self._versions[sender] = beat.config_version
-        self._feed(HeartbeatHeard(sender, beat))
+    def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
+        self._versions[sender] = heartbeat.config_version
+        self._feed(HeartbeatHeard(sender, heartbeat))
         self._config.on_peer_summary(
             PeerSummaryReceived(
                 sender,
-                beat.config_version,
-                beat.withdrawn_keys,
-                beat.withdrawn_digest,
+                heartbeat.config_version,
+                heartbeat.withdrawn_keys,
+                heartbeat.withdrawn_digest,
             )
         )
 
-    def _on_news(self, batch: EndpointNewsBatch) -> None:
-        for news in batch.news:
-            self._table.apply_update(news)
+    def _on_endpoint_updates(self, batch: EndpointNewsBatch) -> None:
+        for update in batch.news:
+            self._table.apply_update(update)
 
     def _send_leaving(self) -> None:
-        """Sends news of leaving endpoints, some times in case it is lost."""
-        if not self._leaving:
+        """Sends updates about leaving endpoints, repeated in case of loss."""
+        if not self._leaving_updates:
             return
-        news = tuple(item for item, _ in self._leaving.values())
-        self._leaving = {
-            item.endpoint_id: (item, left - 1)
-            for item, left in self._leaving.values()
-            if left > 1
+        updates = tuple(update for update, _ in self._leaving_updates.values())
+        self._leaving_updates = {
+            update.endpoint_id: (update, repeats_left - 1)
+            for update, repeats_left in self._leaving_updates.values()
+            if repeats_left > 1
         }
         for daemon_id in self._core.view(time.monotonic()):
-            self._network.send(daemon_id, EndpointNewsBatch(news=news))
+            self._network.send(daemon_id, EndpointNewsBatch(news=updates))
 
-    def _send_bulk(self) -> None:
-        """Sends usage and rates to those concerned, loads to all, rarely."""
+    def _send_periodic_messages(self) -> None:
+        """Sends due endpoint updates to all live peers, the rest as addressed."""
         live = self.live_incarnations()
         usage = self._counters.tick(live)
         rates = self._shares.tick(tuple(live), boot_time_s())
-        news = self._due_news(len(live))
+        batches = self._due_batches(len(live))
         for daemon_id in sorted({*live, *usage}):
             messages = [
-                *news,
+                *batches,
                 *_usage_messages(usage.get(daemon_id, PeerUsage())),
                 *_rate_messages(daemon_id, rates),
             ]
             if messages:
                 self._network.send(daemon_id, *messages)
 
-    def _due_news(self, peers: int) -> list[EndpointNewsBatch]:
-        """Returns the batch of loads, the less often the more peers."""
-        self._ticks_to_news -= 1
-        if self._ticks_to_news > 0 or not self._news:
+    def _due_batches(self, peer_count: int) -> list[EndpointNewsBatch]:
+        """Returns the batch of queued updates, less often with more peers."""
+        self._ticks_to_batch -= 1
+        if self._ticks_to_batch > 0 or not self._pending_updates:
             return []
-        self._ticks_to_news = peers // _PEERS_PER_NEWS_TICK
-        batch = EndpointNewsBatch(news=tuple(self._news.values()))
-        self._news.clear()
+        self._ticks_to_batch = peer_count // _PEERS_PER_BATCH_TICK
+        batch = EndpointNewsBatch(news=tuple(self._pending_updates.values()))
+        self._pending_updates.clear()
         return [batch]
 
 
-def _usage_messages(told: PeerUsage) -> list[UsageCopy | UsageHeld]:
+def _usage_messages(usage: PeerUsage) -> list[UsageCopy | UsageHeld]:
     messages = []
-    if told.parts:
-        messages.append(UsageCopy(parts=told.parts))
-    if told.acked_number:
+    if usage.parts:
+        messages.append(UsageCopy(parts=usage.parts))
+    if usage.acked_number:
         messages.append(
-            UsageHeld(epoch=told.acked_epoch, number=told.acked_number)
+            UsageHeld(epoch=usage.acked_epoch, number=usage.acked_number)
         )
     return messages
 
@@ -259,7 +263,7 @@
     return messages
 
 
-def _share_event(
+def _make_share_event(
     envelope: Envelope, message: RateAsk | RateGrant
 ) -> LoanRequested | LoanGranted:
     if isinstance(message, RateAsk):
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -1,7 +1,6 @@
-"""Flushes usage counts, seals windows once, and reports the sealed figures.
+"""Flushes usage counts, seals each window once and reports the sealed counts.
 
-The decisions are those of `FlushCore` and `SealCore`; this file only carries
-them out.
+`FlushCore` and `SealCore` decide; this module executes their actions.
 """
 
 import contextlib
@@ -52,22 +51,22 @@
 
 __all__ = ["UsageController"]
 
-_STEP_S = 1.0
-_CLOSING_FLUSHES = 3
+_MAX_TICK_INTERVAL_S = 1.0
+_MAX_SHUTDOWN_FLUSHES = 3
 
 log = get_logger("usage")
 
 
 class UsageController(Controller):
-    """Flushes this daemon's parts; the holder also seals and reports.
+    """Flushes this daemon's usage parts; as lease holder, seals and reports.
 
     Args:
         cfg: Settings of this daemon.
-        client: The platform.
-        keeper: Makes the lease.
-        counters: This daemon's counts.
-        peers: Tells which peers are live.
-        metrics: Counts sealed and late usage.
+        client: Client of the platform.
+        lease_factory: Creates the lease.
+        counters: Usage counts of this daemon.
+        peers: Knows which peers are live.
+        metrics: Receives the counts of sealed and late requests.
     """
 
     name = "usage"
@@ -86,24 +85,26 @@
         self._counters = counters
         self._peers = peers
         self._metrics = metrics
-        self._counted_window = -1
+        self._last_counted_window = -1
         self._lease = lease_factory.new_duty_lease(
             f"usage/{cfg.failure_domain}"
         )
         timing = cfg.timing
-        self._step_s = min(_STEP_S, timing.usage_grace_s / 2)
-        self._flush_core = FlushCore(counters, self._step_s)
+        self._tick_interval_s = min(
+            _MAX_TICK_INTERVAL_S, timing.usage_grace_s / 2
+        )
+        self._flush_core = FlushCore(counters, self._tick_interval_s)
         self._seal_core = SealCore(
             cfg.failure_domain,
             timing.usage_window_s,
             timing.usage_grace_s,
-            self._step_s,
+            self._tick_interval_s,
         )
         self._ledger_key = f"sealed/{cfg.failure_domain}"
         self._store_prefix = f"usage/{cfg.failure_domain}/"
 
     def status(self) -> dict[str, object]:
-        """Tells who is in charge and which window was sealed last."""
+        """Returns the lease's holder, the last sealed window and part counts."""
         return {
             "fencing": self._lease.fencing,
             "holder": self._lease.observed_holder,
@@ -121,12 +122,12 @@
             tasks.start_soon(self._run_core, self._seal_core, self._seal_tick)
 
     async def release(self) -> None:
-        """Flushes everything and gives the duty up at shutdown."""
-        for _ in range(_CLOSING_FLUSHES):
+        """Flushes all counts and releases the lease at shutdown."""
+        for _ in range(_MAX_SHUTDOWN_FLUSHES):
             await self._feed(self._flush_core, self._flush_tick(True))
             if self._flush_core.is_done:
                 break
-            await anyio.sleep(self._step_s)
+            await anyio.sleep(self._tick_interval_s)
         await self._lease.release()
 
     def _flush_tick(self, is_closing: bool = False) -> FlushTick:
@@ -141,7 +142,7 @@
     async def _run_core(self, core: Core, make_tick) -> None:
         while True:
             await self._feed(core, make_tick())
-            await anyio.sleep(self._step_s)
+            await anyio.sleep(self._tick_interval_s)
 
     async def _feed(self, core: Core, event: object) -> None:
         actions = core.handle(event, boot_time_s())
@@ -149,10 +150,10 @@
             try:
                 event = await self._perform(actions[0])
             except PlatformUnavailableError as exc:
-                log.warning("the platform failed: {}", exc)
+                log.warning("a call to the platform failed: {}", exc)
                 event = CallFailed()
             except msgspec.ValidationError as exc:
-                log.error("an object can't be read: {}", exc)
+                log.error("a usage object is invalid: {}", exc)
                 event = CallFailed()
             actions = core.handle(event, boot_time_s())
 
@@ -171,18 +172,20 @@
             case EmptyStore():
                 return await self._empty_store(action)
             case SendReport():
-                return await self._report(action)
+                return await self._send_report(action)
         raise TypeError(f"not a usage action: {action!r}")
 
     @property
     def _store_key(self) -> str:
         return self._store_prefix + self._cfg.daemon_id
 
-    async def _read(self, key: str, kind: type, make_event) -> object:
+    async def _read(self, key: str, record_type: type, make_event) -> object:
         found = await self._client.get(key)
         if found is None:
-            return make_event(kind(), 0)
-        return make_event(msgspec.convert(found.value, kind), found.version)
+            return make_event(record_type(), 0)
+        return make_event(
+            msgspec.convert(found.value, record_type), found.version
+        )
 
     async def _list_parts(self) -> PartsListed:
         stores = []
@@ -190,7 +193,7 @@
             try:
                 store = msgspec.convert(found.value, PartStore)
             except msgspec.ValidationError as exc:
-                log.error("{} can't be read: {}", found.key, exc)
+                log.error("usage object {} is invalid: {}", found.key, exc)
                 continue
             daemon_id = found.key.removeprefix(self._store_prefix)
             stores.append(
@@ -228,9 +231,9 @@
 
     def _count_sealed(self, ledger: Ledger) -> None:
         for report in ledger.unreported:
-            if report.window <= self._counted_window:
+            if report.window <= self._last_counted_window:
                 continue
-            self._counted_window = report.window
+            self._last_counted_window = report.window
             window = msgspec.json.decode(report.body, type=SealedWindow)
             for name, counts in (
                 ("usage_sealed_requests", window.counts),
@@ -247,14 +250,14 @@
             write_id=uuid.uuid4().hex,
         )
 
-    async def _report(self, action: SendReport) -> object:
+    async def _send_report(self, action: SendReport) -> object:
         report = UsageReport(
             failure_domain=self._cfg.failure_domain,
             window=action.window,
             body=action.body,
         )
-        # The platform's usage interface knows no fencing number, so the
-        # lease must last for a second margin.
+        # The platform's usage interface checks no fencing number, so the lease
+        # must remain valid for a second margin.
         margin_s = self._cfg.timing.lease_margin_s
         if self._lease.fencing_with_margin(margin_s) != action.fencing:
             return CallFailed()
--- a/daisyhub/controllers/_watch.py
+++ b/daisyhub/controllers/_watch.py
@@ -1,4 +1,7 @@
-"""Watches the platform for news: configuration, withdrawn keys, weights."""
+"""Watches the platform for changed objects that concern every daemon.
+
+These are the configuration, withdrawn keys, drain orders and weight versions.
+"""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -23,7 +26,7 @@
 
 __all__ = ["WatchController"]
 
-NEWS_PREFIX = "news/"
+WATCHED_PREFIX = "news/"
 
 log = get_logger("news")
 
@@ -31,11 +34,11 @@
 
 
 class WatchController(Controller):
-    """One watch for everything that all daemons must hear.
+    """Watches one key prefix and delivers changed objects to listeners.
 
     Args:
-        client: The platform.
-        timing: How long a watch waits.
+        client: Client of the platform.
+        timing: Contains the maximum duration of a watch request.
     """
 
     name = "news"
@@ -50,23 +53,25 @@
     def add_listener(self, prefix: str, listener: Listener) -> None:
         """Calls `listener` with each changed object under `prefix`.
 
-        An object may come twice or in an earlier state. Listeners that are
-        added first hear first. One that raises is called again later.
+        An object may be delivered twice or in an earlier state. Listeners are
+        called in the order in which they were added. If a listener raises,
+        the delivery is retried later. All listeners must be added before
+        `run` is called, since each call resets the watch.
         """
         self._prefixes.append(prefix)
         self._listeners.append(listener)
         self._core = WatchCore(tuple(self._prefixes), self._timing.watch_wait_s)
 
     def status(self) -> dict[str, object]:
-        """Tells whether the platform answers."""
+        """Returns the state of the watch and the count of failed deliveries."""
         return {
             "platform": self._core.is_connected,
             "revision": self._core.revision,
-            "undelivered": self._core.undelivered,
+            "undelivered": self._core.undelivered_count,
         }
 
     async def run(self) -> None:
-        """Watches until cancelled."""
+        """Runs the watch until cancelled."""
         event = WatchStarted()
         while True:
             for action in self._core.handle(event, time.monotonic()):
@@ -80,8 +85,8 @@
         event = ObjectDelivered(action.listener, action.found)
         try:
             await self._listeners[action.listener](action.found)
-        except Exception as exc:  # noqa: BLE001 - others must hear theirs.
-            log.warning("{} can't be taken: {!r}", action.found.key, exc)
+        except Exception as exc:  # noqa: BLE001 - must not stop the others.
+            log.warning("delivery of {} failed: {!r}", action.found.key, exc)
             event = DeliveryFailed(action.listener, action.found)
         self._core.handle(event, time.monotonic())
 
@@ -89,11 +94,11 @@
         await anyio.sleep(action.pause_s)
         try:
             revision, objects = await self._client.watch(
-                NEWS_PREFIX,
+                WATCHED_PREFIX,
                 after_revision=action.after_revision,
                 wait_s=action.wait_s,
             )
         except PlatformUnavailableError as exc:
-            log.warning("the platform does not answer: {}", exc)
+            log.warning("watch request to the platform failed: {}", exc)
             return WatchFailed()
         return WatchResponseReceived(revision, objects)
--- a/daisyhub/controllers/_watch_core.py
+++ b/daisyhub/controllers/_watch_core.py
@@ -1,9 +1,9 @@
-"""Decides from which revision to watch, and what to deliver again.
+"""Decides from which revision to watch and which deliveries to retry.
 
-Listeners take the highest version of what they hear, so an object may be
-delivered twice or in an older state, but none may be skipped for good. When
-the store answers with a lower revision than before (another replica, or a
-store that was reset), everything is listed anew.
+Listeners keep the highest version of an object, so an object may be delivered
+twice or in an older state, but its newest state must be delivered eventually.
+If a response has a lower revision than the previous one (it came from another
+replica, or the store was reset), all objects are listed again.
 """
 
 import dataclasses
@@ -22,19 +22,24 @@
     "WatchObjects",
 ]
 
-_RETRY_S = 0.5
-_MOST_RETRY_S = 30.0
-_RELIST_S = 120.0
+_RETRY_DELAY_S = 0.5
+_MAX_RETRY_DELAY_S = 30.0
+_RELIST_INTERVAL_S = 120.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchStarted:
-    """Event: start."""
+    """Event: the controller has started; the first request can be sent."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchResponseReceived:
-    """Event: the store's revision and the objects changed."""
+    """Event: the store responded to a watch or a list request.
+
+    Attributes:
+        revision: Current revision of the store.
+        objects: Objects that changed since the requested revision.
+    """
 
     revision: int
     objects: tuple[PlatformObject, ...]
@@ -42,12 +47,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """Event: the store did not answer."""
+    """Event: the store did not respond to a watch request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObjectDelivered:
-    """Event: a listener took an object."""
+    """Event: a listener accepted an object.
+
+    Attributes:
+        listener: Index of the listener.
+        found: The object.
+    """
 
     listener: int
     found: PlatformObject
@@ -55,7 +65,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliveryFailed:
-    """Event: a listener could not take an object."""
+    """Event: a listener raised an exception for an object.
+
+    Attributes:
+        listener: Index of the listener.
+        found: The object.
+    """
 
     listener: int
     found: PlatformObject
@@ -63,7 +78,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchObjects:
-    """Action: watch, after a pause."""
+    """Action: send a watch request.
+
+    Attributes:
+        after_revision: Request objects changed after it; 0 requests all.
+        wait_s: How long the store may wait for a change before it responds.
+        pause_s: Delay before the request is sent.
+    """
 
     after_revision: int
     wait_s: float
@@ -72,24 +93,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliverObject:
-    """Action: give an object to a listener."""
+    """Action: deliver an object to a listener.
+
+    Attributes:
+        listener: Index of the listener.
+        found: The object.
+    """
 
     listener: int
     found: PlatformObject
 
 
 @dataclasses.dataclass(slots=True)
-class _Undelivered:
+class _FailedDelivery:
+    """An object whose delivery is retried at `due_s`."""
+
     found: PlatformObject
     due_s: float
 
 
 class WatchCore(Core):
-    """The state of one watch.
+    """Keeps the revision of one watch and its failed deliveries.
 
     Args:
-        prefixes: The key prefix of each listener.
-        wait_s: Longest time for which the store may hold a watch.
+        prefixes: The key prefix of each listener, by its index.
+        wait_s: Maximum time that the store may wait for a change before it
+            responds.
     """
 
     def __init__(self, prefixes: tuple[str, ...], wait_s: float):
@@ -97,44 +126,44 @@
         self.wait_s = wait_s
         self.revision = 0
         self.is_connected = False
-        self._undelivered: dict[tuple[int, str], _Undelivered] = {}
-        self._tries: dict[tuple[int, str], int] = {}
-        self._is_listed = False
-        self._listed_s = 0.0
+        self._undelivered: dict[tuple[int, str], _FailedDelivery] = {}
+        self._failure_counts: dict[tuple[int, str], int] = {}
+        self._has_current_list = False
+        self._listed_at_s = 0.0
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """Never: each watch ends by itself."""
+        """None: no tick is needed, since every watch request ends by itself."""
         return None
 
     @property
-    def undelivered(self) -> int:
-        """How many objects a listener could not take yet."""
+    def undelivered_count(self) -> int:
+        """Count of deliveries that failed and will be retried."""
         return len(self._undelivered)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; deliveries come before the next watch."""
+        """Handles one event; returns deliveries, then the next watch if any."""
         match event:
             case WatchStarted():
                 return [self._watch(now_s)]
             case WatchResponseReceived():
-                return self._on_answer(event, now_s)
+                return self._on_response(event, now_s)
             case WatchFailed():
                 self.is_connected = False
-                due = self._due(now_s)
-                return [*due, self._watch(now_s, pause_s=_RETRY_S)]
+                retries = self._due_retries(now_s)
+                return [*retries, self._watch(now_s, pause_s=_RETRY_DELAY_S)]
             case ObjectDelivered():
                 self._on_delivered(event)
                 return []
             case DeliveryFailed():
                 self._on_delivery_failed(event, now_s)
                 return []
-        raise TypeError(f"not a news event: {event!r}")
+        raise TypeError(f"not a watch event: {event!r}")
 
-    def _on_answer(
+    def _on_response(
         self, event: WatchResponseReceived, now_s: float
     ) -> list[object]:
-        # In the order of listeners, so that withdrawn keys can come first.
+        # Ordered by listener, so that withdrawn keys can be delivered first.
         deliveries = [
             DeliverObject(listener, found)
             for listener, prefix in enumerate(self.prefixes)
@@ -142,45 +171,53 @@
             if found.key.startswith(prefix)
         ]
         for delivery in deliveries:
-            # What is heard now replaces what couldn't be delivered.
-            place = (delivery.listener, delivery.found.key)
-            self._undelivered.pop(place, None)
+            # The object received now replaces one whose delivery failed.
+            delivery_key = (delivery.listener, delivery.found.key)
+            self._undelivered.pop(delivery_key, None)
         is_behind = event.revision < self.revision
-        is_due = self._is_listed and now_s - self._listed_s > _RELIST_S
-        if not self._is_listed:
-            self._listed_s = now_s
-        self._is_listed = not (is_behind or is_due)
+        is_relist_due = (
+            self._has_current_list
+            and now_s - self._listed_at_s > _RELIST_INTERVAL_S
+        )
+        if not self._has_current_list:
+            self._listed_at_s = now_s
+        self._has_current_list = not (is_behind or is_relist_due)
         self.revision = event.revision
         self.is_connected = True
-        pause_s = _RETRY_S if is_behind else 0.0
-        due = self._due(now_s)
-        return [*deliveries, *due, self._watch(now_s, pause_s=pause_s)]
+        pause_s = _RETRY_DELAY_S if is_behind else 0.0
+        retries = self._due_retries(now_s)
+        return [*deliveries, *retries, self._watch(now_s, pause_s=pause_s)]
 
     def _on_delivery_failed(self, event: DeliveryFailed, now_s: float) -> None:
-        place = (event.listener, event.found.key)
-        tries = self._tries.get(place, 0)
-        self._tries[place] = tries + 1
-        pause_s = min(_MOST_RETRY_S, _RETRY_S * 2 ** min(tries, 8))
-        self._undelivered[place] = _Undelivered(event.found, now_s + pause_s)
-
-    def _due(self, now_s: float) -> list[DeliverObject]:
-        """Returns what to deliver again."""
+        delivery_key = (event.listener, event.found.key)
+        failures = self._failure_counts.get(delivery_key, 0)
+        self._failure_counts[delivery_key] = failures + 1
+        pause_s = min(
+            _MAX_RETRY_DELAY_S, _RETRY_DELAY_S * 2 ** min(failures, 8)
+        )
+        self._undelivered[delivery_key] = _FailedDelivery(
+            event.found, now_s + pause_s
+        )
+
+    def _due_retries(self, now_s: float) -> list[DeliverObject]:
+        """Returns the failed deliveries that are due for a retry."""
         return [
-            DeliverObject(listener, item.found)
-            for (listener, _), item in self._undelivered.items()
-            if now_s >= item.due_s
+            DeliverObject(listener, failed.found)
+            for (listener, _), failed in self._undelivered.items()
+            if now_s >= failed.due_s
         ]
 
     def _on_delivered(self, event: ObjectDelivered) -> None:
-        place = (event.listener, event.found.key)
-        self._undelivered.pop(place, None)
-        self._tries.pop(place, None)
+        delivery_key = (event.listener, event.found.key)
+        self._undelivered.pop(delivery_key, None)
+        self._failure_counts.pop(delivery_key, None)
 
     def _watch(self, now_s: float, pause_s: float = 0.0) -> WatchObjects:
-        # A list does not wait, nor does the first watch after an outage.
-        if not self._is_listed:
+        # A list request returns at once, and so does the first watch request
+        # after an outage.
+        if not self._has_current_list:
             return WatchObjects(0, 0.0, pause_s)
         wait_s = self.wait_s if self.is_connected else 0.0
-        for item in self._undelivered.values():
-            wait_s = min(wait_s, max(_RETRY_S, item.due_s - now_s))
+        for failed in self._undelivered.values():
+            wait_s = min(wait_s, max(_RETRY_DELAY_S, failed.due_s - now_s))
         return WatchObjects(self.revision, wait_s, pause_s)
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -1,4 +1,4 @@
-"""Orders engines to load new weights; one daemon of a domain is in charge."""
+"""Orders engines to load new weights, from one daemon per failure domain."""
 
 import time
 
@@ -28,23 +28,23 @@
 __all__ = ["WeightController"]
 
 _ORDER_TIMEOUT_S = 10.0
-_BUSY_STEP_S = 0.5
-_IDLE_STEP_S = 5.0
-_SHORTEST_STEP_S = 0.005
+_ROLLOUT_TICK_INTERVAL_S = 0.5
+_IDLE_TICK_INTERVAL_S = 5.0
+_MIN_TICK_INTERVAL_S = 0.005
 _OK = 200
 _JSON = ((b"content-type", b"application/json"),)
 
 log = get_logger("weights")
 
 
-class WeightNews(msgspec.Struct, frozen=True, kw_only=True):
-    """The newest weight version of a pool, as its trainer published it."""
+class PublishedVersion(msgspec.Struct, frozen=True, kw_only=True):
+    """The newest weight version of a pool, published by its trainer."""
 
     version: int
 
 
 class WeightOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine; it refuses lower fencing numbers if it checks."""
+    """An order to an engine, which may reject lower fencing numbers."""
 
     kind: str
     version: int
@@ -56,10 +56,10 @@
 
     Args:
         cfg: Settings of this daemon.
-        keeper: Makes the lease.
+        lease_factory: Creates the lease.
         http: Sends orders.
         table: The endpoints.
-        config: Tells which pools check fencing numbers.
+        config: Provides the pools and whether they check fencing numbers.
     """
 
     name = "weights"
@@ -84,7 +84,7 @@
         self._wakeup = anyio.Event()
 
     def status(self) -> dict[str, object]:
-        """Tells the wanted versions and who is in charge."""
+        """Returns the wanted versions, the engines behind and the holder."""
         return {
             "wanted": self._core.wanted,
             "behind": self._core.behind,
@@ -93,9 +93,9 @@
         }
 
     async def on_weights(self, found: PlatformObject) -> None:
-        """Takes a pool's newest version from the platform's watch."""
+        """Handles a pool's newly published version from the watch."""
         pool = found.key.rpartition("/")[2]
-        version = msgspec.convert(found.value, WeightNews).version
+        version = msgspec.convert(found.value, PublishedVersion).version
         self._published[pool] = version
         self._wakeup.set()
 
@@ -107,32 +107,40 @@
             while True:
                 while self._published:
                     self._feed(VersionPublished(*self._published.popitem()))
-                self._feed(self._engines_seen())
+                self._feed(self._list_engines())
                 self._feed(WeightTick(bool(self._lease.fencing)))
-                with anyio.move_on_after(self._pause_s()):
+                with anyio.move_on_after(self._tick_interval_s()):
                     await self._wakeup.wait()
                 self._wakeup = anyio.Event()
 
     async def release(self) -> None:
-        """Gives the duty up at shutdown."""
+        """Releases the lease at shutdown."""
         await self._lease.release()
 
     def _feed(self, event: object) -> None:
         for order in self._core.handle(event, time.monotonic()):
-            self._tasks.start_soon(self._load, order)
-
-    def _pause_s(self) -> float:
-        """Short while an engine is behind: its news comes by polling."""
-        pause_s = _BUSY_STEP_S if self._core.behind else _IDLE_STEP_S
+            self._tasks.start_soon(self._execute, order)
+
+    def _tick_interval_s(self) -> float:
+        """Returns the time until the next tick.
+
+        It is short while an engine is behind, since a finished load is only
+        detected by polling the endpoint table.
+        """
+        interval_s = (
+            _ROLLOUT_TICK_INTERVAL_S
+            if self._core.behind
+            else _IDLE_TICK_INTERVAL_S
+        )
         wakeup_s = self._core.next_wakeup_s
         if wakeup_s is None:
-            return pause_s
+            return interval_s
         left_s = wakeup_s - time.monotonic()
-        return min(pause_s, max(_SHORTEST_STEP_S, left_s))
+        return min(interval_s, max(_MIN_TICK_INTERVAL_S, left_s))
 
-    def _engines_seen(self) -> EnginesListed:
+    def _list_engines(self) -> EnginesListed:
         now_s = time.monotonic()
-        rules = {
+        policies = {
             name: RolloutPolicy(pool.weight_loads_at_once, pool.checks_fencing)
             for name, pool in self._config.document.endpoint_pools.items()
             if pool.kind == "engine"
@@ -141,16 +149,19 @@
             EngineView(
                 state.endpoint_id, name, state.incarnation, state.weight_version
             )
-            for name in rules
+            for name in policies
             for state in self._table.candidates(name, now_s)
         )
-        return EnginesListed(engines, rules)
+        return EnginesListed(engines, policies)
 
-    async def _load(self, order: SendOrder) -> None:
+    async def _execute(self, order: SendOrder) -> None:
         self._feed(await self._send(order))
 
     async def _send(self, order: SendOrder) -> object:
-        """Sends an order if the lease holds; the check comes last."""
+        """Sends an order if the lease is valid.
+
+        The lease is checked immediately before sending.
+        """
         state = self._table.get(order.endpoint_id)
         if state is None:
             return OrderFailed(order.attempt)
@@ -161,7 +172,7 @@
             kind="load_weights", version=order.version, fencing=fencing
         )
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "POST",
                 state.address,
                 "/orders",
@@ -171,13 +182,13 @@
                 fresh=True,
             )
         except RequestFailedError as exc:
-            log.warning("order to {} failed: {}", order.endpoint_id, exc)
+            log.warning("weight order to {} failed: {}", order.endpoint_id, exc)
             return OrderFailed(order.attempt)
-        if answer.status != _OK:
+        if response.status != _OK:
             log.warning(
-                "{} refused an order with status {}",
+                "{} refused a weight order with status {}",
                 order.endpoint_id,
-                answer.status,
+                response.status,
             )
             return OrderFailed(order.attempt)
         state.weight_version = max(state.weight_version, order.version)
@@ -185,11 +196,11 @@
 
 
 def _extra_margin_s(timing: TimingSettings) -> float:
-    """What orders to engines that ignore fencing keep back of the lease.
+    """Returns the extra lease margin for engines that ignore fencing numbers.
 
-    Between the last check and the order lies the wait for a connection, and
-    what a freeze of the process adds. At most half of the lease's validity,
-    or no such order would ever leave.
+    Between the last check of the lease and the order, time passes while a
+    connection is opened or the process is paused. The margin is at most half
+    of the lease's validity, since otherwise no such order could be sent.
     """
-    wanted_s = timing.lease_margin_s + timing.connect_timeout_s
-    return min(wanted_s, (timing.lease_term_s - timing.lease_margin_s) / 2)
+    desired_s = timing.lease_margin_s + timing.connect_timeout_s
+    return min(desired_s, (timing.lease_term_s - timing.lease_margin_s) / 2)
--- a/daisyhub/controllers/tests/test_watch_core.py
+++ b/daisyhub/controllers/tests/test_watch_core.py
@@ -1,4 +1,4 @@
-"""What the watch does with revisions and listeners."""
+"""Tests of the revisions, deliveries and retries of a watch."""
 
 import unittest
 
@@ -13,36 +13,36 @@
 from daisyhub.hosting import PlatformObject
 
 
-def news(key, revision):
+def make_object(key, revision):
     return PlatformObject(key=key, version=1, revision=revision, write_id="w")
 
 
-class NewsCoreTest(unittest.TestCase):
+class WatchCoreTest(unittest.TestCase):
     def setUp(self):
         self.core = WatchCore(("news/keys", "news/"), 20.0)
         self.core.handle(WatchStarted(), 0.0)
 
-    def test_a_store_without_objects_is_waited_on(self):
+    def test_an_empty_store_is_watched_with_the_full_wait(self):
         watch = self.core.handle(WatchResponseReceived(0, ()), 0.0)[-1]
         self.assertEqual(watch, WatchObjects(0, 20.0))
 
-    def test_a_lower_revision_lists_anew(self):
+    def test_a_lower_revision_causes_a_new_list(self):
         self.core.handle(WatchResponseReceived(9, ()), 0.0)
         watch = self.core.handle(WatchResponseReceived(3, ()), 1.0)[-1]
         self.assertEqual((watch.after_revision, watch.wait_s), (0, 0.0))
         self.assertGreater(watch.pause_s, 0)
-        found = (news("news/keys", 2),)
+        found = (make_object("news/keys", 2),)
         actions = self.core.handle(WatchResponseReceived(3, found), 2.0)
         self.assertEqual(actions[-1], WatchObjects(3, 20.0))
 
-    def test_withdrawn_keys_come_first(self):
-        found = (news("news/config", 1), news("news/keys", 2))
+    def test_withdrawn_keys_are_delivered_first(self):
+        found = (make_object("news/config", 1), make_object("news/keys", 2))
         actions = self.core.handle(WatchResponseReceived(2, found), 0.0)
         keys = [a.found.key for a in actions if isinstance(a, DeliverObject)]
         self.assertEqual(keys, ["news/keys", "news/config", "news/keys"])
 
-    def test_what_always_fails_shortens_no_watch_for_long(self):
-        found = news("news/config", 1)
+    def test_repeated_failures_back_off_to_the_full_wait(self):
+        found = make_object("news/config", 1)
         self.core.handle(WatchResponseReceived(1, (found,)), 0.0)
         now_s, waits = 0.0, []
         for _ in range(12):
