--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -33,8 +33,8 @@
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    ConfigFetch,
-    ConfigParts,
+    ConfigRequest,
+    ConfigResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -141,7 +141,9 @@
         """Handles the summary of a peer's configuration from its heartbeat."""
         self._feed(summary)
 
-    async def handle_fetch_request(self, fetch: ConfigFetch) -> ConfigParts:
+    async def handle_fetch_request(
+        self, fetch: ConfigRequest
+    ) -> ConfigResponse:
         """Returns the active configuration without parts the peer has."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
@@ -150,7 +152,7 @@
             for digest, text in self._core.active_parts.items()
             if digest not in known
         }
-        return ConfigParts(
+        return ConfigResponse(
             head=snapshot.head if snapshot else ConfigHead(),
             contents=contents,
             withdrawn=tuple(sorted(self._core.withdrawn)),
@@ -191,7 +193,7 @@
             return FetchFailed(_PLATFORM_SOURCE)
 
     async def _fetch_from_peer(self, fetch: FetchFromPeer) -> object:
-        call = ConfigFetch(known_digests=fetch.known_digests)
+        call = ConfigRequest(known_digests=fetch.known_digests)
         try:
             parts = await self._network.call(
                 fetch.daemon_id, call, _FETCH_TIMEOUT_S
@@ -203,7 +205,7 @@
                 exc,
             )
             return FetchFailed(fetch.daemon_id)
-        if not isinstance(parts, ConfigParts):
+        if not isinstance(parts, ConfigResponse):
             return FetchFailed(fetch.daemon_id)
         return PeerStateFetched(
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -25,8 +25,8 @@
 )
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointFetch,
-    EndpointParts,
+    EndpointsRequest,
+    EndpointsResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -132,17 +132,19 @@
         for daemon_id in domain.intersection(self._peers.live_peers()):
             try:
                 parts = await self._network.call(
-                    daemon_id, EndpointFetch(), _PROBE_TIMEOUT_S
+                    daemon_id, EndpointsRequest(), _PROBE_TIMEOUT_S
                 )
             except PeerUnreachableError:
                 continue
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def handle_fetch_request(self, _: EndpointFetch) -> EndpointParts:
+    async def handle_fetch_request(
+        self, _: EndpointsRequest
+    ) -> EndpointsResponse:
         """Returns all endpoints of the table, for a peer."""
         records = tuple(_make_record(state) for state in self._table.all())
-        return EndpointParts(records=records)
+        return EndpointsResponse(records=records)
 
     async def _probe_assigned(self) -> None:
         """Probes the assigned endpoints that haven't responded recently.
@@ -180,7 +182,7 @@
                 "GET", state.address, "/load", timeout_s=_PROBE_TIMEOUT_S
             )
         except RequestFailedError:
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return
         state.last_received_at_s = time.monotonic()
         update = parse_endpoint_headers(state, response.headers)
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -7,7 +7,7 @@
 
 from daisyhub.balancing import EndpointState, EndpointTable
 from daisyhub.base import Balancer
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import EngineResponse, Generate, LotSpec
@@ -118,7 +118,7 @@
         except RequestFailedError as exc:
             log.debug("generation request failed: {}", exc)
             has_failed = True
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return None
         finally:
             self._table.record_done(
@@ -130,7 +130,7 @@
         return None if has_failed else _decode(response)
 
 
-def _decode(response: HttpAnswer) -> EngineResponse | None:
+def _decode(response: HttpResponse) -> EngineResponse | None:
     try:
         return msgspec.json.decode(response.body, type=EngineResponse)
     except msgspec.DecodeError as exc:
--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -23,7 +23,7 @@
 from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
-from daisyhub.peers import LotAnswer, LotCall
+from daisyhub.peers import LotCallRequest, LotCallResponse
 from daisyhub.rollouts import (
     AckBody,
     AckRequested,
@@ -178,7 +178,7 @@
         self._wakeup.set()
         await self._lease.release()
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves one trainer's call.
 
         Raises:
@@ -238,8 +238,8 @@
             wakeup_s = self._core.next_wakeup_s
             wait_s = _MAX_TICK_INTERVAL_S
             if wakeup_s is not None:
-                left_s = wakeup_s - time.monotonic()
-                wait_s = min(wait_s, max(_MIN_TICK_INTERVAL_S, left_s))
+                remaining_s = wakeup_s - time.monotonic()
+                wait_s = min(wait_s, max(_MIN_TICK_INTERVAL_S, remaining_s))
             with anyio.move_on_after(wait_s):
                 await self._wakeup.wait()
             self._wakeup = anyio.Event()
@@ -324,7 +324,7 @@
         return StateWritten(action.write_id, version)
 
 
-def _make_event(call: LotCall, number: int) -> object:
+def _make_event(call: LotCallRequest, number: int) -> object:
     until_s = time.monotonic() + _CALL_TIMEOUT_S
     match call.verb:
         case "open":
@@ -349,7 +349,7 @@
     raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"unknown verb {call.verb!r}")
 
 
-def _make_response(action: object) -> LotAnswer:
+def _make_response(action: object) -> LotCallResponse:
     """Returns the response for the trainer.
 
     Raises:
@@ -394,5 +394,5 @@
         raise Refusal(ErrorCode.BODY_INVALID, str(exc)) from exc
 
 
-def _json_response(value: object) -> LotAnswer:
-    return LotAnswer(status=_OK, body=msgspec.json.encode(value))
+def _json_response(value: object) -> LotCallResponse:
+    return LotCallResponse(status=_OK, body=msgspec.json.encode(value))
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -20,8 +20,8 @@
 from daisyhub.hosting import LeaseRecord, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    LotAnswer,
-    LotCall,
+    LotCallRequest,
+    LotCallResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -82,7 +82,7 @@
             for server in list(self._servers.values()):
                 tasks.start_soon(server.release)
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
@@ -104,7 +104,9 @@
                 retry_after_s=_RETRY_AFTER_S,
             ) from exc
 
-    async def handle_forwarded_call(self, call: LotCall) -> LotAnswer:
+    async def handle_forwarded_call(
+        self, call: LotCallRequest
+    ) -> LotCallResponse:
         """Serves a call that a peer forwarded; never forwards it again."""
         server = self._servers.get(call.lot_id)
         if server is None or not server.is_serving:
@@ -114,20 +116,24 @@
         except Refusal as exc:
             if exc.error is ErrorCode.LOT_ELSEWHERE:
                 return _elsewhere_response()
-            return LotAnswer(
+            return LotCallResponse(
                 status=exc.error.status,
                 body=problem_body(exc, call.lot_id),
                 retry_after_s=exc.retry_after_s,
             )
 
-    async def _serve_here(self, server: LotServer, call: LotCall) -> LotAnswer:
+    async def _serve_here(
+        self, server: LotServer, call: LotCallRequest
+    ) -> LotCallResponse:
         with anyio.move_on_after(_ACQUIRE_TIMEOUT_S):
             await server.ready.wait()
         if not server.is_serving:
             raise _takeover_refusal()
         return await server.serve(call)
 
-    async def _forward_to_holder(self, call: LotCall) -> LotAnswer | None:
+    async def _forward_to_holder(
+        self, call: LotCallRequest
+    ) -> LotCallResponse | None:
         """Forwards a call to the lot's holder and returns the response.
 
         Returns None if there is no other holder or it does not respond. While
@@ -176,7 +182,7 @@
                     return
                 version = found.version
 
-    async def _get_or_start_server(self, call: LotCall) -> LotServer:
+    async def _get_or_start_server(self, call: LotCallRequest) -> LotServer:
         spec = await self._find_spec(call)
         if spec.account != call.account:
             raise _unknown_lot_refusal()
@@ -189,7 +195,7 @@
             await self._new_servers.send(server)
         return server
 
-    async def _find_spec(self, call: LotCall) -> LotSpec:
+    async def _find_spec(self, call: LotCallRequest) -> LotSpec:
         spec = await self._specs.find(call.lot_id)
         if spec is not None:
             return spec
@@ -197,7 +203,7 @@
             raise _unknown_lot_refusal()
         return await self._specs.create(self._new_spec(call))
 
-    def _new_spec(self, call: LotCall) -> LotSpec:
+    def _new_spec(self, call: LotCallRequest) -> LotSpec:
         body = decode_body(call.body, OpenBody)
         lots = self._dependencies.config.document.trainer_lots
         lot_class = lots.get(body.lot_class)
@@ -244,7 +250,7 @@
     )
 
 
-def _elsewhere_response() -> LotAnswer:
-    return LotAnswer(
+def _elsewhere_response() -> LotCallResponse:
+    return LotCallResponse(
         status=ErrorCode.LOT_ELSEWHERE.status, body=b"", is_elsewhere=True
     )
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -20,19 +20,19 @@
 from daisyhub.controllers._config import ConfigController
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointNewsBatch,
+    EndpointUpdateBatch,
     Envelope,
     Heartbeat,
-    HeartbeatHeard,
+    HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
     PeerNetwork,
-    PostureChanged,
-    RateAsk,
-    RateGrant,
+    RateLoanGrant,
+    RateLoanRequest,
     SendHeartbeat,
     UsageCopy,
-    UsageHeld,
+    UsageCopyAck,
 )
 from daisyhub.settings import DaemonSettings
 
@@ -138,14 +138,14 @@
         match message:
             case Heartbeat():
                 self._on_heartbeat(sender, message)
-            case EndpointNewsBatch():
+            case EndpointUpdateBatch():
                 self._on_endpoint_updates(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
-            case RateAsk() | RateGrant():
+            case RateLoanRequest() | RateLoanGrant():
                 event = _make_share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
-            case UsageHeld():
+            case UsageCopyAck():
                 self._counters.on_copies_acknowledged(
                     envelope.sender,
                     envelope.incarnation,
@@ -167,8 +167,8 @@
                 self._send_periodic_messages()
             self._send_leaving()
 
-    def _posture(self) -> PostureChanged:
-        return PostureChanged(
+    def _posture(self) -> LocalStateChanged:
+        return LocalStateChanged(
             self._config.version,
             self._config.withdrawn_count,
             self._config.withdrawn_digest,
@@ -184,7 +184,7 @@
 
     def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
         self._versions[sender] = heartbeat.config_version
-        self._feed(HeartbeatHeard(sender, heartbeat))
+        self._feed(HeartbeatReceived(sender, heartbeat))
         self._config.on_peer_summary(
             PeerSummaryReceived(
                 sender,
@@ -194,7 +194,7 @@
             )
         )
 
-    def _on_endpoint_updates(self, batch: EndpointNewsBatch) -> None:
+    def _on_endpoint_updates(self, batch: EndpointUpdateBatch) -> None:
         for update in batch.news:
             self._table.apply_update(update)
 
@@ -208,8 +208,8 @@
             for update, repeats_left in self._leaving_updates.values()
             if repeats_left > 1
         }
-        for daemon_id in self._core.view(time.monotonic()):
-            self._network.send(daemon_id, EndpointNewsBatch(news=updates))
+        for daemon_id in self._core.next_targets(time.monotonic()):
+            self._network.send(daemon_id, EndpointUpdateBatch(news=updates))
 
     def _send_periodic_messages(self) -> None:
         """Sends due endpoint updates to all live peers, the rest as addressed."""
@@ -226,47 +226,47 @@
             if messages:
                 self._network.send(daemon_id, *messages)
 
-    def _due_batches(self, peer_count: int) -> list[EndpointNewsBatch]:
+    def _due_batches(self, peer_count: int) -> list[EndpointUpdateBatch]:
         """Returns the batch of queued updates, less often with more peers."""
         self._ticks_to_batch -= 1
         if self._ticks_to_batch > 0 or not self._pending_updates:
             return []
         self._ticks_to_batch = peer_count // _PEERS_PER_BATCH_TICK
-        batch = EndpointNewsBatch(news=tuple(self._pending_updates.values()))
+        batch = EndpointUpdateBatch(news=tuple(self._pending_updates.values()))
         self._pending_updates.clear()
         return [batch]
 
 
-def _usage_messages(usage: PeerUsage) -> list[UsageCopy | UsageHeld]:
+def _usage_messages(usage: PeerUsage) -> list[UsageCopy | UsageCopyAck]:
     messages = []
     if usage.parts:
         messages.append(UsageCopy(parts=usage.parts))
     if usage.acked_number:
         messages.append(
-            UsageHeld(epoch=usage.acked_epoch, number=usage.acked_number)
+            UsageCopyAck(epoch=usage.acked_epoch, number=usage.acked_number)
         )
     return messages
 
 
 def _rate_messages(
     daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
-) -> list[RateAsk | RateGrant]:
+) -> list[RateLoanRequest | RateLoanGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
             continue
         fields = {"incarnation": action.incarnation, "stamp_s": action.stamp_s}
         if isinstance(action, SendLoanRequest):
-            messages.append(RateAsk(wants=action.wants, **fields))
+            messages.append(RateLoanRequest(wants=action.wants, **fields))
         else:
-            messages.append(RateGrant(grants=action.grants, **fields))
+            messages.append(RateLoanGrant(grants=action.grants, **fields))
     return messages
 
 
 def _make_share_event(
-    envelope: Envelope, message: RateAsk | RateGrant
+    envelope: Envelope, message: RateLoanRequest | RateLoanGrant
 ) -> LoanRequested | LoanGranted:
-    if isinstance(message, RateAsk):
+    if isinstance(message, RateLoanRequest):
         return LoanRequested(
             envelope.sender,
             message.incarnation,
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -135,8 +135,8 @@
         wakeup_s = self._core.next_wakeup_s
         if wakeup_s is None:
             return interval_s
-        left_s = wakeup_s - time.monotonic()
-        return min(interval_s, max(_MIN_TICK_INTERVAL_S, left_s))
+        remaining_s = wakeup_s - time.monotonic()
+        return min(interval_s, max(_MIN_TICK_INTERVAL_S, remaining_s))
 
     def _list_engines(self) -> EnginesListed:
         now_s = time.monotonic()
