--- a/daisyhub/catalog/_controller.py
+++ b/daisyhub/catalog/_controller.py
@@ -40,7 +40,7 @@
         self.manifest: Manifest | None = None
 
     @property
-    def stored(self) -> StoredObject | None:
+    def active_object(self) -> StoredObject | None:
         """The object in force, for peers that lack it."""
         return self._stored
 
--- a/daisyhub/catalog/_types.py
+++ b/daisyhub/catalog/_types.py
@@ -58,7 +58,7 @@
         kind: What may be repeated.
         shares: Pools that serve it.
         timeout_s: Longest time for which a caller is kept waiting.
-        target_s: Time within which an answer is worth most.
+        target_latency_s: Time within which an answer is worth most.
         priority: Rank; 0 is the most urgent.
         max_attempts: Endpoints that one caller's attempt may be sent to.
         is_open: Whether no key is needed.
@@ -74,7 +74,7 @@
     kind: RouteKind
     shares: tuple[PoolShare, ...]
     timeout_s: float
-    target_s: float
+    target_latency_s: float
     priority: int = 0
     max_attempts: int = 1
     is_open: bool = False
@@ -101,8 +101,8 @@
         domain_prices: Price of a regular endpoint by failure domain.
     """
 
-    least: int
-    most: int
+    min_endpoints: int
+    max_endpoints: int
     boot_s: float
     cheap_price: float
     domain_prices: dict[str, float]
--- a/daisyhub/config/_acceptance.py
+++ b/daisyhub/config/_acceptance.py
@@ -12,11 +12,11 @@
 from daisyhub.config._acceptance_types import (
     AuditRead,
     AuditWritten,
-    BeginChange,
     ChangeAccepted,
     ChangeInDoubt,
     ChangeRefused,
     ChangeRequest,
+    ChangeStarted,
     HeadRead,
     HeadWriteRefused,
     HeadWritten,
@@ -85,7 +85,7 @@
         """Takes one event; returns the next action, or a final one."""
         self._pause_s = 0.0
         match event:
-            case BeginChange():
+            case ChangeStarted():
                 action = ReadHead()
             case HeadRead():
                 action = self._on_head(event)
--- a/daisyhub/config/_acceptance_types.py
+++ b/daisyhub/config/_acceptance_types.py
@@ -9,7 +9,7 @@
 __all__ = [
     "AuditRead",
     "AuditWritten",
-    "BeginChange",
+    "ChangeStarted",
     "ChangeAccepted",
     "ChangeInDoubt",
     "ChangeRefused",
@@ -56,7 +56,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BeginChange:
+class ChangeStarted:
     """Event: start."""
 
 
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -19,13 +19,13 @@
     "FetchFailed",
     "FetchFromPeer",
     "FetchParts",
-    "HeadHeard",
+    "HeadReceived",
     "PartsFetched",
-    "PeerFetched",
-    "PeerHeard",
-    "PutInForce",
+    "PeerStateFetched",
+    "PeerSummaryReceived",
+    "ActivateSnapshot",
     "WithdrawKeys",
-    "WithdrawnHeard",
+    "WithdrawnKeysReceived",
     "withdrawn_digest",
 ]
 
@@ -43,21 +43,21 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadHeard:
+class HeadReceived:
     """Event: the platform told a head."""
 
     head: ConfigHead
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WithdrawnHeard:
+class WithdrawnKeysReceived:
     """Event: the platform told withdrawn keys."""
 
     key_ids: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerHeard:
+class PeerSummaryReceived:
     """Event: a peer told what it has."""
 
     daemon_id: str
@@ -74,7 +74,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerFetched:
+class PeerStateFetched:
     """Event: a peer answered `FetchFromPeer`."""
 
     daemon_id: str
@@ -111,7 +111,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PutInForce:
+class ActivateSnapshot:
     """Action: use this configuration from now on."""
 
     snapshot: Snapshot
@@ -154,7 +154,7 @@
         return self.snapshot.head.version if self.snapshot else 0
 
     @property
-    def known_contents(self) -> dict[str, str]:
+    def active_parts(self) -> dict[str, str]:
         """Part digest to text of the version in force."""
         return self.snapshot.contents if self.snapshot else {}
 
@@ -166,15 +166,15 @@
     def handle(self, event: object, now_s: float) -> list[object]:
         """Takes one event; returns what to withdraw, use and fetch."""
         match event:
-            case HeadHeard():
+            case HeadReceived():
                 actions = self._on_head(event)
-            case WithdrawnHeard():
+            case WithdrawnKeysReceived():
                 actions = self._withdraw(event.key_ids)
-            case PeerHeard():
+            case PeerSummaryReceived():
                 actions = self._on_peer(event)
             case PartsFetched():
                 actions = self._on_parts(event, now_s)
-            case PeerFetched():
+            case PeerStateFetched():
                 actions = self._on_peer_parts(event, now_s)
             case FetchFailed():
                 actions = self._on_failure(event.source, now_s)
@@ -187,7 +187,7 @@
     def _source(self, name: str) -> _Source:
         return self._sources.setdefault(name, _Source())
 
-    def _on_head(self, event: HeadHeard) -> list[object]:
+    def _on_head(self, event: HeadReceived) -> list[object]:
         if event.head.version <= self._platform_head.version:
             return []
         self._platform_head = event.head
@@ -196,7 +196,7 @@
         source.retry_at_s = 0.0
         return []
 
-    def _on_peer(self, event: PeerHeard) -> list[object]:
+    def _on_peer(self, event: PeerSummaryReceived) -> list[object]:
         source = self._source(event.daemon_id)
         source.version = event.version
         source.withdrawn_count = event.withdrawn_count
@@ -209,12 +209,14 @@
             for digest, text in event.contents.items()
             if digest_of(text) == digest
         }
-        contents = {**self.known_contents, **self._fetched}
+        contents = {**self.active_parts, **self._fetched}
         return self._adopt(PLATFORM, self._platform_head, contents, now_s)
 
-    def _on_peer_parts(self, event: PeerFetched, now_s: float) -> list[object]:
+    def _on_peer_parts(
+        self, event: PeerStateFetched, now_s: float
+    ) -> list[object]:
         withdrawn = self._withdraw(event.withdrawn)
-        contents = {**self.known_contents, **event.contents}
+        contents = {**self.active_parts, **event.contents}
         return withdrawn + self._adopt(
             event.daemon_id, event.head, contents, now_s
         )
@@ -227,7 +229,7 @@
         except PartsError:
             return self._on_failure(name, now_s)
         self.snapshot = snapshot
-        return [*self._on_success(name), PutInForce(snapshot)]
+        return [*self._on_success(name), ActivateSnapshot(snapshot)]
 
     def _on_success(self, name: str) -> list[object]:
         source = self._source(name)
@@ -295,7 +297,7 @@
 
     def _fetch(self, name: str) -> object:
         if name != PLATFORM:
-            return FetchFromPeer(name, tuple(sorted(self.known_contents)))
-        known = self.known_contents.keys() | self._fetched.keys()
+            return FetchFromPeer(name, tuple(sorted(self.active_parts)))
+        known = self.active_parts.keys() | self._fetched.keys()
         missing = self._platform_head.digests - known
         return FetchParts(tuple(sorted(missing)))
--- a/daisyhub/config/_store.py
+++ b/daisyhub/config/_store.py
@@ -17,11 +17,11 @@
 from daisyhub.config._acceptance_types import (
     AuditRead,
     AuditWritten,
-    BeginChange,
     ChangeAccepted,
     ChangeInDoubt,
     ChangeRefused,
     ChangeRequest,
+    ChangeStarted,
     HeadRead,
     HeadWriteRefused,
     HeadWritten,
@@ -142,7 +142,7 @@
             write_id=uuid.uuid4().hex,
         )
         core = AcceptanceCore(req, _check_sections)
-        action = core.handle(BeginChange(), 0.0)[0]
+        action = core.handle(ChangeStarted(), 0.0)[0]
         while True:
             match action:
                 case ChangeAccepted():
--- a/daisyhub/config/tests/config_world.py
+++ b/daisyhub/config/tests/config_world.py
@@ -72,7 +72,7 @@
         )
         self.core = self.core_class(req, lambda _: None)
         self.final = None
-        self.todo = self.core.handle(acceptance.BeginChange(), 0.0)[0]
+        self.todo = self.core.handle(acceptance.ChangeStarted(), 0.0)[0]
 
     def step(self, store, fault, lag, late):
         """Carries one action out; returns the final action, or None."""
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -17,19 +17,19 @@
 
 from daisyhub.config import (
     AcceptanceCore,
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     ConfigHead,
     FetchFailed,
     FetchFromPeer,
     FetchParts,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
-    PeerFetched,
-    PeerHeard,
-    PutInForce,
-    WithdrawnHeard,
+    PeerStateFetched,
+    PeerSummaryReceived,
     WithdrawnKeys,
+    WithdrawnKeysReceived,
     join_sections,
 )
 from daisyhub.config._acceptance_types import (
@@ -83,7 +83,7 @@
         for action in self.core.handle(event, now_s):
             if isinstance(action, FetchParts | FetchFromPeer):
                 self.fetches.append(action)
-            elif isinstance(action, PutInForce):
+            elif isinstance(action, ActivateSnapshot):
                 self.in_force = action.snapshot
 
 
@@ -256,8 +256,8 @@
             daemon.news.handle(failed, self.now_s)
             return
         value = action.found.value
-        heard = HeadHeard(value) if action.listener else None
-        daemon.feed(heard or WithdrawnHeard(value.key_ids), self.now_s)
+        heard = HeadReceived(value) if action.listener else None
+        daemon.feed(heard or WithdrawnKeysReceived(value.key_ids), self.now_s)
         done = NewsDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
 
@@ -300,12 +300,12 @@
         head = core.snapshot.head if core.snapshot else ConfigHead()
         texts = {
             digest: text
-            for digest, text in core.known_contents.items()
+            for digest, text in core.active_parts.items()
             if digest not in action.known_digests
         }
         texts = self.damage(texts, how)
         withdrawn = tuple(core.withdrawn)
-        return PeerFetched(source, head, texts, withdrawn)
+        return PeerStateFetched(source, head, texts, withdrawn)
 
     def damage(self, texts, how):
         return {d: t + " " * (how == "damaged") for d, t in texts.items()}
@@ -318,7 +318,7 @@
         if sender == to or (sender, to) in self.cut:
             return
         core = self.daemons[sender].core
-        heard = PeerHeard(
+        heard = PeerSummaryReceived(
             sender, core.version, len(core.withdrawn), core.withdrawn_digest
         )
         self.daemons[to].feed(heard, self.now_s)
@@ -350,7 +350,7 @@
             daemon.seen_withdrawn = core.withdrawn
             if core.snapshot is None:
                 continue
-            own = join_sections(core.snapshot.head, core.known_contents)
+            own = join_sections(core.snapshot.head, core.active_parts)
             assert own == self.truth[core.version], "mixed sections"
 
     def teardown(self):
--- a/daisyhub/hosting/_client.py
+++ b/daisyhub/hosting/_client.py
@@ -16,7 +16,7 @@
 
 __all__ = [
     "EndpointRecord",
-    "OrderReply",
+    "OrderResponse",
     "OrderRequest",
     "PlatformClient",
     "PlatformObject",
@@ -82,7 +82,7 @@
     fencing: int
 
 
-class OrderReply(msgspec.Struct, frozen=True, kw_only=True):
+class OrderResponse(msgspec.Struct, frozen=True, kw_only=True):
     """The endpoint that an order starts or stops."""
 
     endpoint_id: str
@@ -206,7 +206,7 @@
         answer = await self._call("POST", target, body=body)
         if answer.status == _CONFLICT:
             return ""
-        return _decode(answer, OrderReply).endpoint_id
+        return _decode(answer, OrderResponse).endpoint_id
 
     async def report_usage(self, report: UsageReport) -> None:
         """Hands over a sealed window; may be repeated."""
--- a/daisyhub/hosting/_lease.py
+++ b/daisyhub/hosting/_lease.py
@@ -18,7 +18,7 @@
     "LeaseRead",
     "LeaseRecord",
     "LeaseTick",
-    "LeaseWriteDone",
+    "LeaseWritten",
     "LeaseWriteFailed",
     "LeaseWriteRefused",
     "ReadLease",
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeaseWriteDone:
+class LeaseWritten:
     """The write with this id took effect as `version`."""
 
     write_id: int
@@ -135,7 +135,7 @@
         return 0
 
     @property
-    def seen_holder(self) -> str:
+    def observed_holder(self) -> str:
         """The holder that the last read or write told."""
         return self._seen_record.holder if self._seen_record else ""
 
@@ -152,7 +152,7 @@
                 return self._on_tick(now_s)
             case LeaseRead():
                 return self._on_read(event, now_s)
-            case LeaseWriteDone():
+            case LeaseWritten():
                 return self._on_write_done(event, now_s)
             case LeaseWriteRefused() | LeaseWriteFailed():
                 return self._on_write_lost(event, now_s)
@@ -222,9 +222,7 @@
         self._next_s = now_s + self.term_s / _RENEWALS_PER_TERM
         return []
 
-    def _on_write_done(
-        self, event: LeaseWriteDone, now_s: float
-    ) -> list[object]:
+    def _on_write_done(self, event: LeaseWritten, now_s: float) -> list[object]:
         if event.write_id != self._write_id:
             return []
         self._is_waiting = False
--- a/daisyhub/hosting/_lease_keeper.py
+++ b/daisyhub/hosting/_lease_runner.py
@@ -18,15 +18,15 @@
     LeaseRead,
     LeaseRecord,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteFailed,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     WriteLease,
 )
 from daisyhub.settings import TimingSettings
 
-__all__ = ["Lease", "LeaseKeeper", "rank_candidates"]
+__all__ = ["Lease", "LeaseFactory", "rank_candidates"]
 
 _LEASE_PREFIX = "leases/"
 _RELEASE_TIMEOUT_S = 2.0
@@ -60,9 +60,9 @@
         return self._core.fencing_if_held(boot_time_s(), extra_margin_s)
 
     @property
-    def seen_holder(self) -> str:
+    def observed_holder(self) -> str:
         """Id of the holder last seen; empty if none is known."""
-        return self._core.seen_holder
+        return self._core.observed_holder
 
     async def run(self) -> None:
         """Acquires and renews the lease until cancelled or released."""
@@ -115,10 +115,10 @@
             )
         except PlatformConflictError:
             return LeaseWriteRefused(action.write_id)
-        return LeaseWriteDone(action.write_id, version)
+        return LeaseWritten(action.write_id, version)
 
 
-class LeaseKeeper:
+class LeaseFactory:
     """Makes leases for one process."""
 
     def __init__(
@@ -137,7 +137,7 @@
         """Returns a lease that this process tries to take, not held yet."""
         return Lease(name, self._new_core(), self._client, _always)
 
-    def new_duty(self, name: str) -> Lease:
+    def new_duty_lease(self, name: str) -> Lease:
         """Returns the lease of a duty that only candidates try to take."""
 
         def is_candidate(duty: str) -> bool:
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -14,19 +14,19 @@
 import msgspec
 
 from daisyhub.base import Core
-from daisyhub.hosting._pool_sizing import PoolDemand, PoolSizer
+from daisyhub.hosting._pool_sizing import PoolSizer, PoolState
 
 __all__ = [
-    "BookFailed",
+    "BookAccessFailed",
     "BookLoaded",
-    "BookRefused",
+    "BookWriteRefused",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
-    "OrderAnswered",
+    "OrderResponseReceived",
     "OrderBook",
     "OrderCore",
-    "OrderFailed",
+    "OrderOutcomeUnknown",
     "OrderTick",
     "SendOrder",
     "WriteBook",
@@ -74,7 +74,7 @@
     """Time has passed; `fencing` is 0 unless the lease is surely held."""
 
     fencing: int
-    demands: tuple[PoolDemand, ...] = ()
+    demands: tuple[PoolState, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,17 +93,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BookRefused:
+class BookWriteRefused:
     """Another holder has written the book."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BookFailed:
+class BookAccessFailed:
     """A read failed, or the effect of a write is unknown."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderAnswered:
+class OrderResponseReceived:
     """The platform has taken the order, or refused it for good.
 
     Attributes:
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderFailed:
+class OrderOutcomeUnknown:
     """Whether the order took effect is unknown."""
 
     order_id: str
@@ -181,13 +181,13 @@
                 return self._on_loaded(event)
             case BookWritten():
                 return self._on_written(event, now_s)
-            case BookRefused() | BookFailed():
+            case BookWriteRefused() | BookAccessFailed():
                 self._forget()
                 return []
-            case OrderAnswered():
+            case OrderResponseReceived():
                 self._answers[event.order_id] = event.endpoint_id
                 return []
-            case OrderFailed():
+            case OrderOutcomeUnknown():
                 return []
         raise TypeError(f"not an order event: {event!r}")
 
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -9,7 +9,7 @@
 import dataclasses
 import math
 
-__all__ = ["EndpointSight", "PoolDemand", "PoolSizer", "Sizing"]
+__all__ = ["ObservedEndpoint", "PoolState", "PoolSizer", "SizingDecision"]
 
 ORDERS_IN_FLIGHT = 4
 SHRINK_AFTER_S = 60.0
@@ -19,7 +19,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointSight:
+class ObservedEndpoint:
     """One endpoint as the holder sees it."""
 
     endpoint_id: str
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class PoolDemand:
+class PoolState:
     """What a pool has and may have.
 
     Attributes:
@@ -43,7 +43,7 @@
     """
 
     pool: str
-    endpoints: tuple[EndpointSight, ...]
+    endpoints: tuple[ObservedEndpoint, ...]
     least: int
     budget: int
     target_load: float
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Sizing:
+class SizingDecision:
     """What to order for a pool now.
 
     Attributes:
@@ -73,7 +73,7 @@
         self._cheap_seen: frozenset[str] = frozenset()
         self._cheap_paused_until_s = 0.0
 
-    def observe(self, demand: PoolDemand, now_s: float) -> None:
+    def observe(self, demand: PoolState, now_s: float) -> None:
         """Notes a mass loss of cheap endpoints."""
         cheap = frozenset(
             sight.endpoint_id
@@ -87,12 +87,12 @@
 
     def decide(
         self,
-        demand: PoolDemand,
+        demand: PoolState,
         *,
         starting: tuple[bool, ...],
         stopping: frozenset[str],
         now_s: float,
-    ) -> Sizing:
+    ) -> SizingDecision:
         """Returns the orders that the pool needs beyond the pending ones.
 
         Args:
@@ -122,30 +122,30 @@
             )
         if count == wanted or not free or not staying:
             self._low_since_s = None
-            return Sizing()
+            return SizingDecision()
         return self._shrink(staying, now_s)
 
-    def _grow(self, demand, count, cheap_count, new, now_s) -> Sizing:
+    def _grow(self, demand, count, cheap_count, new, now_s) -> SizingDecision:
         may_be_cheap = now_s >= self._cheap_paused_until_s
         cheap = 0
         for total in range(count + 1, count + new + 1):
             is_within = cheap_count + cheap + 1 <= demand.cheap_share * total
             cheap += may_be_cheap and is_within
         regular = max(0, new) - cheap
-        return Sizing(start_regular=regular, start_cheap=cheap)
+        return SizingDecision(start_regular=regular, start_cheap=cheap)
 
-    def _shrink(self, staying, now_s: float) -> Sizing:
+    def _shrink(self, staying, now_s: float) -> SizingDecision:
         """Stops one endpoint, the least loaded, after a while of low load."""
         if self._low_since_s is None:
             self._low_since_s = now_s
         if now_s - self._low_since_s < SHRINK_AFTER_S:
-            return Sizing()
+            return SizingDecision()
         self._low_since_s = None
         idle = min(staying, key=lambda s: (s.load, s.endpoint_id))
-        return Sizing(stop=(idle.endpoint_id,))
+        return SizingDecision(stop=(idle.endpoint_id,))
 
 
-def _wanted_count(demand: PoolDemand, count: int) -> int:
+def _wanted_count(demand: PoolState, count: int) -> int:
     """Returns how many endpoints the load calls for, within the budget."""
     load = sum(sight.load for sight in demand.endpoints)
     capacity = max((sight.capacity for sight in demand.endpoints), default=1)
--- a/daisyhub/hosting/tests/test_proof_lease.py
+++ b/daisyhub/hosting/tests/test_proof_lease.py
@@ -18,9 +18,9 @@
     LeaseCore,
     LeaseRead,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteFailed,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     WriteLease,
 )
@@ -119,7 +119,7 @@
             return
         self.version += 1
         self.record = action.record
-        done = LeaseWriteDone(action.write_id, self.version)
+        done = LeaseWritten(action.write_id, self.version)
         self.answers[number].append(done)
 
     def hear(self, number):
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -16,18 +16,18 @@
 )
 
 from daisyhub.hosting import (
-    BookFailed,
+    BookAccessFailed,
     BookLoaded,
-    BookRefused,
+    BookWriteRefused,
     BookWritten,
-    EndpointSight,
     LoadBook,
-    OrderAnswered,
+    ObservedEndpoint,
     OrderBook,
     OrderCore,
-    OrderFailed,
+    OrderOutcomeUnknown,
+    OrderResponseReceived,
     OrderTick,
-    PoolDemand,
+    PoolState,
     SendOrder,
     WriteBook,
 )
@@ -60,7 +60,7 @@
 
     def sights(self):
         return tuple(
-            EndpointSight(
+            ObservedEndpoint(
                 endpoint_id=endpoint_id,
                 cheap=cheap,
                 is_leaving=endpoint_id in self.leaving,
@@ -70,7 +70,7 @@
         )
 
     def demand(self):
-        return PoolDemand(
+        return PoolState(
             pool="p",
             endpoints=self.lists[0],
             least=2,
@@ -139,18 +139,18 @@
         match action:
             case LoadBook():
                 event = BookLoaded(self.book, self.version)
-                self.feed(number, BookFailed() if lost else event)
+                self.feed(number, BookAccessFailed() if lost else event)
             case WriteBook():
                 event = self.write(action)
-                self.feed(number, BookFailed() if lost else event)
+                self.feed(number, BookAccessFailed() if lost else event)
             case SendOrder():
                 event = self.order(action)
-                failed = OrderFailed(action.order.order_id)
+                failed = OrderOutcomeUnknown(action.order.order_id)
                 self.feed(number, failed if lost else event)
 
     def write(self, action):
         if action.expected_version != self.version:
-            return BookRefused()
+            return BookWriteRefused()
         self.version += 1
         self.book = action.book
         return BookWritten(self.version)
@@ -161,18 +161,20 @@
         if known is not None:
             assert known == (order.kind, order.pool, order.cheap), known
             started = f"e-{order.order_id}"
-            return OrderAnswered(order.order_id, order.endpoint_id or started)
+            return OrderResponseReceived(
+                order.order_id, order.endpoint_id or started
+            )
         if self.checks_fencing and action.fencing < self.highest_fencing:
-            return OrderAnswered(order.order_id, "")
+            return OrderResponseReceived(order.order_id, "")
         self.highest_fencing = max(self.highest_fencing, action.fencing)
         self.taken[order.order_id] = (order.kind, order.pool, order.cheap)
         if order.kind == "stop":
             if order.endpoint_id in self.live:
                 self.leaving.add(order.endpoint_id)
-            return OrderAnswered(order.order_id, order.endpoint_id)
+            return OrderResponseReceived(order.order_id, order.endpoint_id)
         started = f"e-{order.order_id}"
         self.live[started] = order.cheap
-        return OrderAnswered(order.order_id, started)
+        return OrderResponseReceived(order.order_id, started)
 
     @invariant()
     def the_budget_holds(self):
--- a/daisyhub/identity/_keys.py
+++ b/daisyhub/identity/_keys.py
@@ -113,7 +113,7 @@
         """Whether requests under this key id may go on."""
         return key_id in self._keys and key_id not in self._withdrawn
 
-    def account_of(self, key: ParsedKey) -> str:
+    def authenticate(self, key: ParsedKey) -> str:
         """Returns the account that the key speaks for.
 
         Raises:
--- a/daisyhub/identity/tests/test_proof_keys.py
+++ b/daisyhub/identity/tests/test_proof_keys.py
@@ -89,7 +89,7 @@
         route = Route(path_prefix="/", pool="p", methods=("GET", "POST"))
         routes = RouteTable(Document(routes={"all": route}))
         table = EndpointTable()
-        table.adopt_list(
+        table.apply_list(
             [EndpointRecord(endpoint_id="e", pool="p", ip="127.0.0.1", port=1)]
         )
         self.passed = 0
