--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -15,8 +15,8 @@
 )
 from benchmarks.measure.workloads import Site
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointTable,
+    EndpointUpdate,
     LeastLoaded,
     RoundRobin,
 )
@@ -24,9 +24,9 @@
 from daisyhub.filters import (
     AdmissionCore,
     Admit,
-    Arrive,
     Depart,
     PlacesChanged,
+    RequestArrived,
     places_for,
 )
 from daisyhub.filters._forward_core import (
@@ -109,7 +109,7 @@
         self.run = run
         self.domain = domain
         self.table = EndpointTable()
-        self.table.adopt_list(run.records_of(domain))
+        self.table.apply_list(run.records_of(domain))
         kind = LeastLoaded if policy.is_least_loaded else RoundRobin
         self.balancer = kind(seed)
         core = AdmissionCore if policy.is_fair else FirstComeFirstServed
@@ -131,7 +131,7 @@
         sharing = _DAEMONS_EACH
         if self.run.policy.is_site_wide:
             sharing = len(self.run.daemons)
-        capacity = self.table.told_capacity([_POOL])
+        capacity = self.table.reported_capacity([_POOL])
         self.feed(PlacesChanged(places_for(capacity, sharing, MOST_PLACES)))
         self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
 
@@ -162,7 +162,7 @@
     def arrive(self) -> None:
         self.daemon.waiting[self.request_id] = self
         self.daemon.feed(
-            Arrive(
+            RequestArrived(
                 request_id=self.request_id,
                 account=f"account-{self.account}",
                 weight=1,
@@ -205,7 +205,7 @@
         run = self.run
         server = run.servers[action.endpoint_id]
         self._open[action.attempt] = server
-        self.daemon.table.note_sent(action.endpoint_id)
+        self.daemon.table.record_sent(action.endpoint_id)
         hop_s = run.hop_s(self.daemon.domain, server)
         if server.is_in("refuse") or server.is_gone():
             run.clock.after(
@@ -227,13 +227,13 @@
         if server.is_gone() or server.is_in("hang"):
             return  # Lost with the server; the deadline will tell.
         self._note(attempt, failed=False)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=server.record.endpoint_id,
             incarnation=1,
             load=server.load(),
             capacity=self.run.site.service_slots,
         )
-        self.daemon.table.adopt_news(news)
+        self.daemon.table.apply_update(news)
         self.feed(AttemptAnswered(attempt))
 
     def _fail(self, attempt: int, ran: Ran) -> None:
@@ -245,7 +245,7 @@
         self.feed(AttemptFailed(attempt=attempt, ran=ran, timed_out=timed_out))
 
     def _note(self, attempt: int, *, failed: bool) -> None:
-        self.daemon.table.note_done(
+        self.daemon.table.record_done(
             self._open[attempt].record.endpoint_id,
             failed=failed,
             now_s=self.run.clock.now_s,
@@ -257,7 +257,7 @@
         took_s = now_s - self.started_s + 2 * self.run.site.caller_s
         self.run.outcomes.append((self.account, kind, took_s, server))
         for other in self._open.values():
-            self.daemon.table.note_done(
+            self.daemon.table.record_done(
                 other.record.endpoint_id, failed=False, now_s=now_s
             )
         if self.admitted_s is not None:
@@ -350,7 +350,7 @@
         reclaim = next(f for f in self.faults if f.kind == "reclaim")
         if self.clock.now_s >= reclaim.start_s + _LIST_LAG_S:
             for daemon in self.daemons:
-                daemon.table.adopt_list(
+                daemon.table.apply_list(
                     [
                         record
                         for record in self.records_of(daemon.domain)
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -11,21 +11,21 @@
 from daisyhub.hosting import EndpointRecord
 from daisyhub.rollouts import (
     CancelSample,
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
     RefuseCall,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 from daisyhub.rollouts._slot_table import SlotTable
@@ -183,7 +183,7 @@
         kind = LotCore if policy.keeps_samples else _GroupRestartingCore
         self.core = kind(spec, "holder")
         self.table = EndpointTable()
-        self.table.adopt_list(run.records_of(number))
+        self.table.apply_list(run.records_of(number))
         balancer = LeastLoaded if policy.is_least_loaded else RoundRobin
         self.balancer = balancer(run.seed + number)
         self.version = 0
@@ -203,7 +203,7 @@
         self._calls += 1
         acks = (f"pull-{self._pulls - 1}",) if self._pulls > 1 else ()
         self.feed(
-            PullAsked(
+            PullRequested(
                 call=self._calls,
                 pull_id=f"pull-{self._pulls}",
                 version=self.version,
@@ -226,9 +226,9 @@
                     clock.after(_STORE_S, functools.partial(self.feed, read))
                 case WriteState():
                     self._stored += 1
-                    done = WriteDone(action.write_id, self._stored)
+                    done = StateWritten(action.write_id, self._stored)
                     clock.after(_STORE_S, functools.partial(self.feed, done))
-                case HandOver():
+                case DeliverGroups():
                     self._take(action)
                 case RefuseCall():
                     clock.after(_PAUSE_S, self.ask)
@@ -257,7 +257,7 @@
         version = engine.versions[self.number]
         attempt = _Attempt(action.attempt, engine, clock.now_s, version)
         self._open[attempt.number] = attempt
-        self.table.note_sent(engine.name)
+        self.table.record_sent(engine.name)
         failed = functools.partial(self._fail, attempt)
         if engine.is_in("refuse", clock.now_s):
             clock.after(_DETECT_S, failed)
@@ -280,7 +280,7 @@
             self._close(attempt.number, failed=False)
             last = attempt.engine.versions[self.number]
             answer = _answer(attempt.first_version, last)
-            self.feed(SampleReady(attempt.number, answer))
+            self.feed(SampleReceived(attempt.number, answer))
 
     def _fail(self, attempt: _Attempt) -> None:
         if attempt.number in self._open:
@@ -294,11 +294,11 @@
     def _close(self, number: int, *, failed: bool) -> None:
         now_s = self.run.clock.now_s
         attempt = self._open.pop(number)
-        self.table.note_done(attempt.engine.name, failed=failed, now_s=now_s)
+        self.table.record_done(attempt.engine.name, failed=failed, now_s=now_s)
         if attempt.slot >= 0 and now_s < attempt.ends_s:
             attempt.engine.free(attempt)
 
-    def _take(self, action: HandOver) -> None:
+    def _take(self, action: DeliverGroups) -> None:
         clock = self.run.clock
         for group in action.groups:
             for sample in group.samples:
--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -22,14 +22,14 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -150,13 +150,13 @@
                 news = told.get(peer.daemon_id)
                 if news is None:
                     continue
-                peer.counters.hold(daemon.daemon_id, news.parts)
-                if news.held_number:
-                    peer.counters.on_held(
+                peer.counters.keep_copies(daemon.daemon_id, news.parts)
+                if news.acked_number:
+                    peer.counters.on_copies_acknowledged(
                         daemon.daemon_id,
                         daemon.epoch,
-                        news.held_epoch,
-                        news.held_number,
+                        news.acked_epoch,
+                        news.acked_number,
                     )
 
     def _step(self) -> None:
@@ -204,7 +204,7 @@
                 return LedgerWritten(self.ledger[1])
             case SendReport():
                 self.reports.setdefault(action.window, action.body)
-                return ReportDone(action.window)
+                return ReportAccepted(action.window)
             case ListParts():
                 return PartsListed(
                     tuple(
@@ -227,7 +227,7 @@
         if not isinstance(action, WriteStore):
             raise TypeError(f"not a usage action: {action!r}")
         if not is_current:
-            return StoreRefused()
+            return StoreWriteRejected()
         self.stores[key] = (action.store, version + 1)
         return StoreWritten(version + 1)
 
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -12,30 +12,30 @@
     processor_us,
 )
 from daisyhub.filters import AdmissionCore
-from daisyhub.filters._admission_core import Admit, Arrive, Depart
+from daisyhub.filters._admission_core import Admit, Depart, RequestArrived
 from daisyhub.hosting import (
     LeaseCore,
     LeaseRead,
     LeaseTick,
-    LeaseWriteDone,
     LeaseWriteRefused,
+    LeaseWritten,
     ReadLease,
     rank_candidates,
 )
 from daisyhub.rollouts import (
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
-    WriteDone,
+    StateWritten,
     WriteState,
 )
 
@@ -102,17 +102,17 @@
                 case ReadState():
                     waiting += self.feed(StateRead(LotState(), 0))
                 case Generate():
-                    ready = SampleReady(action.attempt, _answer())
+                    ready = SampleReceived(action.attempt, _answer())
                     waiting += self.feed(ready)
                 case WriteState():
                     waiting += self._commit(action)
-                case HandOver() if action.remaining:
+                case DeliverGroups() if action.remaining:
                     waiting += self._ask((action.pull_id,))
         return self
 
     def _ask(self, acks: tuple[str, ...]) -> list[object]:
         self._pulls += 1
-        event = PullAsked(
+        event = PullRequested(
             call=self._pulls,
             pull_id=f"pull-{self._pulls:08d}",
             version=1,
@@ -125,7 +125,7 @@
     def _commit(self, action: WriteState) -> list[object]:
         self.commits += 1
         self.commit_bytes += len(msgspec.json.encode(action.state))
-        return self.feed(WriteDone(action.write_id, self.commits))
+        return self.feed(StateWritten(action.write_id, self.commits))
 
 
 def _lot_us(slots: int) -> float:
@@ -177,8 +177,8 @@
     return memory_bytes(lambda: _decode(data))
 
 
-def _arrive(number: int, accounts: int) -> Arrive:
-    return Arrive(
+def _arrive(number: int, accounts: int) -> RequestArrived:
+    return RequestArrived(
         request_id=str(number),
         account=f"account-{number % accounts}",
         weight=1,
@@ -221,7 +221,7 @@
             return LeaseWriteRefused(action.write_id)
         self.version += 1
         self.record = action.record
-        return LeaseWriteDone(action.write_id, self.version)
+        return LeaseWritten(action.write_id, self.version)
 
 
 def _lease_calls(daemons: int) -> _LeaseStore:
--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -12,10 +12,10 @@
 from daisyhub.connections import HttpClient
 from daisyhub.controllers._weights import WeightOrder
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
-    OrderDone,
-    RolloutRule,
+    OrderCompleted,
+    RolloutPolicy,
     VersionPublished,
     WeightCore,
     WeightTick,
@@ -29,7 +29,7 @@
 _US = 1_000_000
 
 
-def measure_core_us(loads_at_once: int) -> float:
+def measure_core_us(max_concurrent_loads: int) -> float:
     """Returns the core's microseconds for each order of one roll-out."""
     core = WeightCore(2.0)
     engines = tuple(
@@ -38,14 +38,14 @@
     )
     start_s = time.process_time()
     core.handle(VersionPublished("model", 1), 0.0)
-    rules = {"model": RolloutRule(loads_at_once, True)}
-    core.handle(EnginesSeen(engines, rules), 0.0)
+    rules = {"model": RolloutPolicy(max_concurrent_loads, True)}
+    core.handle(EnginesListed(engines, rules), 0.0)
     orders = core.handle(WeightTick(True), 0.0)
     sent = 0
     while orders:
         order = orders.pop()
         sent += 1
-        orders += core.handle(OrderDone(order.attempt), 0.0)
+        orders += core.handle(OrderCompleted(order.attempt), 0.0)
     assert sent == ENGINES
     return (time.process_time() - start_s) * _US / sent
 
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -8,6 +8,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.config import (
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     ConfigHead,
@@ -16,15 +17,14 @@
     FetchFailed,
     FetchFromPeer,
     FetchParts,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
-    PeerFetched,
-    PeerHeard,
-    PutInForce,
+    PeerStateFetched,
+    PeerSummaryReceived,
     Snapshot,
     WithdrawKeys,
-    WithdrawnHeard,
     WithdrawnKeys,
+    WithdrawnKeysReceived,
     empty_document,
 )
 from daisyhub.exceptions import PlatformUnavailableError
@@ -128,14 +128,14 @@
 
     async def on_head(self, found: PlatformObject) -> None:
         """Takes a head from the platform's watch."""
-        self._feed(HeadHeard(msgspec.convert(found.value, ConfigHead)))
+        self._feed(HeadReceived(msgspec.convert(found.value, ConfigHead)))
 
     async def on_withdrawn(self, found: PlatformObject) -> None:
         """Takes the withdrawn keys from the platform's watch."""
         record = msgspec.convert(found.value, WithdrawnKeys)
-        self._feed(WithdrawnHeard(record.key_ids))
+        self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer(self, heard: PeerHeard) -> None:
+    def on_peer(self, heard: PeerSummaryReceived) -> None:
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
@@ -145,7 +145,7 @@
         known = set(fetch.known_digests)
         contents = {
             digest: text
-            for digest, text in self._core.known_contents.items()
+            for digest, text in self._core.active_parts.items()
             if digest not in known
         }
         return ConfigParts(
@@ -162,7 +162,7 @@
                     self._keys.withdraw(key_ids)
                     log.info("{} keys are withdrawn", len(key_ids))
                     self._tell()
-                case PutInForce(snapshot):
+                case ActivateSnapshot(snapshot):
                     self._put_in_force(snapshot)
                 case FetchParts() | FetchFromPeer():
                     self._fetches.append(action)
@@ -199,7 +199,7 @@
             return FetchFailed(fetch.daemon_id)
         if not isinstance(parts, ConfigParts):
             return FetchFailed(fetch.daemon_id)
-        return PeerFetched(
+        return PeerStateFetched(
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
         )
 
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -15,20 +15,20 @@
     PlatformUnavailableError,
 )
 from daisyhub.hosting import (
-    BookFailed,
+    BookAccessFailed,
     BookLoaded,
-    BookRefused,
+    BookWriteRefused,
     BookWritten,
-    EndpointSight,
-    LeaseKeeper,
+    LeaseFactory,
     LoadBook,
-    OrderAnswered,
+    ObservedEndpoint,
     OrderBook,
     OrderCore,
-    OrderFailed,
+    OrderOutcomeUnknown,
+    OrderResponseReceived,
     OrderTick,
     PlatformClient,
-    PoolDemand,
+    PoolState,
     SendOrder,
     WriteBook,
 )
@@ -59,7 +59,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         table: EndpointTable,
         config: ConfigController,
     ):
@@ -67,14 +67,14 @@
         self._client = client
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty(f"orders/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"orders/{cfg.failure_domain}")
         self._core = OrderCore(cfg.failure_domain)
 
     def status(self) -> dict[str, object]:
         """Tells who is in charge and which orders are pending."""
         return {
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
             "pending": [
                 f"{order.order_id}:{order.kind}:{order.pool}"
                 for order in self._core.pending
@@ -94,7 +94,7 @@
         """Gives the duty up at shutdown."""
         await self._lease.release()
 
-    def _demands(self) -> tuple[PoolDemand, ...]:
+    def _demands(self) -> tuple[PoolState, ...]:
         """Returns the pools that daisyhub orders endpoints for."""
         if not self._lease.fencing:
             return ()
@@ -105,9 +105,9 @@
             if pool.orders == "automatic"
         )
 
-    def _demand(self, name: str, pool: EndpointPool) -> PoolDemand:
+    def _demand(self, name: str, pool: EndpointPool) -> PoolState:
         sights = tuple(
-            EndpointSight(
+            ObservedEndpoint(
                 endpoint_id=state.endpoint_id,
                 cheap=state.cheap,
                 is_leaving=state.is_leaving,
@@ -117,11 +117,11 @@
             for state in self._table.all()
             if state.pool == name
         )
-        return PoolDemand(
+        return PoolState(
             pool=name,
             endpoints=sights,
-            least=pool.least,
-            budget=pool.budget,
+            min_endpoints=pool.least,
+            max_endpoints=pool.budget,
             target_load=pool.target_load,
             cheap_share=pool.cheap_share,
         )
@@ -150,7 +150,7 @@
         try:
             found = await self._client.get(self._book_key)
         except PlatformUnavailableError:
-            return BookFailed()
+            return BookAccessFailed()
         if found is None:
             return BookLoaded(OrderBook(), 0)
         book = msgspec.convert(found.value, OrderBook)
@@ -165,9 +165,9 @@
                 write_id=uuid.uuid4().hex,
             )
         except PlatformConflictError:
-            return BookRefused()
+            return BookWriteRefused()
         except PlatformUnavailableError:
-            return BookFailed()
+            return BookAccessFailed()
         return BookWritten(version)
 
     async def _send(self, action: SendOrder) -> object:
@@ -177,13 +177,13 @@
         if self._cfg.orders_check_fencing:
             extra_s = 0.0
         if self._lease.fencing_with_margin(extra_s) != action.fencing:
-            return OrderFailed(order.order_id)
+            return OrderOutcomeUnknown(order.order_id)
         try:
             endpoint_id = await self._client.send_order(
                 self._cfg.failure_domain, order, action.fencing
             )
         except PlatformUnavailableError as exc:
             log.warning("order {} is in doubt: {}", order.order_id, exc)
-            return OrderFailed(order.order_id)
+            return OrderOutcomeUnknown(order.order_id)
         log.info("order {} {}: {}", order.order_id, order.kind, endpoint_id)
-        return OrderAnswered(order.order_id, endpoint_id)
+        return OrderResponseReceived(order.order_id, endpoint_id)
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -17,7 +17,7 @@
     FlushTick,
     Ledger,
     LedgerRead,
-    LedgerRefused,
+    LedgerWriteRejected,
     LedgerWritten,
     ListedStore,
     ListParts,
@@ -25,14 +25,14 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -45,7 +45,7 @@
     PlatformConflictError,
     PlatformUnavailableError,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient, UsageReport
+from daisyhub.hosting import LeaseFactory, PlatformClient, UsageReport
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
 from daisyhub.settings import DaemonSettings
@@ -76,7 +76,7 @@
         self,
         cfg: DaemonSettings,
         client: PlatformClient,
-        keeper: LeaseKeeper,
+        keeper: LeaseFactory,
         counters: UsageCounters,
         peers: PeerController,
         metrics: Metrics,
@@ -87,7 +87,7 @@
         self._peers = peers
         self._metrics = metrics
         self._counted_window = -1
-        self._lease = keeper.new_duty(f"usage/{cfg.failure_domain}")
+        self._lease = keeper.new_duty_lease(f"usage/{cfg.failure_domain}")
         timing = cfg.timing
         self._step_s = min(_STEP_S, timing.usage_grace_s / 2)
         self._flush_core = FlushCore(counters, self._step_s)
@@ -104,11 +104,11 @@
         """Tells who is in charge and which window was sealed last."""
         return {
             "fencing": self._lease.fencing,
-            "holder": self._lease.seen_holder,
+            "holder": self._lease.observed_holder,
             "last_sealed": self._seal_core.last_sealed,
-            "unsealed_parts": self._counters.unsealed,
+            "unsealed_parts": self._counters.unsealed_count,
             "unkept_requests": self._counters.unkept_requests,
-            "held_parts": self._counters.held,
+            "held_parts": self._counters.copy_count,
         }
 
     async def run(self) -> None:
@@ -210,7 +210,7 @@
                 self._store_key, action.store, action.expected_version
             )
             return StoreWritten(version)
-        return StoreRefused()
+        return StoreWriteRejected()
 
     async def _write_ledger(self, action: WriteLedger) -> object:
         if self._lease.fencing != action.fencing:
@@ -222,7 +222,7 @@
             log.info("window {} is sealed", action.ledger.window)
             self._count_sealed(action.ledger)
             return LedgerWritten(version)
-        return LedgerRefused()
+        return LedgerWriteRejected()
 
     def _count_sealed(self, ledger: Ledger) -> None:
         for report in ledger.unreported:
@@ -257,4 +257,4 @@
         if self._lease.fencing_with_margin(margin_s) != action.fencing:
             return CallFailed()
         await self._client.report_usage(report)
-        return ReportDone(action.window)
+        return ReportAccepted(action.window)
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -5,9 +5,9 @@
 import anyio
 
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
@@ -104,7 +104,7 @@
         state = self._table.get(action.endpoint_id)
         if state is None:
             return _failed(action, Ran.NOT_RUN)
-        self._table.note_sent(state.endpoint_id)
+        self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
         try:
@@ -122,10 +122,10 @@
             failed = False
             raise
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
+        self._table.apply_update(news_from_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedAnswer):
                 await answer.aclose()
@@ -227,9 +227,9 @@
 
 def news_from_headers(
     state: EndpointState, headers: tuple[Header, ...]
-) -> EndpointNews:
+) -> EndpointUpdate:
     """Reads the news that an endpoint's answer carries in its headers."""
-    return EndpointNews(
+    return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
         is_leaving=(b"endpoint-state", b"leaving") in headers,
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -45,13 +45,13 @@
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
-    HandedInLotsFilter,
-    HolderTools,
     ItemRunner,
     LotHolder,
+    LotHolderDependencies,
     LotReader,
     LotStore,
     RewardCaller,
+    SubmittedLotsFilter,
 )
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
@@ -233,7 +233,7 @@
 
     def _build_lots(self) -> None:
         self.lots = LotStore(self.store)
-        tools = HolderTools(
+        tools = LotHolderDependencies(
             store=self.store,
             lots=self.lots,
             directory=self.directory,
@@ -245,7 +245,7 @@
                 self.manifests, self.sender, self._endpoint_wire, self.log
             ),
             is_loading=self._is_loading,
-            is_alone=self.peers.is_missing_some,
+            has_lost_peers=self.peers.is_missing_some,
             clock=self.clock,
             metrics=self.metrics,
             log=self.log,
@@ -260,7 +260,7 @@
             PlatformEnginePort(self.http, self.log),
             self.directory,
             self.manifests,
-            self.holder.runs_at,
+            self.holder.open_run_count,
             self.holder.demand,
             self.cfg.loads_share,
             self.log,
@@ -273,9 +273,11 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.answer_head)
-        self.network.add_callee(LotResultsAsked, self.holder.answer_results)
-        self.network.add_callee(LotBodyAsked, self.holder.answer_body)
+        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
+        self.network.add_callee(
+            LotResultsAsked, self.holder.handle_results_request
+        )
+        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
@@ -288,7 +290,7 @@
                 FindRouteFilter(self.manifests),
                 KeyFilter(self.manifests),
                 BodyFilter(self.manifests),
-                HandedInLotsFilter(
+                SubmittedLotsFilter(
                     self.lots,
                     self.reader,
                     self._lot_wire,
@@ -494,7 +496,9 @@
     def _note_cut_domains(self) -> None:
         """Tells the directory which failure domains seem to be cut off."""
         own = frozenset((self.cfg.failure_domain,))
-        self.directory.set_cut_domains(self.peers.silent_domains() - own)
+        self.directory.set_unreachable_domains(
+            self.peers.silent_domains() - own
+        )
 
     async def _shut_down(self) -> None:
         """Takes no new callers, ends what is open, and goes."""
@@ -502,7 +506,7 @@
         self.log.note("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
-        await self.holder.keep_texts()
+        await self.holder.save_unfinished_texts()
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -65,7 +65,7 @@
         port: Talks to engines.
         directory: Endpoints.
         manifests: Tells which routes want samples of a single version.
-        runs_at: Tells how many runs are open at an engine.
+        open_run_count: Tells how many runs are open at an engine.
         demand: Tells the work asked for by model.
         loads_share: Share of a model's engines that load at one time.
         log: Where decisions are noted.
@@ -82,7 +82,7 @@
         port: EnginePort,
         directory: EndpointDirectory,
         manifests: ManifestController,
-        runs_at: Callable[[str], int],
+        open_run_count: Callable[[str], int],
         demand: Callable[[], dict[str, float]],
         loads_share: float,
         log: DecisionLog,
@@ -94,7 +94,7 @@
         self._port = port
         self._directory = directory
         self._manifests = manifests
-        self._runs_at = runs_at
+        self._open_run_count = open_run_count
         self._demand = demand
         self._loads_share = loads_share
         self._log = log
@@ -200,7 +200,7 @@
             endpoint_id=entry.endpoint_id,
             incarnation=entry.incarnation,
             versions=entry.versions,
-            runs=self._runs_at(entry.endpoint_id),
+            runs=self._open_run_count(entry.endpoint_id),
             model=self._serves.get(entry.endpoint_id, ""),
         )
 
@@ -249,5 +249,5 @@
         if report is None:
             self._handle(core, ReportFailed(action.endpoint_id))
             return
-        self._directory.note_versions(action.endpoint_id, report.versions)
+        self._directory.record_versions(action.endpoint_id, report.versions)
         self._handle(core, ReportRead(action.endpoint_id, report))
