--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -44,8 +44,8 @@
 
     pool: str
     endpoints: tuple[ObservedEndpoint, ...]
-    least: int
-    budget: int
+    min_endpoints: int
+    max_endpoints: int
     target_load: float
     cheap_share: float
 
