--- a/daisyhub/config/__init__.py
+++ b/daisyhub/config/__init__.py
@@ -1,4 +1,4 @@
-"""The shared configuration document: its sections, checks and versions."""
+"""The shared configuration document: schema, validation and versions."""
 
 from daisyhub.config._acceptance import AcceptanceCore
 from daisyhub.config._acceptance_types import ChangeRequest
--- a/daisyhub/config/_acceptance.py
+++ b/daisyhub/config/_acceptance.py
@@ -1,9 +1,10 @@
-"""Decides how one change of the configuration is accepted or refused.
+"""Accepts or refuses one change of the configuration.
 
-The head is moved by conditional update. A write whose answer is lost is sent
-again, word for word, until the store tells which version the head has; the
-audit entry of that version then says whose change it is. So a change is never
-accepted twice, and never reported as refused after it took effect.
+The head is updated conditionally. If the response to an update is lost, the
+identical update is sent again until the store returns the head's version. The
+audit entry of that version then identifies the change that created it. A
+change is therefore never accepted twice, and never reported as refused after
+it took effect.
 """
 
 from collections.abc import Callable
@@ -43,18 +44,18 @@
 
 __all__ = ["AcceptanceCore"]
 
-_MOST_TRIES = 12
-_MOST_EXPLAINED = 200
-_PAUSE_S = 0.01
-_MOST_PAUSE_S = 1.0
+_MAX_RETRIES = 12
+_MAX_VERSIONS_EXPLAINED = 200
+_INITIAL_BACKOFF_S = 0.01
+_MAX_BACKOFF_S = 1.0
 
 
 class AcceptanceCore(Core):
-    """Carries one change through; one action is open at a time.
+    """Applies one change to the head, with one pending action at a time.
 
     Args:
         req: The change.
-        check: Raises `DocumentError` if merged sections aren't a document.
+        check: Raises `DocumentError` if the merged sections are invalid.
     """
 
     def __init__(self, req: ChangeRequest, check: Callable[[Sections], object]):
@@ -64,26 +65,26 @@
         self._object_version = 0
         self._heads = {0: ConfigHead()}
         self._contents: dict[str, str] = {}
-        self._sent: ConfigHead | None = None
-        self._last: object = None
+        self._proposed_head: ConfigHead | None = None
+        self._last_action: object = None
         self._refusal: DaisyhubError | None = None
-        self._tries = 0
+        self._retries = 0
         self._is_head_sent = False
-        self._pause_s = 0.0
+        self._delay_s = 0.0
 
     @property
-    def pause_s(self) -> float:
-        """How long to wait before the action that was returned last."""
-        return self._pause_s
+    def delay_s(self) -> float:
+        """Seconds to wait before performing the last returned action."""
+        return self._delay_s
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """Never: the caller bounds each action's time."""
+        """None: the caller sets a timeout for each action."""
         return None
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns the next action, or a final one."""
-        self._pause_s = 0.0
+        """Handles one event; returns the next action or the final result."""
+        self._delay_s = 0.0
         match event:
             case ChangeStarted():
                 action = ReadHead()
@@ -96,9 +97,9 @@
                 action = self._prepare()
             case PartsWritten():
                 self._is_head_sent = True
-                action = WriteHead(self._sent, self._object_version)
+                action = WriteHead(self._proposed_head, self._object_version)
             case HeadWritten():
-                action = WriteAudit(self._sent)
+                action = WriteAudit(self._proposed_head)
             case HeadWriteRefused():
                 action = self._retry(ReadHead())
             case AuditWritten():
@@ -109,76 +110,82 @@
                 action = self._on_failure(event)
             case _:
                 raise TypeError(f"not an acceptance event: {event!r}")
-        self._last = action
+        self._last_action = action
         return [action]
 
     def _on_head(self, event: HeadRead) -> object:
-        if self._sent is not None:
+        if self._proposed_head is not None:
             return self._resolve(event)
         self._head = event.head
         self._object_version = event.object_version
         self._heads[event.head.version] = event.head
         if event.head.version:
-            # Whoever moves the head next completes the audit trail first.
+            # The previous writer may have failed before it wrote this entry.
             return WriteAudit(event.head)
         return self._prepare()
 
     def _resolve(self, event: HeadRead) -> object:
-        """Finds out whose change the version became."""
-        if event.head.version < self._sent.version:
-            return self._retry(ReadHead())  # A replica lags.
-        if event.head.version > self._sent.version:
-            return ReadAudit(self._sent.version)
+        """Determines whether this change created the proposed version."""
+        if event.head.version < self._proposed_head.version:
+            return self._retry(ReadHead())  # A lagging replica answered.
+        if event.head.version > self._proposed_head.version:
+            return ReadAudit(self._proposed_head.version)
         if event.head.write_id == self.req.write_id:
-            return WriteAudit(self._sent)
-        return self._start_again()
+            return WriteAudit(self._proposed_head)
+        return self._restart()
 
-    def _start_again(self) -> object:
-        self._sent = None
+    def _restart(self) -> object:
+        self._proposed_head = None
         return self._retry(ReadHead())
 
     def _on_audit(self, event: AuditRead) -> object:
         if event.head is None:
             return self._on_missing_audit(event)
-        if self._sent is None:
+        if self._proposed_head is None:
             self._heads[event.version] = event.head
             return self._prepare()
         if event.head.write_id == self.req.write_id:
-            return ChangeAccepted(self._sent)
-        return self._start_again()
+            return ChangeAccepted(self._proposed_head)
+        return self._restart()
 
     def _on_missing_audit(self, event: AuditRead) -> object:
-        if self._sent is None and event.version > self._head.version:
+        if self._proposed_head is None and event.version > self._head.version:
             return self._refuse(
                 ConfigConflictError(f"there is no version {event.version}")
             )
         return self._retry(ReadAudit(event.version))
 
     def _on_audit_written(self) -> object:
-        if self._sent is not None:
-            return ChangeAccepted(self._sent)
+        if self._proposed_head is not None:
+            return ChangeAccepted(self._proposed_head)
         return self._prepare()
 
     def _on_failure(self, event: StoreFailed) -> object:
-        if isinstance(self._last, WriteRefusal):
+        if isinstance(self._last_action, WriteRefusal):
             return ChangeRefused(self._refusal)
         if self._is_accepted():
-            # The next change writes the audit entry.
-            return ChangeAccepted(self._sent)
-        return self._retry(self._last, event.reason)
+            # The next change creates the missing audit entry.
+            return ChangeAccepted(self._proposed_head)
+        return self._retry(self._last_action, event.reason)
 
     def _is_accepted(self) -> bool:
-        return self._sent is not None and isinstance(self._last, WriteAudit)
+        return self._proposed_head is not None and isinstance(
+            self._last_action, WriteAudit
+        )
 
-    def _retry(self, action: object, reason: str = "others write") -> object:
-        self._tries += 1
-        if self._tries > _MOST_TRIES:
+    def _retry(
+        self, action: object, reason: str = "concurrent writes"
+    ) -> object:
+        self._retries += 1
+        if self._retries > _MAX_RETRIES:
             return ChangeInDoubt(reason, self._is_head_sent)
-        self._pause_s = min(_MOST_PAUSE_S, _PAUSE_S * 2**self._tries)
+        self._delay_s = min(
+            _MAX_BACKOFF_S, _INITIAL_BACKOFF_S * 2**self._retries
+        )
         return action
 
     def _prepare(self) -> object:
-        """Merges and writes once all that the merge needs is known."""
+        """Reads what the merge needs and is missing, then merges."""
         versions = [self.req.base_version, self.req.revert_to]
         unknown = [v for v in versions if v not in self._heads]
         if unknown:
@@ -187,18 +194,18 @@
         for version in versions:
             needed |= self._heads[version].digests
         missing = tuple(sorted(needed - self._contents.keys()))
-        if missing and isinstance(self._last, ReadParts):
+        if missing and isinstance(self._last_action, ReadParts):
             return self._retry(ReadParts(missing), "parts are missing")
         if missing:
             return ReadParts(missing)
-        return self._decide()
+        return self._merge()
 
-    def _decide(self) -> object:
-        head = self._sections_of(self._head)
-        base = self._sections_of(self._heads[self.req.base_version])
-        result = merge_sections(base, head, self._wanted(head))
+    def _merge(self) -> object:
+        head = self._join_parts(self._head)
+        base = self._join_parts(self._heads[self.req.base_version])
+        result = merge_sections(base, head, self._requested_sections(head))
         if result.conflicts:
-            return self._explain(result.conflicts)
+            return self._refuse_conflicts(result.conflicts)
         changed = changed_sections(head, result.sections)
         if not changed:
             return ChangeAccepted(self._head, is_new=False)
@@ -208,19 +215,19 @@
             refs, contents = split_sections(result.sections)
         except DaisyhubError as exc:
             return self._refuse(exc)
-        self._sent = self._next_head(refs, changed)
+        self._proposed_head = self._next_head(refs, changed)
         new = contents.keys() - self._head.digests
         self._contents |= contents
         return WriteParts({digest: contents[digest] for digest in sorted(new)})
 
-    def _sections_of(self, head: ConfigHead) -> Sections:
+    def _join_parts(self, head: ConfigHead) -> Sections:
         return join_sections(head, self._contents)
 
-    def _wanted(self, head: Sections) -> Sections:
+    def _requested_sections(self, head: Sections) -> Sections:
         if not self.req.revert_to:
             return self.req.sections
-        wanted = self._sections_of(self._heads[self.req.revert_to])
-        return {name: {} for name in head} | wanted
+        restored = self._join_parts(self._heads[self.req.revert_to])
+        return {name: {} for name in head} | restored
 
     def _next_head(self, refs, changed: tuple[str, ...]) -> ConfigHead:
         return ConfigHead(
@@ -234,15 +241,19 @@
             base_version=self.req.base_version,
         )
 
-    def _explain(self, conflicts: tuple[tuple[str, str], ...]) -> object:
-        """Reads which teams changed the sections since, then refuses."""
-        first = max(self.req.base_version, self._head.version - _MOST_EXPLAINED)
+    def _refuse_conflicts(
+        self, conflicts: tuple[tuple[str, str], ...]
+    ) -> object:
+        """Reads the versions since the base, then refuses with their teams."""
+        first = max(
+            self.req.base_version, self._head.version - _MAX_VERSIONS_EXPLAINED
+        )
         versions = range(self._head.version, first, -1)
         for version in versions:
             if version not in self._heads:
                 return ReadAudit(version)
         parts = []
-        for section in dict.fromkeys(place for place, _ in conflicts):
+        for section in dict.fromkeys(section for section, _ in conflicts):
             teams: dict[str, int] = {}
             for version in versions:
                 entry = self._heads[version]
--- a/daisyhub/config/_acceptance_types.py
+++ b/daisyhub/config/_acceptance_types.py
@@ -1,4 +1,4 @@
-"""The change, the events and the actions of `AcceptanceCore`."""
+"""The request, events and actions of `AcceptanceCore`."""
 
 import dataclasses
 
@@ -33,14 +33,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ChangeRequest:
-    """A team's change.
+    """A change of the configuration that a team submits.
 
     Attributes:
-        sections: The sections that the team gives, whole; None to put an
-            earlier version's sections in force again.
-        base_version: The version that the team started from.
-        revert_to: The version to put in force again; 0 for none.
-        author: Who makes the change.
+        sections: The new content of each submitted section, complete; None
+            to restore an earlier version.
+        base_version: The version that the team edited.
+        revert_to: The version to restore; 0 for none.
+        author: The person who submits the change.
         team: The author's team.
         at_s: Wall-clock time, seconds since the epoch.
         write_id: Unique id of the change.
@@ -57,12 +57,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeStarted:
-    """Event: start."""
+    """Event: the caller started the change."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadRead:
-    """Event: the head as the store told it, perhaps an earlier one."""
+    """Event: the store returned a head, possibly a stale one."""
 
     head: ConfigHead
     object_version: int
@@ -70,7 +70,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditRead:
-    """Event: the audit entry of a version; None if it isn't there (yet)."""
+    """Event: an audit entry was read; `head` is None if it is absent."""
 
     version: int
     head: ConfigHead | None
@@ -78,41 +78,41 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsRead:
-    """Event: texts by digest; missing ones are left out."""
+    """Event: parts were read; `contents` omits missing digests."""
 
     contents: dict[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsWritten:
-    """Event: all parts are in the store."""
+    """Event: all parts are stored."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AuditWritten:
-    """Event: the audit entry of a version is in the store."""
+    """Event: the audit entry of a version is stored."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadWritten:
-    """Event: the head was moved by this change."""
+    """Event: this change updated the head."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadWriteRefused:
-    """Event: the head is at another version than expected."""
+    """Event: the head object isn't at the expected version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefusalWritten:
-    """Event: the refusal is in the audit trail."""
+    """Event: the refusal is stored in the audit trail."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """Event: the last action has no known effect."""
+    """Event: the effect of the last action is unknown."""
 
     reason: str
 
@@ -138,21 +138,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteParts:
-    """Action: create parts that aren't there."""
+    """Action: create the parts that don't exist."""
 
     contents: dict[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteAudit:
-    """Action: create the audit entry of a head unless it is there."""
+    """Action: create the audit entry of a head unless it exists."""
 
     head: ConfigHead
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteHead:
-    """Action: move the head if its object is at `expected_version`."""
+    """Action: update the head if its object is at `expected_version`."""
 
     head: ConfigHead
     expected_version: int
@@ -160,14 +160,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteRefusal:
-    """Action: note a refusal in the audit trail."""
+    """Action: record a refusal in the audit trail."""
 
     record: RefusedChange
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """Final: the head that is in force, and whether the change moved it."""
+    """Final: the active head; `is_new` if this change created it."""
 
     head: ConfigHead
     is_new: bool = True
@@ -175,14 +175,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeRefused:
-    """Final: the change has no effect."""
+    """Final: the change was refused and has no effect."""
 
     error: DaisyhubError
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeInDoubt:
-    """Final: the store doesn't answer; `is_sent` if the head may move."""
+    """Final: the store failed; `is_sent` if the head may still change."""
 
     reason: str
     is_sent: bool
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -1,8 +1,8 @@
-"""Decides which configuration to put in force, and what to fetch from whom.
+"""Decides which configuration to activate, and what to fetch from where.
 
-A higher version replaces a lower one, never the other way round, and the set
-of withdrawn keys only grows. A head is put in force whole or not at all.
-Whatever a fetch brings is checked against its digests.
+Only a higher version replaces the active one, and the set of withdrawn keys
+only grows. A head is activated with all of its sections or not at all.
+Fetched parts are verified against their digests.
 """
 
 import dataclasses
@@ -30,35 +30,35 @@
 ]
 
 PLATFORM = ""
-_FETCHES_AT_ONCE = 2
-_RETRY_S = 0.5
-_MOST_RETRY_S = 8.0
+_MAX_PEER_FETCHES = 2
+_INITIAL_RETRY_DELAY_S = 0.5
+_MAX_RETRY_DELAY_S = 8.0
 _DIGEST_BYTES = 8
 
 
 def withdrawn_digest(key_ids: frozenset[str]) -> str:
-    """Returns a digest by which two sets of key ids are compared."""
+    """Returns a digest for comparing two sets of key ids, in hex."""
     text = "\n".join(sorted(key_ids))
     return hashlib.blake2b(text.encode(), digest_size=_DIGEST_BYTES).hexdigest()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadReceived:
-    """Event: the platform told a head."""
+    """Event: the platform's watch delivered a head."""
 
     head: ConfigHead
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WithdrawnKeysReceived:
-    """Event: the platform told withdrawn keys."""
+    """Event: the platform's watch delivered the withdrawn key ids."""
 
     key_ids: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSummaryReceived:
-    """Event: a peer told what it has."""
+    """Event: a peer's heartbeat reported its configuration state."""
 
     daemon_id: str
     version: int
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsFetched:
-    """Event: the platform answered `FetchParts`; missing ones left out."""
+    """Event: the platform answered `FetchParts`; missing parts are omitted."""
 
     contents: dict[str, str]
 
@@ -85,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchFailed:
-    """Event: a fetch brought nothing; `source` is a peer or `PLATFORM`."""
+    """Event: a fetch failed; `source` is a daemon id or `PLATFORM`."""
 
     source: str
 
@@ -104,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchFromPeer:
-    """Action: ask a peer for all but the known parts."""
+    """Action: request a peer's head and the parts not in `known_digests`."""
 
     daemon_id: str
     known_digests: tuple[str, ...]
@@ -112,32 +112,32 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ActivateSnapshot:
-    """Action: use this configuration from now on."""
+    """Action: activate this configuration."""
 
     snapshot: Snapshot
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WithdrawKeys:
-    """Action: all of these keys are withdrawn."""
+    """Action: reject all of these keys from now on."""
 
     key_ids: frozenset[str]
 
 
 @dataclasses.dataclass(slots=True)
 class _Source:
-    """What a peer or the platform has, and how fetches from it went."""
+    """State and fetch retries of a peer or the platform."""
 
     version: int = 0
     withdrawn_count: int = 0
     withdrawn_digest: str = ""
-    is_busy: bool = False
+    is_fetching: bool = False
     failures: int = 0
     retry_at_s: float = 0.0
 
 
 class AdoptionCore(Core):
-    """The configuration of one process; times are on any steady clock."""
+    """Tracks the configuration of one process; times are monotonic seconds."""
 
     def __init__(self):
         self.snapshot: Snapshot | None = None
@@ -146,58 +146,58 @@
         self._platform_head = ConfigHead()
         self._fetched: dict[str, str] = {}
         self._sources: dict[str, _Source] = {}
-        self._next_s: float | None = None
+        self._next_retry_s: float | None = None
 
     @property
     def version(self) -> int:
-        """The version in force; 0 before the first."""
+        """The active version; 0 before the first."""
         return self.snapshot.head.version if self.snapshot else 0
 
     @property
     def active_parts(self) -> dict[str, str]:
-        """Part digest to text of the version in force."""
+        """Parts of the active version, JSON text by digest."""
         return self.snapshot.contents if self.snapshot else {}
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When a failed fetch is due again; None if nothing is wanted."""
-        return self._next_s
+        """When to retry a failed fetch; None if no retry is due."""
+        return self._next_retry_s
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns what to withdraw, use and fetch."""
+        """Handles one event; returns withdrawals, activations and fetches."""
         match event:
             case HeadReceived():
                 actions = self._on_head(event)
             case WithdrawnKeysReceived():
                 actions = self._withdraw(event.key_ids)
             case PeerSummaryReceived():
-                actions = self._on_peer(event)
+                actions = self._on_peer_summary(event)
             case PartsFetched():
                 actions = self._on_parts(event, now_s)
             case PeerStateFetched():
-                actions = self._on_peer_parts(event, now_s)
+                actions = self._on_peer_state(event, now_s)
             case FetchFailed():
                 actions = self._on_failure(event.source, now_s)
             case AdoptionTick():
                 actions = []
             case _:
                 raise TypeError(f"not an adoption event: {event!r}")
-        return actions + self._plan(now_s)
+        return actions + self._start_fetches(now_s)
 
-    def _source(self, name: str) -> _Source:
-        return self._sources.setdefault(name, _Source())
+    def _get_source(self, source_id: str) -> _Source:
+        return self._sources.setdefault(source_id, _Source())
 
     def _on_head(self, event: HeadReceived) -> list[object]:
         if event.head.version <= self._platform_head.version:
             return []
         self._platform_head = event.head
-        source = self._source(PLATFORM)
+        source = self._get_source(PLATFORM)
         source.version = event.head.version
         source.retry_at_s = 0.0
         return []
 
-    def _on_peer(self, event: PeerSummaryReceived) -> list[object]:
-        source = self._source(event.daemon_id)
+    def _on_peer_summary(self, event: PeerSummaryReceived) -> list[object]:
+        source = self._get_source(event.daemon_id)
         source.version = event.version
         source.withdrawn_count = event.withdrawn_count
         source.withdrawn_digest = event.withdrawn_digest
@@ -212,7 +212,7 @@
         contents = {**self.active_parts, **self._fetched}
         return self._adopt(PLATFORM, self._platform_head, contents, now_s)
 
-    def _on_peer_parts(
+    def _on_peer_state(
         self, event: PeerStateFetched, now_s: float
     ) -> list[object]:
         withdrawn = self._withdraw(event.withdrawn)
@@ -221,36 +221,40 @@
             event.daemon_id, event.head, contents, now_s
         )
 
-    def _adopt(self, name, head: ConfigHead, contents, now_s) -> list[object]:
+    def _adopt(
+        self, source_id, head: ConfigHead, contents, now_s
+    ) -> list[object]:
         if head.version <= self.version:
-            return self._on_success(name)
+            return self._on_success(source_id)
         try:
             snapshot = build_snapshot(head, contents)
         except PartsError:
-            return self._on_failure(name, now_s)
+            return self._on_failure(source_id, now_s)
         self.snapshot = snapshot
-        return [*self._on_success(name), ActivateSnapshot(snapshot)]
+        return [*self._on_success(source_id), ActivateSnapshot(snapshot)]
 
-    def _on_success(self, name: str) -> list[object]:
-        source = self._source(name)
-        source.is_busy = False
+    def _on_success(self, source_id: str) -> list[object]:
+        source = self._get_source(source_id)
+        source.is_fetching = False
         source.failures = 0
         source.retry_at_s = 0.0
-        if name == PLATFORM:
+        if source_id == PLATFORM:
             self._fetched = {}
         else:
-            # Its next heartbeat tells whether it still has more.
+            # The peer's next heartbeat reports whether it is still ahead.
             source.version = 0
             source.withdrawn_count = 0
             source.withdrawn_digest = ""
         return []
 
-    def _on_failure(self, name: str, now_s: float) -> list[object]:
-        source = self._source(name)
-        source.is_busy = False
-        pause_s = min(_MOST_RETRY_S, _RETRY_S * 2**source.failures)
+    def _on_failure(self, source_id: str, now_s: float) -> list[object]:
+        source = self._get_source(source_id)
+        source.is_fetching = False
+        delay_s = min(
+            _MAX_RETRY_DELAY_S, _INITIAL_RETRY_DELAY_S * 2**source.failures
+        )
         source.failures = min(source.failures + 1, 8)
-        source.retry_at_s = now_s + pause_s
+        source.retry_at_s = now_s + delay_s
         return []
 
     def _withdraw(self, key_ids: tuple[str, ...]) -> list[object]:
@@ -260,44 +264,44 @@
         self.withdrawn_digest = withdrawn_digest(self.withdrawn)
         return [WithdrawKeys(self.withdrawn)]
 
-    def _is_ahead(self, name: str, source: _Source) -> bool:
+    def _is_ahead(self, source_id: str, source: _Source) -> bool:
         if source.version > self.version:
             return True
-        if name == PLATFORM or not source.withdrawn_count:
+        if source_id == PLATFORM or not source.withdrawn_count:
             return False
         if source.withdrawn_count != len(self.withdrawn):
             return source.withdrawn_count > len(self.withdrawn)
         return source.withdrawn_digest != self.withdrawn_digest
 
-    def _plan(self, now_s: float) -> list[object]:
-        """Fetches from a few of the sources that are ahead."""
+    def _start_fetches(self, now_s: float) -> list[object]:
+        """Starts fetches from sources that are ahead, highest version first."""
         ahead = [
-            (-source.version, name, source)
-            for name, source in self._sources.items()
-            if self._is_ahead(name, source)
+            (-source.version, source_id, source)
+            for source_id, source in self._sources.items()
+            if self._is_ahead(source_id, source)
         ]
-        busy = sum(
-            source.is_busy
-            for name, source in self._sources.items()
-            if name != PLATFORM
+        peer_fetches = sum(
+            source.is_fetching
+            for source_id, source in self._sources.items()
+            if source_id != PLATFORM
         )
         actions = []
-        waiting = []
-        for _, name, source in sorted(ahead, key=lambda item: item[:2]):
-            if source.is_busy:
+        retry_times = []
+        for _, source_id, source in sorted(ahead, key=lambda item: item[:2]):
+            if source.is_fetching:
                 continue
             if now_s < source.retry_at_s:
-                waiting.append(source.retry_at_s)
-            elif name == PLATFORM or busy < _FETCHES_AT_ONCE:
-                busy += name != PLATFORM
-                source.is_busy = True
-                actions.append(self._fetch(name))
-        self._next_s = min(waiting, default=None)
+                retry_times.append(source.retry_at_s)
+            elif source_id == PLATFORM or peer_fetches < _MAX_PEER_FETCHES:
+                peer_fetches += source_id != PLATFORM
+                source.is_fetching = True
+                actions.append(self._fetch_action(source_id))
+        self._next_retry_s = min(retry_times, default=None)
         return actions
 
-    def _fetch(self, name: str) -> object:
-        if name != PLATFORM:
-            return FetchFromPeer(name, tuple(sorted(self.active_parts)))
+    def _fetch_action(self, source_id: str) -> object:
+        if source_id != PLATFORM:
+            return FetchFromPeer(source_id, tuple(sorted(self.active_parts)))
         known = self.active_parts.keys() | self._fetched.keys()
         missing = self._platform_head.digests - known
         return FetchParts(tuple(sorted(missing)))
--- a/daisyhub/config/_merge.py
+++ b/daisyhub/config/_merge.py
@@ -11,11 +11,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MergeResult:
-    """What a merge came to.
+    """The result of a merge.
 
     Attributes:
         sections: All sections after the merge.
-        conflicts: (section, entry) pairs that both sides changed otherwise.
+        conflicts: (section, entry) pairs that both sides changed differently.
     """
 
     sections: Sections
@@ -23,26 +23,26 @@
 
 
 def merge_sections(
-    base: Sections, head: Sections, wanted: Sections
+    base: Sections, head: Sections, requested: Sections
 ) -> MergeResult:
-    """Carries the changes from `base` to `wanted` over to `head`.
+    """Applies the changes between `base` and `requested` to `head`.
 
-    Sections that `wanted` leaves out count as unchanged, entries that a
-    given section leaves out as removed. What wasn't changed relative to
-    `base` stays as it is in `head`.
+    A section that `requested` omits is unchanged; an entry that a requested
+    section omits is removed. Entries that equal those of `base` keep their
+    content in `head`.
     """
     merged = {name: dict(entries) for name, entries in head.items()}
     conflicts = []
-    for section, entries in wanted.items():
+    for section, entries in requested.items():
         base_entries = base.get(section, {})
         target = merged.setdefault(section, {})
         for name in sorted(base_entries.keys() | entries.keys()):
             old = base_entries.get(name, _ABSENT)
             new = entries.get(name, _ABSENT)
-            now = target.get(name, _ABSENT)
-            if new in (old, now):
+            current = target.get(name, _ABSENT)
+            if new in (old, current):
                 continue
-            if now != old:
+            if current != old:
                 conflicts.append((section, name))
             elif new is _ABSENT:
                 del target[name]
--- a/daisyhub/config/_parts.py
+++ b/daisyhub/config/_parts.py
@@ -1,9 +1,10 @@
-"""Sections as parts: small texts named by their digests.
+"""Splits sections into content-addressed parts.
 
-A section is a JSON object of entries. Its entries, sorted by name, are cut
-into parts behind entries whose hashed name has a certain remainder, so that a
-changed entry changes one part only, and no part comes near the largest value
-that the platform holds. Equal sections have equal parts.
+A section is a JSON object of entries. Its entries, sorted by name, are split
+into parts by content-defined chunking: a part ends after an entry whose
+hashed name has the remainder 0, so that a changed entry usually changes one
+part only. A limit in characters keeps each part below the largest value that
+the platform stores. Equal sections have equal parts.
 """
 
 import hashlib
@@ -26,12 +27,12 @@
     "split_sections",
 ]
 
-# Section name to entry name to the entry's plain JSON value.
+# JSON values by section name and entry name.
 Sections = dict[str, dict[str, object]]
 
-_ENTRIES_PER_PART = 64
-_PART_CHARS = 400_000
-_ENTRY_CHARS = 400_000
+_MEAN_ENTRIES_PER_PART = 64
+_MAX_PART_CHARS = 400_000
+_MAX_ENTRY_CHARS = 400_000
 
 
 class PartsError(DaisyhubError):
@@ -41,24 +42,24 @@
 
 
 def digest_of(text: str) -> str:
-    """Returns the SHA-256 of a part's text, hex."""
+    """Returns the SHA-256 digest of a part's text, in hex."""
     return hashlib.sha256(text.encode()).hexdigest()
 
 
 def split_sections(
     sections: Sections,
 ) -> tuple[tuple[SectionRef, ...], dict[str, str]]:
-    """Cuts sections into parts.
+    """Splits sections into parts.
 
     Returns:
-        References by section name and order, and digest to part text.
+        References sorted by section name, and part texts by digest.
 
     Raises:
-        PartsError: An entry is too large for the platform.
+        PartsError: An entry exceeds the platform's size limit.
     """
     refs, contents = [], {}
     for name in sorted(sections):
-        for part in _parts(name, sections[name]):
+        for part in _split_entries(name, sections[name]):
             text = json.dumps(part, sort_keys=True, separators=(",", ":"))
             digest = digest_of(text)
             contents[digest] = text
@@ -66,30 +67,30 @@
     return tuple(refs), contents
 
 
-def _parts(section: str, entries: dict[str, object]) -> Iterator[dict]:
+def _split_entries(section: str, entries: dict[str, object]) -> Iterator[dict]:
     part: dict[str, object] = {}
-    size = 0
+    part_chars = 0
     for name in sorted(entries):
         entry_chars = len(json.dumps({name: entries[name]}))
-        if entry_chars > _ENTRY_CHARS:
+        if entry_chars > _MAX_ENTRY_CHARS:
             raise PartsError(
                 f"entry {section}.{name} has {entry_chars} characters,"
-                f" at most {_ENTRY_CHARS} fit"
+                f" at most {_MAX_ENTRY_CHARS} fit"
             )
-        if size + entry_chars > _PART_CHARS:
+        if part_chars + entry_chars > _MAX_PART_CHARS:
             yield part
-            part, size = {}, 0
+            part, part_chars = {}, 0
         part[name] = entries[name]
-        size += entry_chars
-        if zlib.crc32(name.encode()) % _ENTRIES_PER_PART == 0:
+        part_chars += entry_chars
+        if zlib.crc32(name.encode()) % _MEAN_ENTRIES_PER_PART == 0:
             yield part
-            part, size = {}, 0
+            part, part_chars = {}, 0
     if part or not entries:
         yield part
 
 
 def join_sections(head: ConfigHead, contents: Mapping[str, str]) -> Sections:
-    """Puts a head's sections together.
+    """Joins the parts of a head into sections.
 
     Raises:
         PartsError: A part is missing, damaged or unreadable.
@@ -99,11 +100,11 @@
         text = contents.get(ref.digest)
         if text is None or digest_of(text) != ref.digest:
             raise PartsError(f"part {ref.digest} is missing or damaged")
-        sections.setdefault(ref.name, {}).update(_load(text))
+        sections.setdefault(ref.name, {}).update(_decode_part(text))
     return sections
 
 
-def _load(text: str) -> dict[str, object]:
+def _decode_part(text: str) -> dict[str, object]:
     try:
         value = json.loads(text)
     except ValueError as exc:
@@ -114,10 +115,14 @@
 
 
 def build_snapshot(head: ConfigHead, contents: Mapping[str, str]) -> Snapshot:
-    """Builds the snapshot of a head that was checked before it was stored.
+    """Builds the snapshot of a head.
+
+    Only types are checked here; references between sections were checked
+    before the head was stored.
 
     Raises:
-        PartsError: Its parts don't make a document.
+        PartsError: A part is missing or invalid, or the parts don't form a
+            document.
     """
     raw = join_sections(head, contents)
     try:
--- a/daisyhub/config/_records.py
+++ b/daisyhub/config/_records.py
@@ -1,4 +1,4 @@
-"""Records of the configuration in the platform's store."""
+"""Configuration records in the platform's store."""
 
 import dataclasses
 
@@ -17,24 +17,24 @@
 
 
 class SectionRef(msgspec.Struct, frozen=True, kw_only=True):
-    """Section name and content digest (SHA-256, hex) of one of its parts."""
+    """References one part of a section by its SHA-256 digest, in hex."""
 
     name: str
     digest: str
 
 
 class ConfigHead(msgspec.Struct, frozen=True, kw_only=True):
-    """The configuration in force.
+    """A version of the configuration; the latest one is active.
 
     Attributes:
-        version: Rises by one with each accepted change.
-        sections: References to the parts of each section, in order.
-        author: Who made the change.
-        team: The team whose sections were changed.
+        version: Incremented by each accepted change.
+        sections: References to the parts of all sections, in order.
+        author: The person who submitted the change.
+        team: The author's team.
         changed: Names of the changed sections.
         at_s: Wall-clock time of the change, seconds since the epoch.
         write_id: Unique id of the change.
-        base_version: The version that the team started from.
+        base_version: The version that the team edited.
     """
 
     version: int = 0
@@ -57,13 +57,13 @@
 
     Attributes:
         write_id: Unique id of the change.
-        author: Who tried it.
+        author: The person who submitted the change.
         team: The author's team.
         at_s: Wall-clock time, seconds since the epoch.
-        base_version: The version that the team started from.
-        head_version: The version that was in force.
-        sections: Names of the sections that it would have changed.
-        reason: Why it was refused.
+        base_version: The version that the team edited.
+        head_version: The version that was active.
+        sections: Names of the submitted sections.
+        reason: Error message of the refusal.
     """
 
     write_id: str
@@ -92,12 +92,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Snapshot:
-    """A head with the document that it names.
+    """A head with its document.
 
     Attributes:
         head: The head.
-        contents: Part digest to the part's JSON text.
-        document: The checked document.
+        contents: JSON texts of the head's parts, by digest.
+        document: The document, decoded from the parts.
     """
 
     head: ConfigHead
--- a/daisyhub/config/_store.py
+++ b/daisyhub/config/_store.py
@@ -1,9 +1,9 @@
-"""Configuration in the platform's store: one head, sections by digest.
+"""Stores the configuration on the platform: one head and immutable parts.
 
-The head names a version and, for each section, the digests of its parts.
-Parts never change, so a daemon fetches only parts whose digest is new to it.
-Only the head is moved, by conditional update. Decisions are those of
-`AcceptanceCore`; this module carries its actions out.
+The head holds a version and, for each section, the digests of its parts.
+Parts are immutable, so a daemon fetches only parts whose digests it lacks.
+Only the head is updated, conditionally. `AcceptanceCore` decides; this module
+performs its actions.
 """
 
 import json
@@ -58,25 +58,25 @@
 AUDIT_PREFIX = "audit/version/"
 REFUSED_PREFIX = "audit/refused/"
 WITHDRAWN_PREFIX = "audit/key/"
-_WITHDRAW_TRIES = 20
-_PAUSE_S = 0.05
+_MAX_WITHDRAW_ATTEMPTS = 20
+_RETRY_DELAY_S = 0.05
 
 
 class ConfigStore:
-    """Reads and changes the configuration through a platform client."""
+    """Reads and changes the configuration through a `PlatformClient`."""
 
     def __init__(self, client):
         self._client = client
 
     async def read_head(self) -> tuple[ConfigHead, int]:
-        """Returns the head and its object version; version 0 if absent."""
+        """Returns the head and its object version, which is 0 if absent."""
         found = await self._client.get(HEAD_KEY)
         if found is None:
             return ConfigHead(), 0
         return msgspec.convert(found.value, ConfigHead), found.version
 
     async def read_version(self, version: int) -> ConfigHead | None:
-        """Returns the head that a version had, or None if there is none."""
+        """Returns the head of a version, or None if the version is unknown."""
         if version == 0:
             return ConfigHead()
         found = await self._client.get(_audit_key(version))
@@ -86,7 +86,7 @@
         return head if head.version == version else None
 
     async def read_parts(self, digests: Iterable[str]) -> dict[str, str]:
-        """Returns the texts of parts; parts that aren't there are left out."""
+        """Returns the texts of parts by digest; missing parts are omitted."""
         contents = {}
         for digest in digests:
             found = await self._client.get(PART_PREFIX + digest)
@@ -112,24 +112,24 @@
         at_s: float,
         revert_to: int = 0,
     ) -> ConfigHead:
-        """Carries a team's change of whole sections over to the head.
+        """Merges a team's change of whole sections into the head.
 
         Args:
-            sections: Section name to its entries; None with `revert_to`.
-            base_version: The version that the team started from.
-            author: Who makes the change.
+            sections: Entries by section name; None with `revert_to`.
+            base_version: The version that the team edited.
+            author: The person who submits the change.
             team: The author's team.
             at_s: Wall-clock time, seconds since the epoch.
-            revert_to: The version whose sections to put in force again.
+            revert_to: The version to restore; 0 for none.
 
         Returns:
-            The head with the change; the one in force if nothing changed.
+            The new head, or the active one if nothing changed.
 
         Raises:
             ConfigConflictError: Another team changed the same entries, or a
                 section belongs to another team.
-            DocumentError: The merged document has faults.
-            PlatformUnavailableError: The message tells whether the change
+            DocumentError: The merged document is invalid.
+            PlatformUnavailableError: The message says whether the change
                 may have taken effect.
         """
         req = ChangeRequest(
@@ -150,18 +150,20 @@
                 case ChangeRefused():
                     raise action.error
                 case ChangeInDoubt():
-                    raise PlatformUnavailableError(_in_doubt(action, req))
-            await anyio.sleep(core.pause_s)
+                    raise PlatformUnavailableError(
+                        _in_doubt_message(action, req)
+                    )
+            await anyio.sleep(core.delay_s)
             event = await self._perform(action)
             action = core.handle(event, 0.0)[0]
 
     async def _perform(self, action: object) -> object:
         try:
-            return await self._carry_out(action)
+            return await self._perform_unguarded(action)
         except PlatformUnavailableError as exc:
             return StoreFailed(str(exc))
 
-    async def _carry_out(self, action: object) -> object:
+    async def _perform_unguarded(self, action: object) -> object:
         match action:
             case ReadHead():
                 return HeadRead(*await self.read_head())
@@ -201,7 +203,7 @@
         return HeadWritten()
 
     async def _create(self, key: str, value: object) -> None:
-        """Creates an object; one that is there already stays."""
+        """Creates an object unless it exists."""
         try:
             await self._client.put(
                 key, value, expected_version=0, write_id=uuid.uuid4().hex
@@ -210,10 +212,11 @@
             return
 
     async def _create_audit(self, head: ConfigHead) -> None:
-        """Creates the audit entry of a head unless it is there.
+        """Creates the audit entry of a head unless it exists.
 
-        Whoever moves the head next creates the entry that a failed process
-        left out, so that every accepted change has exactly one.
+        A process may fail after it updated the head and before it created
+        the entry. Later writers and readers of the audit trail create it, so
+        that every accepted change has exactly one entry.
         """
         if head.version:
             key = _audit_key(head.version)
@@ -222,20 +225,20 @@
     async def withdraw_key(
         self, key_id: str, *, author: str = "", at_s: float = 0.0
     ) -> None:
-        """Adds a key id to the withdrawn set, and notes who did it.
+        """Adds a key id to the withdrawn set and records the author.
 
         Raises:
-            PlatformUnavailableError: It may or may not be withdrawn.
+            PlatformUnavailableError: The outcome is unknown.
         """
-        for _ in range(_WITHDRAW_TRIES):
+        for _ in range(_MAX_WITHDRAW_ATTEMPTS):
             if await self._try_withdraw(key_id):
                 entry = WithdrawnKey(key_id=key_id, author=author, at_s=at_s)
                 await self._create(
                     WITHDRAWN_PREFIX + key_id, msgspec.to_builtins(entry)
                 )
                 return
-            await anyio.sleep(_PAUSE_S)
-        raise PlatformUnavailableError(f"key {key_id}: others write")
+            await anyio.sleep(_RETRY_DELAY_S)
+        raise PlatformUnavailableError(f"key {key_id}: concurrent writes")
 
     async def _try_withdraw(self, key_id: str) -> bool:
         known, version = await self.read_withdrawn()
@@ -254,7 +257,7 @@
         return True
 
     async def read_withdrawn(self) -> tuple[tuple[str, ...], int]:
-        """Returns the withdrawn key ids and their object's version."""
+        """Returns the withdrawn key ids and the version of their object."""
         found = await self._client.get(WITHDRAWN_KEY)
         if found is None:
             return (), 0
@@ -292,10 +295,10 @@
     check_config(json.dumps(sections, indent=1), "merged document")
 
 
-def _in_doubt(action: ChangeInDoubt, req: ChangeRequest) -> str:
+def _in_doubt_message(action: ChangeInDoubt, req: ChangeRequest) -> str:
     if not action.is_sent:
         return f"the change has no effect: {action.reason}"
     return (
         f"the change may have taken effect: {action.reason};"
-        f" look for the write id {req.write_id} in `daisyhub audit`"
+        f" search `daisyhub audit` for the write id {req.write_id}"
     )
--- a/daisyhub/config/tests/config_world.py
+++ b/daisyhub/config/tests/store_model.py
@@ -1,4 +1,4 @@
-"""A model of the store, for the proof of the configuration."""
+"""In-memory models of the store and of operators, for the state machine."""
 
 from daisyhub.config import (
     AcceptanceCore,
@@ -15,21 +15,21 @@
 
 
 class ModelStore:
-    """Every state that it ever had; reads may be answered from an old one."""
+    """Keeps every past state, so that reads can return stale data."""
 
     def __init__(self):
         self.states = [{}]
 
     @property
-    def now(self):
+    def current(self):
         return self.states[-1]
 
     def at(self, lag):
         return self.states[max(0, len(self.states) - 1 - lag)]
 
     def put(self, key, value, expected, write_id):
-        """Returns whether the object is at what this write makes of it."""
-        known = self.now.get(key)
+        """Writes conditionally; returns whether this write has taken effect."""
+        known = self.current.get(key)
         if (known.version if known else 0) != expected:
             return known is not None and known.write_id == write_id
         entry = PlatformObject(
@@ -39,18 +39,18 @@
             write_id=write_id,
             value=value,
         )
-        self.states.append({**self.now, key: entry})
+        self.states.append({**self.current, key: entry})
         return True
 
     def watch(self, after, lag):
-        """Returns (revision, objects under `news/` changed since)."""
+        """Returns (revision, objects under `news/` changed after `after`)."""
         revision = max(0, len(self.states) - 1 - lag)
         news = [o for k, o in self.at(lag).items() if k.startswith("news/")]
         return revision, tuple(o for o in news if o.revision > after)
 
 
 class Operator:
-    """One team's change in progress."""
+    """Submits one change at a time on behalf of a team."""
 
     def __init__(self, team, core_class=AcceptanceCore):
         self.team = team
@@ -72,29 +72,40 @@
         )
         self.core = self.core_class(req, lambda _: None)
         self.final = None
-        self.todo = self.core.handle(acceptance.ChangeStarted(), 0.0)[0]
+        self.next_action = self.core.handle(acceptance.ChangeStarted(), 0.0)[0]
 
     def step(self, store, fault, lag, late):
-        """Carries one action out; returns the final action, or None."""
-        event = perform(self.todo, store, lag, fault, late)
-        self.todo = self.core.handle(event, 0.0)[0]
+        """Performs one action; returns the final result, or None."""
+        event = perform(self.next_action, store, lag, fault, late)
+        self.next_action = self.core.handle(event, 0.0)[0]
         finals = (
             acceptance.ChangeAccepted,
             acceptance.ChangeRefused,
             acceptance.ChangeInDoubt,
         )
-        self.final = self.todo if isinstance(self.todo, finals) else None
+        self.final = (
+            self.next_action if isinstance(self.next_action, finals) else None
+        )
         return self.final
 
 
 def perform(action, store, lag, fault, late):
-    """Carries an acceptance action out; faults: fail, lose, late."""
+    """Performs an acceptance action under a fault.
+
+    Args:
+        action: The action.
+        store: The store.
+        lag: By how many states a read is stale.
+        fault: `fail` drops the action, `lose` drops the response, `late`
+            delays the update of the head; empty for none.
+        late: Collects the delayed updates.
+    """
     if fault == "fail":
         return acceptance.StoreFailed("down")
     if fault == "late" and isinstance(action, acceptance.WriteHead):
         late.append(action)
         return acceptance.StoreFailed("no answer")
-    event = _perform(action, store, lag)
+    event = _perform_unguarded(action, store, lag)
     return acceptance.StoreFailed("no answer") if fault == "lose" else event
 
 
@@ -103,7 +114,7 @@
     return store.put(HEAD, head, action.expected_version, head.write_id)
 
 
-def _perform(action, store, lag):
+def _perform_unguarded(action, store, lag):
     match action:
         case acceptance.WriteParts(contents):
             for digest, text in contents.items():
@@ -122,22 +133,22 @@
     return _read(action, store.at(lag))
 
 
-def _read(action, old):
+def _read(action, state):
     match action:
         case acceptance.ReadHead():
-            found = old.get(HEAD)
+            found = state.get(HEAD)
             if found is None:
                 return acceptance.HeadRead(ConfigHead(), 0)
             return acceptance.HeadRead(found.value, found.version)
         case acceptance.ReadAudit(version):
-            found = old.get(f"audit/{version}")
+            found = state.get(f"audit/{version}")
             return acceptance.AuditRead(version, found and found.value)
     assert isinstance(action, acceptance.ReadParts)
-    found = {d: old[d].value for d in action.digests if d in old}
+    found = {d: state[d].value for d in action.digests if d in state}
     return acceptance.PartsRead(found)
 
 
 def sections_at(store, head):
-    """Returns the sections of a head in the store's true state."""
-    texts = {d: store.now[d].value for d in head.digests}
+    """Returns the sections of a head in the store's current state."""
+    texts = {d: store.current[d].value for d in head.digests}
     return join_sections(head, texts)
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -1,8 +1,8 @@
-"""Proof: an accepted configuration spreads everywhere and never reverts.
+"""Property test: accepted configurations reach all daemons, never revert.
 
-Faults: operators race; store answers are lost, late, or those of an old
-state; the store is down; parties are cut off, one way too; daemons restart;
-listeners fail; fetches fail or bring damaged content.
+The state machine injects these faults: concurrent operators; lost and delayed
+writes; stale reads; store outages; one-way and two-way partitions; daemon
+restarts; failing listeners; failed fetches and corrupted parts.
 """
 
 import unittest
@@ -38,7 +38,7 @@
     ChangeRefused,
     WriteHead,
 )
-from daisyhub.config.tests.config_world import (
+from daisyhub.config.tests.store_model import (
     HEAD,
     KEYS,
     ModelStore,
@@ -69,26 +69,26 @@
 
 
 class Daemon:
-    """One life of a daemon."""
+    """A daemon between two restarts."""
 
     def __init__(self, core_class, news_class):
         self.core = core_class()
         self.news = news_class(("news/keys", "news/config"), 20.0)
-        self.watch = self.news.handle(NewsBegin(), 0.0)[-1]
+        self.next_watch = self.news.handle(NewsBegin(), 0.0)[-1]
         self.fetches = []
-        self.seen_version = 0
-        self.seen_withdrawn = frozenset()
+        self.last_version = 0
+        self.last_withdrawn = frozenset()
 
     def feed(self, event, now_s):
         for action in self.core.handle(event, now_s):
             if isinstance(action, FetchParts | FetchFromPeer):
                 self.fetches.append(action)
             elif isinstance(action, ActivateSnapshot):
-                self.in_force = action.snapshot
+                self.active_snapshot = action.snapshot
 
 
 class ConfigMachine(RuleBasedStateMachine):
-    """Two teams, one store, three daemons."""
+    """Models two teams, one store and three daemons."""
 
     acceptance_class = AcceptanceCore
     adoption_class = AdoptionCore
@@ -102,58 +102,62 @@
             team: Operator(team, self.acceptance_class) for team in TEAMS
         }
         self.daemons = {name: self.new_daemon() for name in DAEMONS}
-        self.cut = set()
-        self.late = []
-        self.truth = {0: {}}
-        self.requests = {}
-        self.accepted = []
-        self.refused = set()
+        self.partitions = set()
+        self.late_writes = []
+        self.sections_by_version = {0: {}}
+        self.changes = {}
+        self.accepted_ids = []
+        self.refused_ids = set()
         self.key_ids = set()
 
     def new_daemon(self):
         return Daemon(self.adoption_class, self.news_class)
 
-    # Operators.
+    # Rules of the operators.
 
     @rule(
         team=st.sampled_from(TEAMS),
         section=st.sampled_from(sorted(ENTRIES)),
         entry=st.sampled_from("ab"),
         number=st.integers(0, 3),
-        back=st.sampled_from([0, 0, 0, 1, 2]),
+        age=st.sampled_from([0, 0, 0, 1, 2]),
         faults=st.lists(st.tuples(FAULTS, LAGS), max_size=8),
         is_revert=st.sampled_from([False, False, False, True]),
         mode=st.sampled_from(["whole", "whole", "pause", "lose", "late"]),
     )
     def change(
-        self, team, section, entry, number, back, faults, is_revert, mode
+        self, team, section, entry, number, age, faults, is_revert, mode
     ):
-        """A team starts a change, perhaps from an old version."""
+        """Starts a change, perhaps based on an old version."""
         operator = self.operators[team]
         if operator.core and not operator.final:
             self.finish(operator, faults)
             return
-        base = max(0, len(self.truth) - 1 - back)
-        sections = {k: dict(v) for k, v in self.truth[base].items()}
+        base = max(0, len(self.sections_by_version) - 1 - age)
+        sections = {
+            k: dict(v) for k, v in self.sections_by_version[base].items()
+        }
         target = sections.setdefault(section, {})
         target.pop(entry, None)
         if number:
             target[entry] = ENTRIES[section](number)
-        wanted = {section: target}
+        requested = {section: target}
         if is_revert and base:
-            wanted = {"client_accounts": {}, "endpoint_pools": {}}
-            wanted |= self.truth[base]
-            base_of = len(self.truth) - 1
-            operator.begin(None, base_of, revert_to=base)
-            base = base_of
+            requested = {"client_accounts": {}, "endpoint_pools": {}}
+            requested |= self.sections_by_version[base]
+            newest = len(self.sections_by_version) - 1
+            operator.begin(None, newest, revert_to=base)
+            base = newest
         else:
-            operator.begin(wanted, base)
-        self.requests[operator.core.req.write_id] = (base, wanted)
+            operator.begin(requested, base)
+        self.changes[operator.core.req.write_id] = (base, requested)
         if mode == "whole":
             self.finish(operator, faults)
             return
-        # Comes to the head's update, and is held up there.
-        while not operator.final and not isinstance(operator.todo, WriteHead):
+        # Stops at the update of the head, or applies a fault there.
+        while not operator.final and not isinstance(
+            operator.next_action, WriteHead
+        ):
             self.step(operator, "", 0)
         if mode != "pause":
             self.step(operator, mode, 0)
@@ -167,59 +171,61 @@
     def step(self, operator, fault, lag):
         if operator.final:
             return
-        final = operator.step(self.store, fault, lag, self.late)
+        final = operator.step(self.store, fault, lag, self.late_writes)
         self.check_head()
         if final is None:
             return
         write_id = operator.core.req.write_id
-        is_in = write_id in self.accepted
+        is_accepted = write_id in self.accepted_ids
         match final:
             case ChangeAccepted(head, True):
-                assert is_in, "accepted but not in force"
+                assert is_accepted, "reported as accepted, not stored"
                 assert head.write_id == write_id
             case ChangeRefused() | ChangeInDoubt(_, False):
-                assert not is_in, "refused but in force"
-                self.refused.add(write_id)
+                assert not is_accepted, "reported as refused, but stored"
+                self.refused_ids.add(write_id)
 
     @rule()
     def late_write(self):
-        if self.late:
-            write_head(self.late.pop(0), self.store)
+        if self.late_writes:
+            write_head(self.late_writes.pop(0), self.store)
             self.check_head()
 
     def check_head(self):
-        """A new head is the old one plus its team's own change."""
-        found = self.store.now.get(HEAD)
-        if found is None or found.value.version in self.truth:
+        """Checks that a new head is the old one plus its own change only."""
+        found = self.store.current.get(HEAD)
+        if found is None or found.value.version in self.sections_by_version:
             return
         head = found.value
-        old = self.truth[len(self.truth) - 1]
-        assert head.version == len(self.truth), "a version was skipped"
-        assert head.write_id not in self.refused, "refused, then accepted"
+        old = self.sections_by_version[len(self.sections_by_version) - 1]
+        assert head.version == len(self.sections_by_version), (
+            "a version was skipped"
+        )
+        assert head.write_id not in self.refused_ids, "refused, then accepted"
         new = sections_at(self.store, head)
-        base_version, wanted = self.requests[head.write_id]
+        base_version, requested = self.changes[head.write_id]
         expected = {name: dict(entries) for name, entries in old.items()}
-        base = self.truth[base_version]
-        for name, entries in wanted.items():
+        base = self.sections_by_version[base_version]
+        for name, entries in requested.items():
             before = base.get(name, {})
             target = expected.setdefault(name, {})
             for key in before.keys() | entries.keys():
-                was, want = before.get(key), entries.get(key)
-                if want in (was, target.get(key)):
+                old_value, new_value = before.get(key), entries.get(key)
+                if new_value in (old_value, target.get(key)):
                     continue
-                assert target.get(key) == was, "overwrote another's change"
+                assert target.get(key) == old_value, "overwrote another change"
                 target.pop(key, None)
-                if want is not None:
-                    target[key] = want
+                if new_value is not None:
+                    target[key] = new_value
         for name in expected.keys() | new.keys():
             assert expected.get(name, {}) == new.get(name, {}), name
-        self.truth[head.version] = new
-        assert head.write_id not in self.accepted, "accepted twice"
-        self.accepted.append(head.write_id)
+        self.sections_by_version[head.version] = new
+        assert head.write_id not in self.accepted_ids, "accepted twice"
+        self.accepted_ids.append(head.write_id)
 
     @rule(key_id=st.sampled_from(["k1", "k2", "k3"]))
     def withdraw(self, key_id):
-        found = self.store.now.get(KEYS)
+        found = self.store.current.get(KEYS)
         known = found.value.key_ids if found else ()
         if key_id not in known:
             record = WithdrawnKeys(key_ids=(*known, key_id))
@@ -227,7 +233,7 @@
             self.store.put(KEYS, record, version, key_id)
             self.key_ids.add(key_id)
 
-    # Daemons.
+    # Rules of the daemons.
 
     @rule(
         name=st.sampled_from(DAEMONS),
@@ -236,66 +242,68 @@
         is_failing=st.sampled_from([False, False, True]),
     )
     def watch(self, name, lag, is_down=False, is_failing=False):
-        """One watch ends; the daemon may fail to take what it brings."""
+        """Completes a watch request; the listener may fail to process it."""
         daemon = self.daemons[name]
         event = WatchFailed()
-        if not is_down and (name, "store") not in self.cut:
+        if not is_down and (name, "store") not in self.partitions:
             event = WatchAnswered(
-                *self.store.watch(daemon.watch.after_revision, lag)
+                *self.store.watch(daemon.next_watch.after_revision, lag)
             )
         for action in daemon.news.handle(event, self.now_s):
             if isinstance(action, WatchNews):
-                daemon.watch = action
+                daemon.next_watch = action
                 continue
             assert isinstance(action, DeliverNews)
-            self.deliver(daemon, action, is_failing)
+            self.deliver_news(daemon, action, is_failing)
 
-    def deliver(self, daemon, action, is_failing):
+    def deliver_news(self, daemon, action, is_failing):
         if is_failing:
             failed = DeliveryFailed(action.listener, action.found)
             daemon.news.handle(failed, self.now_s)
             return
         value = action.found.value
-        heard = HeadReceived(value) if action.listener else None
-        daemon.feed(heard or WithdrawnKeysReceived(value.key_ids), self.now_s)
+        event = HeadReceived(value) if action.listener else None
+        daemon.feed(event or WithdrawnKeysReceived(value.key_ids), self.now_s)
         done = NewsDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
 
     @rule(
         name=st.sampled_from(DAEMONS),
-        how=st.sampled_from(["", "", "", "fail", "damaged"]),
+        outcome=st.sampled_from(["", "", "", "fail", "damaged"]),
         lag=LAGS,
     )
-    def fetch(self, name, how, lag, is_last=False):
+    def fetch(self, name, outcome, lag, is_last=False):
         daemon = self.daemons[name]
         if daemon.fetches:
             action = daemon.fetches.pop(-1 if is_last else 0)
-            daemon.feed(self.answer(name, action, how, lag), self.now_s)
+            daemon.feed(
+                self.complete_fetch(name, action, outcome, lag), self.now_s
+            )
 
     @rule(name=st.sampled_from(DAEMONS), lag=LAGS)
     def follow_store(self, name, lag):
-        """A whole turn: hears a state of the store, and fetches."""
+        """Completes two watch requests and one fetch."""
         self.watch(name, lag)
         self.watch(name, lag)
         self.fetch(name, "", lag)
 
     @rule(sender=st.sampled_from(DAEMONS), to=st.sampled_from(DAEMONS))
     def follow_peer(self, sender, to):
-        """A whole turn: hears a peer, and fetches from it first."""
+        """Delivers a heartbeat, then completes the fetch it caused."""
         self.heartbeat(sender, to)
         self.fetch(to, "", 0, is_last=True)
 
-    def answer(self, name, action, how, lag):
+    def complete_fetch(self, name, action, outcome, lag):
         is_peer = isinstance(action, FetchFromPeer)
         source = action.daemon_id if is_peer else ""
-        other = source or "store"
-        is_cut = self.cut & {(name, other), (other, name)}
-        if how == "fail" or is_cut:
+        remote = source or "store"
+        is_cut = self.partitions & {(name, remote), (remote, name)}
+        if outcome == "fail" or is_cut:
             return FetchFailed(source)
         if not is_peer:
-            old = self.store.at(lag)
-            texts = {d: old[d].value for d in action.digests if d in old}
-            return PartsFetched(self.damage(texts, how))
+            state = self.store.at(lag)
+            texts = {d: state[d].value for d in action.digests if d in state}
+            return PartsFetched(self.damage(texts, outcome))
         core = self.daemons[source].core
         head = core.snapshot.head if core.snapshot else ConfigHead()
         texts = {
@@ -303,25 +311,25 @@
             for digest, text in core.active_parts.items()
             if digest not in action.known_digests
         }
-        texts = self.damage(texts, how)
+        texts = self.damage(texts, outcome)
         withdrawn = tuple(core.withdrawn)
         return PeerStateFetched(source, head, texts, withdrawn)
 
-    def damage(self, texts, how):
-        return {d: t + " " * (how == "damaged") for d, t in texts.items()}
+    def damage(self, texts, outcome):
+        return {d: t + " " * (outcome == "damaged") for d, t in texts.items()}
 
     @rule(
         sender=st.sampled_from(DAEMONS),
         to=st.sampled_from(DAEMONS),
     )
     def heartbeat(self, sender, to):
-        if sender == to or (sender, to) in self.cut:
+        if sender == to or (sender, to) in self.partitions:
             return
         core = self.daemons[sender].core
-        heard = PeerSummaryReceived(
+        event = PeerSummaryReceived(
             sender, core.version, len(core.withdrawn), core.withdrawn_digest
         )
-        self.daemons[to].feed(heard, self.now_s)
+        self.daemons[to].feed(event, self.now_s)
 
     @rule(
         one=st.sampled_from(DAEMONS),
@@ -331,9 +339,9 @@
     def fault(self, one, other, step):
         match step:
             case "cut":
-                self.cut.add((one, other))
+                self.partitions.add((one, other))
             case "heal":
-                self.cut.clear()
+                self.partitions.clear()
             case "restart":
                 self.daemons[one] = self.new_daemon()
             case "time":
@@ -344,20 +352,22 @@
     def never_reverts(self):
         for daemon in getattr(self, "daemons", {}).values():
             core = daemon.core
-            assert core.version >= daemon.seen_version, "reverted"
-            assert core.withdrawn >= daemon.seen_withdrawn, "key is back"
-            daemon.seen_version = core.version
-            daemon.seen_withdrawn = core.withdrawn
+            assert core.version >= daemon.last_version, "reverted"
+            assert core.withdrawn >= daemon.last_withdrawn, "key is back"
+            daemon.last_version = core.version
+            daemon.last_withdrawn = core.withdrawn
             if core.snapshot is None:
                 continue
             own = join_sections(core.snapshot.head, core.active_parts)
-            assert own == self.truth[core.version], "mixed sections"
+            assert own == self.sections_by_version[core.version], (
+                "mixed sections"
+            )
 
     def teardown(self):
-        """Once faults end, peers alone agree, and so do all with the store."""
+        """Checks that daemons converge without faults, via peers and store."""
         if not hasattr(self, "store"):
             return
-        self.cut.clear()
+        self.partitions.clear()
         if len(self.store.states) % 2:
             best = max(d.core.version for d in self.daemons.values())
             self.settle()
@@ -367,14 +377,14 @@
             if operator.core:
                 self.finish(operator, ())
         self.settle(use_store=True)
-        newest = len(self.truth) - 1
+        newest = len(self.sections_by_version) - 1
         for daemon in self.daemons.values():
             assert daemon.core.version == newest, "did not converge"
             assert daemon.core.withdrawn == self.key_ids
         self.check_audit(newest)
 
     def settle(self, use_store=False):
-        """Lets daemons hear the store alone, or their peers alone."""
+        """Lets daemons communicate with the store only, or with peers only."""
         for _ in range(8):
             self.now_s += 10.0
             for name, daemon in self.daemons.items():
@@ -388,26 +398,26 @@
                     if not daemon.fetches:
                         break
                     is_peer = isinstance(daemon.fetches[0], FetchFromPeer)
-                    how = "fail" if is_peer == use_store else ""
-                    self.fetch(name, how, 0)
+                    outcome = "fail" if is_peer == use_store else ""
+                    self.fetch(name, outcome, 0)
             self.never_reverts()
 
     def check_audit(self, newest):
         for version in range(1, newest):
-            entry = self.store.now[f"audit/{version}"]
-            assert entry.value.write_id == self.accepted[version - 1]
+            entry = self.store.current[f"audit/{version}"]
+            assert entry.value.write_id == self.accepted_ids[version - 1]
 
 
-class AppliesAgain(AcceptanceCore):
-    """Broken: a conditional update that was refused starts all over."""
+class AppliesTwice(AcceptanceCore):
+    """Broken: restarts after an update that may have succeeded."""
 
     def _resolve(self, event):
-        self._sent = None
+        self._proposed_head = None
         return self._on_head(event)
 
 
 class LastWriterWins(AcceptanceCore):
-    """Broken: what is in force counts as what the team started from."""
+    """Broken: uses the active head as the change's base version."""
 
     def _on_head(self, event):
         action = super()._on_head(event)
@@ -415,52 +425,54 @@
         return action
 
 
-class AdoptsLower(AdoptionCore):
-    """Broken: whatever a fetch brings is put in force."""
+class AdoptsLowerVersion(AdoptionCore):
+    """Broken: activates fetched heads whatever their version."""
 
-    def _adopt(self, name, head, contents, now_s):
+    def _adopt(self, source_id, head, contents, now_s):
         if head.version < self.version:
             self.snapshot = None
-        return super()._adopt(name, head, contents, now_s)
+        return super()._adopt(source_id, head, contents, now_s)
 
 
-class ReplacesWithdrawn(AdoptionCore):
-    """Broken: the set heard last replaces the one known."""
+class ReplacesWithdrawnKeys(AdoptionCore):
+    """Broken: replaces the set of withdrawn keys instead of extending it."""
 
     def _withdraw(self, key_ids):
         self.withdrawn = frozenset(key_ids)
         return []
 
 
-class ForgetsFailures(NewsCore):
-    """Broken: what a listener could not take is skipped."""
+class SkipsFailedDeliveries(NewsCore):
+    """Broken: doesn't deliver news again that a listener failed to process."""
 
     def _on_delivery_failed(self, event, now_s):
         pass
 
 
 class NeverRetries(AdoptionCore):
-    """Broken: a failed fetch is never tried again."""
+    """Broken: never retries a failed fetch."""
 
-    def _on_failure(self, name, now_s):
-        self._source(name).is_busy = True
+    def _on_failure(self, source_id, now_s):
+        self._get_source(source_id).is_fetching = True
         return []
 
 
-class ConfigProof(unittest.TestCase):
-    def test_accepted_configuration_spreads_and_never_reverts(self):
+class ConfigStateMachineTest(unittest.TestCase):
+    def test_accepted_configuration_converges_and_never_reverts(self):
         run_proof(ConfigMachine, examples=150)
 
-    def test_the_machine_catches_broken_cores(self):
+    def test_state_machine_detects_broken_cores(self):
         broken = {
-            AppliesAgain: "acceptance_class",
+            AppliesTwice: "acceptance_class",
             LastWriterWins: "acceptance_class",
-            AdoptsLower: "adoption_class",
+            AdoptsLowerVersion: "adoption_class",
             NeverRetries: "adoption_class",
-            ReplacesWithdrawn: "adoption_class",
-            ForgetsFailures: "news_class",
+            ReplacesWithdrawnKeys: "adoption_class",
+            SkipsFailedDeliveries: "news_class",
         }
-        for kind, place in broken.items():
-            with self.subTest(kind.__name__):
-                machine = type("Machine", (ConfigMachine,), {place: kind})
+        for core_class, attribute in broken.items():
+            with self.subTest(core_class.__name__):
+                machine = type(
+                    "Machine", (ConfigMachine,), {attribute: core_class}
+                )
                 self.assertIsInstance(find_failure(machine), AssertionError)
