--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -17,12 +17,12 @@
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
+    AttemptOutcome,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
-    Outcome,
     RetryBudget,
     StartAttempt,
     run_attempts,
@@ -146,7 +146,7 @@
         """
         started_s = time.monotonic()
         pools = _choose_pools(task.route)
-        usual_s = self._directory.usual_s(task.route.name)
+        usual_s = self._directory.median_latency_s(task.route.name)
         plan = ForwardPlan(
             idempotent=task.route.idempotent,
             deadline_s=task.deadline_s,
@@ -162,7 +162,7 @@
         outcome = await run_attempts(
             core, lambda action: self._attempt(way, action)
         )
-        is_refused = isinstance(outcome, GiveUp)
+        is_refused = isinstance(outcome, FailRequest)
         self._log.note(
             "sent",
             id=task.request_id,
@@ -179,7 +179,9 @@
             raise _refusal(outcome, usual_s)
         return _response(outcome.answer)
 
-    async def _attempt(self, way: "_Way", action: StartAttempt) -> Outcome:
+    async def _attempt(
+        self, way: "_Way", action: StartAttempt
+    ) -> AttemptOutcome:
         """Sends the request to one endpoint and takes its news."""
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
@@ -245,7 +247,7 @@
         action: StartAttempt,
         token: int,
         answer: HttpAnswer | StreamedAnswer,
-    ) -> Outcome:
+    ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
         read = self._wire.read_answer(answer.status, answer.headers)
@@ -255,7 +257,7 @@
                 self._directory.record_answered(endpoint_id, token, now_s)
             else:
                 self._directory.record_closed(endpoint_id, token)
-            return Outcome(AttemptAnswered(action.attempt), answer)
+            return AttemptOutcome(AttemptCompleted(action.attempt), answer)
         if isinstance(answer, StreamedAnswer):
             await answer.drain()
         if read.is_other_endpoint:
@@ -304,8 +306,8 @@
     timed_out: bool = False,
     incomplete: bool = False,
     was_sent: bool = True,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
@@ -316,7 +318,7 @@
     )
 
 
-def _refusal(action: GiveUp, usual_s: float) -> Refusal:
+def _refusal(action: FailRequest, usual_s: float) -> Refusal:
     """Says that it did not run where that is certain."""
     error = action.error
     if action.ran is Ran.NOT_RUN:
