--- a/daisyhub/catalog/_controller.py
+++ b/daisyhub/catalog/_controller.py
@@ -1,4 +1,4 @@
-"""Keeps the newest manifest; its version never falls in a process."""
+"""Keeps the newest manifest; its version only increases until a restart."""
 
 import abc
 from collections.abc import Callable
--- a/daisyhub/catalog/_types.py
+++ b/daisyhub/catalog/_types.py
@@ -116,8 +116,7 @@
 
     Attributes:
         name: Name of the pool.
-        max_connections: Maximum number of connections that an endpoint
-            accepts from all instances together.
+        max_connections: Maximum number of connections to one endpoint in total.
         models: Models that the engines serve; empty for plain services.
         scaling: Limits for ordering endpoints; None if they can't be ordered.
     """
@@ -163,7 +162,7 @@
     """One version of the configuration that operators declare.
 
     Attributes:
-        version: Incremented with each manifest.
+        version: Increases with each manifest.
         routes: All routes.
         pools: Pools by name.
         accounts: All accounts; None if keys aren't used.
--- a/daisyhub/hosting/_client.py
+++ b/daisyhub/hosting/_client.py
@@ -62,7 +62,7 @@
         ip: IP address.
         port: TCP port.
         state: `live`, or `leaving` before it stops.
-        incarnation: Incremented when the instance restarts.
+        incarnation: Increases when the instance restarts.
         cheap: Whether the platform may reclaim it at a few seconds' notice.
     """
 
@@ -112,15 +112,15 @@
 
     async def get(self, key: str) -> PlatformObject | None:
         """Returns an object, or None if there is none."""
-        answer = await self._call("GET", f"/objects/{_quote(key)}")
-        if answer.status == _NOT_FOUND:
+        response = await self._call("GET", f"/objects/{_quote(key)}")
+        if response.status == _NOT_FOUND:
             return None
-        return _decode(answer, PlatformObject)
+        return _decode(response, PlatformObject)
 
     async def list(self, prefix: str) -> tuple[PlatformObject, ...]:
         """Returns the objects whose keys start with `prefix`, sorted by key."""
-        answer = await self._call("GET", f"/objects?prefix={_quote(prefix)}")
-        return _decode(answer, _ObjectList).objects
+        response = await self._call("GET", f"/objects?prefix={_quote(prefix)}")
+        return _decode(response, _ObjectList).objects
 
     async def watch(
         self, prefix: str, *, after_revision: int, wait_s: float
@@ -132,10 +132,10 @@
             `after_revision`; no objects if the wait timed out.
         """
         query = f"prefix={_quote(prefix)}&after={after_revision}&wait={wait_s}"
-        answer = await self._call(
+        response = await self._call(
             "GET", f"/objects?{query}", timeout_s=wait_s + self._timeout_s
         )
-        listed = _decode(answer, _ObjectList)
+        listed = _decode(response, _ObjectList)
         return listed.revision, listed.objects
 
     async def put(
@@ -164,13 +164,13 @@
         )
         body = msgspec.json.encode(value)
         try:
-            answer = await self._call("PUT", target, body=body)
+            response = await self._call("PUT", target, body=body)
         except PlatformUnavailableError:
             return await self._resolve_put(key, expected_version, write_id)
-        if answer.status == _CONFLICT:
+        if response.status == _CONFLICT:
             # The conflict may be with this same write if it was sent twice.
             return await self._resolve_put(key, expected_version, write_id)
-        return _decode(answer, PlatformObject).version
+        return _decode(response, PlatformObject).version
 
     async def _resolve_put(self, key, expected_version, write_id) -> int:
         found = await self._read_back(key)
@@ -193,8 +193,10 @@
 
     async def list_endpoints(self, domain: str) -> tuple[EndpointRecord, ...]:
         """Returns the platform's endpoint list of a failure domain."""
-        answer = await self._call("GET", f"/domains/{_quote(domain)}/endpoints")
-        return _decode(answer, tuple[EndpointRecord, ...])
+        response = await self._call(
+            "GET", f"/domains/{_quote(domain)}/endpoints"
+        )
+        return _decode(response, tuple[EndpointRecord, ...])
 
     async def send_order(
         self, domain: str, order: EndpointOrder, fencing: int
@@ -206,18 +208,18 @@
         """
         body = msgspec.json.encode(OrderRequest(order=order, fencing=fencing))
         target = f"/domains/{_quote(domain)}/orders"
-        answer = await self._call("POST", target, body=body)
-        if answer.status == _CONFLICT:
+        response = await self._call("POST", target, body=body)
+        if response.status == _CONFLICT:
             return ""
-        return _decode(answer, OrderResponse).endpoint_id
+        return _decode(response, OrderResponse).endpoint_id
 
     async def report_usage(self, report: UsageReport) -> None:
         """Reports a sealed window; idempotent."""
         body = msgspec.json.encode(report)
-        answer = await self._call("POST", "/usage", body=body)
-        if answer.status != _OK:
+        response = await self._call("POST", "/usage", body=body)
+        if response.status != _OK:
             raise PlatformUnavailableError(
-                f"usage report refused with status {answer.status}"
+                f"usage report refused with status {response.status}"
             )
 
     async def _call(
@@ -229,7 +231,7 @@
         timeout_s: float | None = None,
     ) -> HttpAnswer:
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 method,
                 self._address,
                 target,
@@ -238,19 +240,19 @@
             )
         except RequestFailedError as exc:
             raise PlatformUnavailableError(str(exc)) from exc
-        if answer.status not in (_OK, _NOT_FOUND, _CONFLICT):
+        if response.status not in (_OK, _NOT_FOUND, _CONFLICT):
             raise PlatformUnavailableError(
-                f"{method} {target}: status {answer.status}"
+                f"{method} {target}: status {response.status}"
             )
-        return answer
+        return response
 
 
 def _quote(text: str) -> str:
     return urllib.parse.quote(text, safe="/")
 
 
-def _decode(answer: HttpAnswer, kind: Any) -> Any:
+def _decode(response: HttpAnswer, kind: Any) -> Any:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as exc:
         raise PlatformUnavailableError(f"invalid response: {exc}") from exc
