--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -62,7 +62,7 @@
         self.actions = [[], []]
         self.live = {}
         self.leaving = set()
-        self.listings = [()]
+        self.lists = [()]
         self.accepted_orders = {}
         self.highest_fencing = 0
         self.load = 0.0
@@ -81,7 +81,7 @@
     def pool_state(self):
         return PoolState(
             pool="p",
-            endpoints=self.listings[0],
+            endpoints=self.lists[0],
             min_endpoints=2,
             max_endpoints=MAX_ENDPOINTS,
             target_load=0.5,
@@ -98,7 +98,7 @@
 
     @rule()
     def list_catches_up(self):
-        self.listings = [self.observed_endpoints()]
+        self.lists = [self.observed_endpoints()]
 
     @rule()
     def reclaim_cheap(self):
