--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -46,15 +46,15 @@
     sections_at,
     write_head,
 )
-from daisyhub.controllers._news_core import (
-    DeliverNews,
+from daisyhub.controllers._watch_core import (
+    DeliverObject,
     DeliveryFailed,
-    NewsBegin,
-    NewsCore,
-    NewsDelivered,
-    WatchAnswered,
+    ObjectDelivered,
+    WatchCore,
     WatchFailed,
-    WatchNews,
+    WatchObjects,
+    WatchResponseReceived,
+    WatchStarted,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
@@ -74,7 +74,7 @@
     def __init__(self, core_class, news_class):
         self.core = core_class()
         self.news = news_class(("news/keys", "news/config"), 20.0)
-        self.next_watch = self.news.handle(NewsBegin(), 0.0)[-1]
+        self.next_watch = self.news.handle(WatchStarted(), 0.0)[-1]
         self.fetches = []
         self.last_version = 0
         self.last_withdrawn = frozenset()
@@ -92,7 +92,7 @@
 
     acceptance_class = AcceptanceCore
     adoption_class = AdoptionCore
-    news_class = NewsCore
+    news_class = WatchCore
 
     @initialize()
     def start(self):
@@ -246,14 +246,14 @@
         daemon = self.daemons[name]
         event = WatchFailed()
         if not is_down and (name, "store") not in self.partitions:
-            event = WatchAnswered(
+            event = WatchResponseReceived(
                 *self.store.watch(daemon.next_watch.after_revision, lag)
             )
         for action in daemon.news.handle(event, self.now_s):
-            if isinstance(action, WatchNews):
+            if isinstance(action, WatchObjects):
                 daemon.next_watch = action
                 continue
-            assert isinstance(action, DeliverNews)
+            assert isinstance(action, DeliverObject)
             self.deliver_news(daemon, action, is_failing)
 
     def deliver_news(self, daemon, action, is_failing):
@@ -264,7 +264,7 @@
         value = action.found.value
         event = HeadReceived(value) if action.listener else None
         daemon.feed(event or WithdrawnKeysReceived(value.key_ids), self.now_s)
-        done = NewsDelivered(action.listener, action.found)
+        done = ObjectDelivered(action.listener, action.found)
         daemon.news.handle(done, self.now_s)
 
     @rule(
@@ -442,7 +442,7 @@
         return []
 
 
-class SkipsFailedDeliveries(NewsCore):
+class SkipsFailedDeliveries(WatchCore):
     """Broken: doesn't deliver news again that a listener failed to process."""
 
     def _on_delivery_failed(self, event, now_s):
