--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -21,7 +21,7 @@
 )
 from daisyhub.cli._base import Context, ExitCode
 from daisyhub.cli._main import COMMANDS, run_command
-from daisyhub.connections import HttpAnswer, RequestFailedError
+from daisyhub.connections import HttpResponse, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.hosting import EndpointRecord
 from daisyhub.testing.fake_app import Call
@@ -216,7 +216,7 @@
 
 def _answer(status, value):
     body = msgspec.json.encode(value)
-    return HttpAnswer(status=status, headers=(), body=body)
+    return HttpResponse(status=status, headers=(), body=body)
 
 
 def _get(path, method="GET", body=b""):
--- a/daisyhub/connections/__init__.py
+++ b/daisyhub/connections/__init__.py
@@ -2,15 +2,15 @@
 
 from daisyhub.connections._client import (
     AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     StreamedAnswer,
 )
 from daisyhub.connections._connection import RequestFailedError
 
 __all__ = [
     "AnswerStream",
-    "HttpAnswer",
+    "HttpResponse",
     "HttpClient",
     "RequestFailedError",
     "StreamedAnswer",
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -25,7 +25,7 @@
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
-__all__ = ["AnswerStream", "HttpAnswer", "HttpClient", "StreamedAnswer"]
+__all__ = ["AnswerStream", "HttpResponse", "HttpClient", "StreamedAnswer"]
 
 _REQUEST_ID_HEADER = b"daisyhub-request-id"
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -164,7 +164,7 @@
         timeout_s: float,
         answer_bytes: int = 1 << 23,
         fresh: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Sends one request and reads the whole answer.
 
         Args:
@@ -199,7 +199,7 @@
             raise
         conn.note_headers(answer.headers)
         await self.finish(address, conn, started_s)
-        return HttpAnswer(
+        return HttpResponse(
             status=answer.status, headers=_lower(answer.headers), body=content
         )
 
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -7,7 +7,7 @@
 
 from daisyhub.balancing import EndpointState, EndpointTable
 from daisyhub.base import Balancer
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.filters._forward import parse_endpoint_headers
 from daisyhub.logs import get_logger
 from daisyhub.rollouts import EngineResponse, Generate, LotSpec
@@ -120,7 +120,7 @@
         return None if has_failed else _decode(answer)
 
 
-def _decode(answer: HttpAnswer) -> EngineResponse | None:
+def _decode(answer: HttpResponse) -> EngineResponse | None:
     try:
         return msgspec.json.decode(answer.body, type=EngineResponse)
     except msgspec.DecodeError as exc:
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -13,8 +13,8 @@
 from daisyhub.config import Route
 from daisyhub.connections import (
     AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     RequestFailedError,
     StreamedAnswer,
 )
@@ -145,7 +145,7 @@
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
-    ) -> HttpAnswer | StreamedAnswer:
+    ) -> HttpResponse | StreamedAnswer:
         target = f"{req.path}?{req.query}" if req.query else req.path
         timeout_s = max(0.0, req.deadline_s - time.monotonic())
         if req.route.answer == "stream":
@@ -215,7 +215,7 @@
     return tuple(headers)
 
 
-def _make_response(answer: HttpAnswer | StreamedAnswer) -> Response:
+def _make_response(answer: HttpResponse | StreamedAnswer) -> Response:
     headers = tuple(
         item for item in answer.headers if item[0] in RESPONSE_HEADERS
     )
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -10,8 +10,8 @@
 from daisyhub.catalog import Route
 from daisyhub.connections import (
     AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     RequestFailedError,
     StreamedAnswer,
 )
@@ -246,7 +246,7 @@
         self,
         action: StartAttempt,
         token: int,
-        answer: HttpAnswer | StreamedAnswer,
+        answer: HttpResponse | StreamedAnswer,
     ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
@@ -332,7 +332,7 @@
     )
 
 
-def _response(answer: HttpAnswer | StreamedAnswer) -> Response:
+def _response(answer: HttpResponse | StreamedAnswer) -> Response:
     if isinstance(answer, StreamedAnswer):
         return Response(
             status=answer.status,
--- a/daisyhub/hosting/_client.py
+++ b/daisyhub/hosting/_client.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.exceptions import (
     PlatformConflictError,
     PlatformUnavailableError,
@@ -224,7 +224,7 @@
         *,
         body: bytes = b"",
         timeout_s: float | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         try:
             answer = await self._http.request(
                 method,
@@ -246,7 +246,7 @@
     return urllib.parse.quote(text, safe="/")
 
 
-def _decode(answer: HttpAnswer, kind: Any) -> Any:
+def _decode(answer: HttpResponse, kind: Any) -> Any:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.DecodeError as exc:
--- a/daisyhub/identity/tests/test_proof_keys.py
+++ b/daisyhub/identity/tests/test_proof_keys.py
@@ -17,7 +17,7 @@
 
 from daisyhub.balancing import EndpointTable, RoundRobin
 from daisyhub.config import ClientKey, Document, Route
-from daisyhub.connections import HttpAnswer
+from daisyhub.connections import HttpResponse
 from daisyhub.exceptions import Refusal
 from daisyhub.filters import (
     ForwardFilter,
@@ -71,7 +71,7 @@
 
     async def request(self, method, address, target, *, headers, body, **_):
         self.sent.append((target, headers, body))
-        return HttpAnswer(status=200, headers=(), body=b"")
+        return HttpResponse(status=200, headers=(), body=b"")
 
 
 class KeyProof(unittest.TestCase):
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.objects import (
     HistoryGoneError,
@@ -183,7 +183,7 @@
         target: str,
         body: bytes = b"",
         timeout_s: float | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         is_write = method != "GET"
         headers = ((b"content-type", b"application/json"),) if body else ()
         try:
@@ -227,7 +227,7 @@
     )
 
 
-def _written(kind: str, name: str, answer: HttpAnswer) -> StoredObject:
+def _written(kind: str, name: str, answer: HttpResponse) -> StoredObject:
     """Reads the answer to a write; refusals carry the object as it is."""
     if answer.status == _NOT_FOUND:
         raise ObjectConflictError(f"{kind}/{name} does not exist", None)
@@ -238,7 +238,7 @@
     return _stored(kind, _decode(answer, _Object))
 
 
-def _conflicting(kind: str, answer: HttpAnswer) -> StoredObject | None:
+def _conflicting(kind: str, answer: HttpResponse) -> StoredObject | None:
     try:
         return _stored(kind, msgspec.json.decode(answer.body, type=_Object))
     except msgspec.DecodeError:
@@ -246,7 +246,7 @@
         return None
 
 
-def _decode(answer: HttpAnswer, kind: Any) -> Any:
+def _decode(answer: HttpResponse, kind: Any) -> Any:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.DecodeError as exc:
--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.settings import Address
 
 __all__ = ["Caller", "TrainerResult", "run_trainer"]
@@ -38,7 +38,7 @@
         headers: tuple[tuple[bytes, bytes], ...] = (),
         timeout_s: float = _TIMEOUT_S,
         fresh: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Sends one request with `value` as JSON."""
         own = []
         if self.key:
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -15,7 +15,7 @@
 import anyio
 import msgspec
 
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.settings import Address
 
 __all__ = ["KEY", "Fleet"]
@@ -234,7 +234,7 @@
         body: bytes = b"",
         headers: tuple = (),
         timeout_s: float = 5.0,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Calls a daemon as a client, on a connection of its own."""
         return await self.http.request(
             method,
@@ -330,7 +330,7 @@
                         return
                 await anyio.sleep(0.05)
 
-    async def _get(self, port: int, target: str) -> HttpAnswer:
+    async def _get(self, port: int, target: str) -> HttpResponse:
         address = Address(ip=_LOOPBACK, port=port)
         return await self.http.request("GET", address, target, timeout_s=2.0)
 
