--- a/daisyhub/connections/__init__.py
+++ b/daisyhub/connections/__init__.py
@@ -4,7 +4,7 @@
     AnswerStream,
     HttpClient,
     HttpResponse,
-    StreamedAnswer,
+    StreamedResponse,
 )
 from daisyhub.connections._connection import RequestFailedError
 
@@ -13,5 +13,5 @@
     "HttpResponse",
     "HttpClient",
     "RequestFailedError",
-    "StreamedAnswer",
+    "StreamedResponse",
 ]
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -25,7 +25,7 @@
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
-__all__ = ["AnswerStream", "HttpResponse", "HttpClient", "StreamedAnswer"]
+__all__ = ["AnswerStream", "HttpResponse", "HttpClient", "StreamedResponse"]
 
 _REQUEST_ID_HEADER = b"daisyhub-request-id"
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class StreamedAnswer:
+class StreamedResponse:
     """The head of an answer, and its content in chunks.
 
     Attributes:
@@ -117,7 +117,7 @@
         answer: The answer whose content it is.
     """
 
-    def __init__(self, answer: StreamedAnswer):
+    def __init__(self, answer: StreamedResponse):
         self._answer = answer
         self._chunks = answer.chunks()
 
@@ -213,7 +213,7 @@
         body: bytes = b"",
         timeout_s: float,
         fresh: bool = False,
-    ) -> "StreamedAnswer":
+    ) -> "StreamedResponse":
         """Sends one request and returns the answer's head.
 
         The caller reads `chunks()` and calls `aclose()` in any case.
@@ -239,7 +239,7 @@
             await conn.aclose()
             raise
         conn.note_headers(answer.headers)
-        return StreamedAnswer(
+        return StreamedResponse(
             client=self,
             conn=conn,
             address=address,
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -6,7 +6,7 @@
 
 import anyio
 
-from daisyhub.connections import HttpResponse, StreamedAnswer
+from daisyhub.connections import HttpResponse, StreamedResponse
 from daisyhub.filters._forward_core import (
     AttemptCompleted,
     AttemptFailed,
@@ -34,7 +34,7 @@
     """
 
     event: AttemptCompleted | AttemptFailed
-    answer: HttpResponse | StreamedAnswer | None = None
+    answer: HttpResponse | StreamedResponse | None = None
 
 
 AttemptSender = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -16,7 +16,7 @@
     HttpClient,
     HttpResponse,
     RequestFailedError,
-    StreamedAnswer,
+    StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._attempts import AttemptOutcome, run_attempts
@@ -138,14 +138,14 @@
             )
         self._table.apply_update(parse_endpoint_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
-            if isinstance(answer, StreamedAnswer):
+            if isinstance(answer, StreamedResponse):
                 await answer.aclose()
             return _make_failed_outcome(action, Ran.NOT_RUN)
         return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
-    ) -> HttpResponse | StreamedAnswer:
+    ) -> HttpResponse | StreamedResponse:
         target = f"{req.path}?{req.query}" if req.query else req.path
         timeout_s = max(0.0, req.deadline_s - time.monotonic())
         if req.route.answer == "stream":
@@ -215,12 +215,12 @@
     return tuple(headers)
 
 
-def _make_response(answer: HttpResponse | StreamedAnswer) -> Response:
+def _make_response(answer: HttpResponse | StreamedResponse) -> Response:
     headers = tuple(
         item for item in answer.headers if item[0] in RESPONSE_HEADERS
     )
     tokens = _parse_int_header(answer.headers, b"endpoint-tokens", 0)
-    if isinstance(answer, StreamedAnswer):
+    if isinstance(answer, StreamedResponse):
         return Response(
             status=answer.status,
             headers=headers,
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -13,7 +13,7 @@
     HttpClient,
     HttpResponse,
     RequestFailedError,
-    StreamedAnswer,
+    StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters import (
@@ -246,7 +246,7 @@
         self,
         action: StartAttempt,
         token: int,
-        answer: HttpResponse | StreamedAnswer,
+        answer: HttpResponse | StreamedResponse,
     ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
@@ -258,7 +258,7 @@
             else:
                 self._directory.record_closed(endpoint_id, token)
             return AttemptOutcome(AttemptCompleted(action.attempt), answer)
-        if isinstance(answer, StreamedAnswer):
+        if isinstance(answer, StreamedResponse):
             await answer.drain()
         if read.is_other_endpoint:
             self._directory.record_failed(endpoint_id, token, now_s)
@@ -332,8 +332,8 @@
     )
 
 
-def _response(answer: HttpResponse | StreamedAnswer) -> Response:
-    if isinstance(answer, StreamedAnswer):
+def _response(answer: HttpResponse | StreamedResponse) -> Response:
+    if isinstance(answer, StreamedResponse):
         return Response(
             status=answer.status,
             headers=answer.headers,
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -7,7 +7,7 @@
 from daisyhub.connections import (
     HttpClient,
     RequestFailedError,
-    StreamedAnswer,
+    StreamedResponse,
 )
 from daisyhub.gateway import EndpointWire, SentRequest
 from daisyhub.lots._run_types import (
@@ -107,7 +107,7 @@
             await response.aclose()
 
     async def _read(
-        self, action: StartRun, response: StreamedAnswer, emit: EventSink
+        self, action: StartRun, response: StreamedResponse, emit: EventSink
     ) -> str:
         decoded = self._endpoint_wire.read_answer(
             response.status, response.headers
