--- a/daisyhub/connections/__init__.py
+++ b/daisyhub/connections/__init__.py
@@ -1,15 +1,15 @@
 """HTTP connections to endpoints and to the platform."""
 
 from daisyhub.connections._client import (
-    AnswerStream,
     HttpClient,
     HttpResponse,
+    ResponseStream,
     StreamedResponse,
 )
 from daisyhub.connections._connection import RequestFailedError
 
 __all__ = [
-    "AnswerStream",
+    "ResponseStream",
     "HttpResponse",
     "HttpClient",
     "RequestFailedError",
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -25,7 +25,7 @@
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
-__all__ = ["AnswerStream", "HttpResponse", "HttpClient", "StreamedResponse"]
+__all__ = ["ResponseStream", "HttpResponse", "HttpClient", "StreamedResponse"]
 
 _REQUEST_ID_HEADER = b"daisyhub-request-id"
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
@@ -110,7 +110,7 @@
         await self.aclose()
 
 
-class AnswerStream(AsyncIterator[bytes]):
+class ResponseStream(AsyncIterator[bytes]):
     """Content passed through; `aclose` ends it even before the first chunk.
 
     Args:
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -12,10 +12,10 @@
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
 from daisyhub.connections import (
-    AnswerStream,
     HttpClient,
     HttpResponse,
     RequestFailedError,
+    ResponseStream,
     StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
@@ -224,7 +224,7 @@
         return Response(
             status=answer.status,
             headers=headers,
-            stream=AnswerStream(answer),
+            stream=ResponseStream(answer),
             tokens=tokens,
         )
     return Response(
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -9,10 +9,10 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import Route
 from daisyhub.connections import (
-    AnswerStream,
     HttpClient,
     HttpResponse,
     RequestFailedError,
+    ResponseStream,
     StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
@@ -337,7 +337,7 @@
         return Response(
             status=answer.status,
             headers=answer.headers,
-            stream=AnswerStream(answer),
+            stream=ResponseStream(answer),
         )
     return Response(
         status=answer.status, headers=answer.headers, body=answer.body
