--- a/daisyhub/gateway/__init__.py
+++ b/daisyhub/gateway/__init__.py
@@ -8,7 +8,7 @@
 from daisyhub.gateway._sender import Sender, SendTask
 from daisyhub.gateway._wire import (
     CallerWire,
-    EndpointAnswer,
+    EndpointResponseHead,
     EndpointWire,
     SentRequest,
 )
@@ -16,7 +16,7 @@
 __all__ = [
     "BodyFilter",
     "CallerWire",
-    "EndpointAnswer",
+    "EndpointResponseHead",
     "EndpointWire",
     "FindRouteFilter",
     "GatewayApp",
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -27,7 +27,11 @@
     StartAttempt,
     run_attempts,
 )
-from daisyhub.gateway._wire import EndpointAnswer, EndpointWire, SentRequest
+from daisyhub.gateway._wire import (
+    EndpointResponseHead,
+    EndpointWire,
+    SentRequest,
+)
 from daisyhub.logs import DecisionLog
 from daisyhub.messages import Header, Response
 from daisyhub.metrics import Metrics
@@ -267,7 +271,7 @@
         return _failed(action, Ran.NOT_RUN)
 
     def _learn(
-        self, endpoint_id: str, read: EndpointAnswer, now_s: float
+        self, endpoint_id: str, read: EndpointResponseHead, now_s: float
     ) -> None:
         if read.load is not None:
             self._directory.record_load(endpoint_id, read.load, now_s)
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -5,7 +5,7 @@
 
 from daisyhub.messages import BodyReader, Header, Request, Response
 
-__all__ = ["CallerWire", "EndpointAnswer", "EndpointWire", "SentRequest"]
+__all__ = ["CallerWire", "EndpointResponseHead", "EndpointWire", "SentRequest"]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -32,7 +32,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointAnswer:
+class EndpointResponseHead:
     """What an answer's head says besides its status.
 
     Attributes:
@@ -84,5 +84,5 @@
     @abc.abstractmethod
     def read_answer(
         self, status: int, headers: tuple[Header, ...]
-    ) -> EndpointAnswer:
+    ) -> EndpointResponseHead:
         """Reads the head of an answer."""
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -11,7 +11,7 @@
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.gateway import (
     CallerWire,
-    EndpointAnswer,
+    EndpointResponseHead,
     EndpointWire,
     SentRequest,
 )
@@ -121,12 +121,12 @@
 
     def read_answer(
         self, status: int, headers: tuple[Header, ...]
-    ) -> EndpointAnswer:
+    ) -> EndpointResponseHead:
         """Reads the head of an answer; see `EndpointWire.read_answer`."""
         known = dict(headers)
         is_other = status == _OTHER_ENDPOINT_STATUS
         weights = known.get(_WEIGHTS, b"")
-        return EndpointAnswer(
+        return EndpointResponseHead(
             is_not_run=is_other or _NOT_RUN in known,
             is_other_endpoint=is_other,
             load=_load(known.get(_LOAD, b"")),
