--- a/daisyhub/gateway/__init__.py
+++ b/daisyhub/gateway/__init__.py
@@ -8,9 +8,9 @@
 from daisyhub.gateway._sender import Sender, SendTask
 from daisyhub.gateway._wire import (
     CallerWire,
+    EndpointRequest,
     EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 
 __all__ = [
@@ -24,5 +24,5 @@
     "SendFilter",
     "SendTask",
     "Sender",
-    "SentRequest",
+    "EndpointRequest",
 ]
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -28,9 +28,9 @@
     run_attempts,
 )
 from daisyhub.gateway._wire import (
+    EndpointRequest,
     EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.messages import Header, Response
@@ -226,7 +226,7 @@
     async def _exchange(self, task: SendTask, entry, fresh: bool):
         left_s = max(0.0, task.deadline_s - time.monotonic())
         headers = self._wire.request_headers(
-            SentRequest(
+            EndpointRequest(
                 request_id=task.request_id,
                 host=task.host,
                 endpoint_id=entry.endpoint_id,
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -5,11 +5,16 @@
 
 from daisyhub.messages import BodyReader, Header, Request, Response
 
-__all__ = ["CallerWire", "EndpointResponseHead", "EndpointWire", "SentRequest"]
+__all__ = [
+    "CallerWire",
+    "EndpointResponseHead",
+    "EndpointWire",
+    "EndpointRequest",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SentRequest:
+class EndpointRequest:
     """A request as it goes to an endpoint.
 
     Attributes:
@@ -78,7 +83,7 @@
     """How endpoints are spoken to."""
 
     @abc.abstractmethod
-    def request_headers(self, sent: SentRequest) -> tuple[Header, ...]:
+    def request_headers(self, sent: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers of a request, the host included."""
 
     @abc.abstractmethod
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -9,7 +9,7 @@
     RequestFailedError,
     StreamedResponse,
 )
-from daisyhub.gateway import EndpointWire, SentRequest
+from daisyhub.gateway import EndpointRequest, EndpointWire
 from daisyhub.lots._run_types import (
     RunCompleted,
     RunFailed,
@@ -76,7 +76,7 @@
         left_s = max(0.0, give_up_at_s - time.monotonic())
         item = action.item
         headers = self._endpoint_wire.request_headers(
-            SentRequest(
+            EndpointRequest(
                 request_id=item.item_id,
                 host=head.host,
                 endpoint_id=action.endpoint_id,
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -11,9 +11,9 @@
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.gateway import (
     CallerWire,
+    EndpointRequest,
     EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 from daisyhub.lots import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.messages import BodyReader, Header, Request, Response
@@ -104,7 +104,7 @@
 class PlatformEndpointWire(EndpointWire):
     """How endpoints of the platform are spoken to."""
 
-    def request_headers(self, sent: SentRequest) -> tuple[Header, ...]:
+    def request_headers(self, sent: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers; the caller's key is never among them."""
         headers = [
             (b"host", sent.host.encode("latin-1")),
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -5,7 +5,7 @@
 
 from daisyhub.catalog import ManifestController, ManifestError, RouteKind
 from daisyhub.exceptions import Refusal
-from daisyhub.gateway import SentRequest
+from daisyhub.gateway import EndpointRequest
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import EndLot, ReadItemBody, ReadResults
 from daisyhub.messages import Request
@@ -204,7 +204,7 @@
 
 class EndpointWireTest(unittest.TestCase):
     def test_own_headers_are_overwritten_and_the_key_is_not_passed(self):
-        sent = SentRequest(
+        sent = EndpointRequest(
             request_id="q1",
             host="a.example",
             endpoint_id="i-1",
