--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -254,7 +254,7 @@
     ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
-        read = self._wire.read_answer(answer.status, answer.headers)
+        read = self._wire.read_response_head(answer.status, answer.headers)
         self._learn(endpoint_id, read, now_s)
         if not read.is_not_run:
             if answer.status < _FIRST_FAULT_STATUS:
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -87,7 +87,7 @@
         """Returns the headers of a request, the host included."""
 
     @abc.abstractmethod
-    def read_answer(
+    def read_response_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> EndpointResponseHead:
         """Reads the head of an answer."""
--- a/daisyhub/lots/_rewards.py
+++ b/daisyhub/lots/_rewards.py
@@ -64,7 +64,7 @@
             resp = await self._sender.send(task)
         except Refusal as exc:
             return self._failed(action, exc.code)
-        decoded = self._wire.read_answer(resp.status, resp.headers)
+        decoded = self._wire.read_response_head(resp.status, resp.headers)
         if resp.status not in _SUCCESS or not decoded.proof:
             is_endpoint_failure = resp.status == ErrorCode.INTERNAL.status
             reason = f"status {resp.status}"
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -109,7 +109,7 @@
     async def _read(
         self, action: StartRun, response: StreamedResponse, emit: EventSink
     ) -> str:
-        decoded = self._endpoint_wire.read_answer(
+        decoded = self._endpoint_wire.read_response_head(
             response.status, response.headers
         )
         if decoded.is_not_run:
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -119,10 +119,10 @@
         headers += [h for h in sent.headers if h[0] not in _OWN_HEADERS]
         return tuple(headers)
 
-    def read_answer(
+    def read_response_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> EndpointResponseHead:
-        """Reads the head of an answer; see `EndpointWire.read_answer`."""
+        """Reads the head of an answer; see `EndpointWire.read_response_head`."""
         known = dict(headers)
         is_other = status == _OTHER_ENDPOINT_STATUS
         weights = known.get(_WEIGHTS, b"")
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -236,12 +236,12 @@
 
     def test_what_an_answer_says(self):
         wire = PlatformEndpointWire()
-        full = wire.read_answer(503, ((b"daisyhub-not-executed", b"1"),))
+        full = wire.read_response_head(503, ((b"daisyhub-not-executed", b"1"),))
         self.assertTrue(full.is_not_run)
-        self.assertFalse(wire.read_answer(503, ()).is_not_run)
-        other = wire.read_answer(421, ())
+        self.assertFalse(wire.read_response_head(503, ()).is_not_run)
+        other = wire.read_response_head(421, ())
         self.assertTrue(other.is_not_run and other.is_other_endpoint)
-        told = wire.read_answer(
+        told = wire.read_response_head(
             200,
             (
                 (b"daisyhub-server-load", b"3,2,8"),
@@ -251,7 +251,9 @@
         )
         self.assertEqual((told.load, told.proof), (5, "s"))
         self.assertEqual(told.weight_version, 6)
-        odd = wire.read_answer(200, ((b"daisyhub-server-load", b"many"),))
+        odd = wire.read_response_head(
+            200, ((b"daisyhub-server-load", b"many"),)
+        )
         self.assertIsNone(odd.load)
 
 
