--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -75,7 +75,7 @@
         """
 
     @abc.abstractmethod
-    def answer_headers(self, resp: Response) -> tuple[Header, ...]:
+    def response_headers(self, resp: Response) -> tuple[Header, ...]:
         """Returns the headers that a caller gets of an endpoint's answer."""
 
 
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -94,7 +94,7 @@
             lot_call=_lot_call(scope["method"], path, query, known),
         )
 
-    def answer_headers(self, resp: Response) -> tuple[Header, ...]:
+    def response_headers(self, resp: Response) -> tuple[Header, ...]:
         """Returns all headers but those of one connection."""
         return tuple(
             item for item in resp.headers if item[0] not in _HOP_HEADERS
