--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -264,7 +264,7 @@
             return AttemptOutcome(AttemptCompleted(action.attempt), answer)
         if isinstance(answer, StreamedResponse):
             await answer.drain()
-        if read.is_other_endpoint:
+        if read.is_misdirected:
             self._directory.record_failed(endpoint_id, token, now_s)
         else:
             self._directory.record_closed(endpoint_id, token)
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -42,7 +42,7 @@
 
     Attributes:
         is_not_run: Whether the endpoint states that it did not run it.
-        is_other_endpoint: Whether another endpoint has the address now.
+        is_misdirected: Whether another endpoint has the address now.
         load: Requests in hand there, running and waiting; None if not told.
         proof: The endpoint's proof that the answer is its own; may be empty.
         weight_version: Version of the weights that it starts with; 0 if not
@@ -50,7 +50,7 @@
     """
 
     is_not_run: bool = False
-    is_other_endpoint: bool = False
+    is_misdirected: bool = False
     load: int | None = None
     proof: str = ""
     weight_version: int = 0
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -114,7 +114,7 @@
         )
         if decoded.is_not_run:
             fault = RunFault.NOT_RUN
-            if decoded.is_other_endpoint:
+            if decoded.is_misdirected:
                 fault = RunFault.ELSEWHERE
             emit(RunFailed(action.run, fault))
             await response.drain()
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -128,7 +128,7 @@
         weights = known.get(_WEIGHTS, b"")
         return EndpointResponseHead(
             is_not_run=is_other or _NOT_RUN in known,
-            is_other_endpoint=is_other,
+            is_misdirected=is_other,
             load=_load(known.get(_LOAD, b"")),
             proof=known.get(_PROOF, b"").decode("latin-1"),
             weight_version=int(weights) if _VERSION.fullmatch(weights) else 0,
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -240,7 +240,7 @@
         self.assertTrue(full.is_not_run)
         self.assertFalse(wire.read_response_head(503, ()).is_not_run)
         other = wire.read_response_head(421, ())
-        self.assertTrue(other.is_not_run and other.is_other_endpoint)
+        self.assertTrue(other.is_not_run and other.is_misdirected)
         told = wire.read_response_head(
             200,
             (
