--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -228,8 +228,8 @@
             wakeup_s = self._core.next_wakeup_s
             wait_s = _IDLE_STEP_S
             if wakeup_s is not None:
-                left_s = wakeup_s - time.monotonic()
-                wait_s = min(wait_s, max(_SHORTEST_STEP_S, left_s))
+                remaining_s = wakeup_s - time.monotonic()
+                wait_s = min(wait_s, max(_SHORTEST_STEP_S, remaining_s))
             with anyio.move_on_after(wait_s):
                 await self._wakeup.wait()
             self._wakeup = anyio.Event()
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -127,8 +127,8 @@
         wakeup_s = self._core.next_wakeup_s
         if wakeup_s is None:
             return pause_s
-        left_s = wakeup_s - time.monotonic()
-        return min(pause_s, max(_SHORTEST_STEP_S, left_s))
+        remaining_s = wakeup_s - time.monotonic()
+        return min(pause_s, max(_SHORTEST_STEP_S, remaining_s))
 
     def _engines_seen(self) -> EnginesListed:
         now_s = time.monotonic()
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -224,14 +224,14 @@
         return await self._judge(action, token, answer)
 
     async def _exchange(self, task: SendTask, entry, fresh: bool):
-        left_s = max(0.0, task.deadline_s - time.monotonic())
+        remaining_s = max(0.0, task.deadline_s - time.monotonic())
         headers = self._wire.request_headers(
             EndpointRequest(
                 request_id=task.request_id,
                 host=task.host,
                 endpoint_id=entry.endpoint_id,
                 account=task.account,
-                left_s=_endpoint_left_s(left_s),
+                remaining_s=_endpoint_left_s(remaining_s),
                 headers=task.headers,
             )
         )
@@ -242,7 +242,7 @@
             task.target,
             headers=headers,
             body=task.body,
-            timeout_s=left_s,
+            timeout_s=remaining_s,
             fresh=fresh,
         )
 
@@ -294,13 +294,13 @@
     return max(latest_s, _HEDGE_LEAST * usual_s)
 
 
-def _endpoint_left_s(left_s: float) -> float:
+def _endpoint_left_s(remaining_s: float) -> float:
     """Returns the time for the endpoint: its own answer must come in time.
 
     An endpoint answers at its deadline; if that answer is still read, its
     connection can be kept.
     """
-    return left_s - min(_ENDPOINT_MARGIN_S, left_s / 4)
+    return remaining_s - min(_ENDPOINT_MARGIN_S, remaining_s / 4)
 
 
 def _failed(
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -22,7 +22,7 @@
         host: Host name that the caller sent.
         endpoint_id: The endpoint that must serve it.
         account: Client account of the key; empty if none is to be named.
-        left_s: Seconds that the caller still waits.
+        remaining_s: Seconds that the caller still waits.
         headers: The caller's headers.
         resume_after: Number of the last event at hand, to go on behind it.
     """
@@ -31,7 +31,7 @@
     host: str
     endpoint_id: str
     account: str = ""
-    left_s: float
+    remaining_s: float
     headers: tuple[Header, ...] = ()
     resume_after: int = 0
 
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -204,19 +204,19 @@
         deadline_s = time.monotonic() + wait_s
         lot_id = lot.head.lot_id
         while len(lot.results) <= after and not self._is_complete(lot):
-            left_s = max(0.0, deadline_s - time.monotonic())
+            remaining_s = max(0.0, deadline_s - time.monotonic())
             first = len(lot.results)
             found = None
             if not lot.is_ended:
-                found = await self._results_from_holder(lot, first, left_s)
+                found = await self._results_from_holder(lot, first, remaining_s)
             if found is None:
                 found = await self._results_from_store(lot_id, first)
             self._append(lot, first, found)
-            left_s = deadline_s - time.monotonic()
-            if not found and (left_s <= 0 or lot.is_ended):
+            remaining_s = deadline_s - time.monotonic()
+            if not found and (remaining_s <= 0 or lot.is_ended):
                 return
             if not found:
-                await anyio.sleep(min(_STORE_POLL_INTERVAL_S, left_s))
+                await anyio.sleep(min(_STORE_POLL_INTERVAL_S, remaining_s))
 
     def _append(
         self, lot: _CachedLot, first: int, found: list[ItemResult]
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -73,7 +73,7 @@
         if endpoint is None:
             emit(RunFailed(action.run, RunFault.ELSEWHERE))
             return "unknown endpoint"
-        left_s = max(0.0, give_up_at_s - time.monotonic())
+        remaining_s = max(0.0, give_up_at_s - time.monotonic())
         item = action.item
         headers = self._endpoint_wire.request_headers(
             EndpointRequest(
@@ -81,7 +81,7 @@
                 host=head.host,
                 endpoint_id=action.endpoint_id,
                 account=head.account,
-                left_s=left_s,
+                remaining_s=remaining_s,
                 headers=tuple(
                     (name.encode(), value.encode())
                     for name, value in item.headers.items()
@@ -96,7 +96,7 @@
                 item.path,
                 headers=headers,
                 body=item.body,
-                timeout_s=left_s,
+                timeout_s=remaining_s,
             )
         except RequestFailedError as exc:
             emit(RunFailed(action.run, RunFault.UNREACHABLE))
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -79,7 +79,7 @@
             raise Refusal(ErrorCode.HEADER_INVALID, "the host is missing")
         path = scope["raw_path"].decode("latin-1")
         query = scope["query_string"].decode("latin-1")
-        left_s = _seconds(known, _DEADLINE_MS, _NO_DEADLINE_S)
+        remaining_s = _seconds(known, _DEADLINE_MS, _NO_DEADLINE_S)
         return Request(
             request_id=known.get(_REQUEST_ID, b"").decode("latin-1"),
             method=scope["method"],
@@ -89,7 +89,7 @@
             headers=headers,
             read_body=read_body,
             started_s=now_s,
-            deadline_s=now_s + left_s,
+            deadline_s=now_s + remaining_s,
             key=known.get(_KEY, b"").decode("latin-1"),
             lot_call=_lot_call(scope["method"], path, query, known),
         )
@@ -109,7 +109,7 @@
         headers = [
             (b"host", sent.host.encode("latin-1")),
             (_REQUEST_ID, sent.request_id.encode("latin-1")),
-            (_DEADLINE_MS, str(int(sent.left_s * _MS_PER_S)).encode()),
+            (_DEADLINE_MS, str(int(sent.remaining_s * _MS_PER_S)).encode()),
             (_ENDPOINT, sent.endpoint_id.encode("latin-1")),
         ]
         if sent.account:
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -209,7 +209,7 @@
             host="a.example",
             endpoint_id="i-1",
             account="t",
-            left_s=0.75,
+            remaining_s=0.75,
             headers=(
                 (b"api-key", b"secret"),
                 (b"daisyhub-tenant", b"forged"),
