--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -264,7 +264,7 @@
     async def aclose(self) -> None:
         """Closes every idle connection."""
         for address in list(self._idle):
-            self.forget(address)
+            self.drop_idle_connections(address)
         await self._close_doomed()
 
     def has_idle(self, address: Address) -> bool:
@@ -272,7 +272,7 @@
         conns = self._idle.get(address)
         return bool(conns) and self._is_recent(conns[-1], time.monotonic())
 
-    def forget(self, address: Address) -> None:
+    def drop_idle_connections(self, address: Address) -> None:
         """Drops the idle connections of an address; they are in doubt."""
         self._doomed += self._idle.pop(address, [])
 
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -177,7 +177,7 @@
                 "GET", state.address, "/load", timeout_s=_PROBE_TIMEOUT_S
             )
         except RequestFailedError:
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return
         state.last_received_at_s = time.monotonic()
         news = parse_endpoint_headers(state, answer.headers)
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -110,7 +110,7 @@
         except RequestFailedError as exc:
             log.debug("generation failed: {}", exc)
             has_failed = True
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return None
         finally:
             self._table.record_done(
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -122,7 +122,7 @@
             answer = await self._send(req, state, fresh=action.fresh)
             failed = False
         except RequestFailedError as exc:
-            self._client.forget(state.address)
+            self._client.drop_idle_connections(state.address)
             return _make_failed_outcome(
                 action,
                 exc.ran,
