--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -162,7 +162,7 @@
         headers: tuple[Header, ...] = (),
         body: bytes = b"",
         timeout_s: float,
-        answer_bytes: int = 1 << 23,
+        max_body_bytes: int = 1 << 23,
         fresh: bool = False,
     ) -> HttpResponse:
         """Sends one request and reads the whole answer.
@@ -174,7 +174,7 @@
             headers: Headers besides the host and the length.
             body: The content.
             timeout_s: Longest time for everything.
-            answer_bytes: Largest content of the answer.
+            max_body_bytes: Largest content of the answer.
             fresh: Whether to open a new connection in any case.
 
         Raises:
@@ -189,7 +189,7 @@
                 answer = await _exchange_heads(
                     conn, method, address, target, headers, body
                 )
-                content = await _read_all(conn, answer, answer_bytes)
+                content = await _read_all(conn, answer, max_body_bytes)
         except RequestFailedError:
             await self._discard(address, conn, started_s)
             raise
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -194,7 +194,7 @@
                 headers=headers,
                 body=body,
                 timeout_s=timeout_s or self._timeout_s,
-                answer_bytes=_ANSWER_BYTES,
+                max_body_bytes=_ANSWER_BYTES,
             )
         except RequestFailedError as exc:
             may_be_done = is_write and exc.ran is not Ran.NOT_RUN
