--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -165,7 +165,7 @@
             headers=_endpoint_headers(req),
             body=req.body,
             timeout_s=timeout_s,
-            answer_bytes=self._limits.answer_bytes,
+            max_body_bytes=self._limits.answer_bytes,
             fresh=fresh,
         )
 
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -122,7 +122,7 @@
     def read_response_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> EndpointResponseHead:
-        """Reads the head of an answer; see `EndpointWire.read_response_head`."""
+        """Reads a response head; see `EndpointWire.read_response_head`."""
         known = dict(headers)
         is_other = status == _OTHER_ENDPOINT_STATUS
         weights = known.get(_WEIGHTS, b"")
