--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -3,10 +3,10 @@
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
-    LotAnswer,
     LotBodyAsked,
     LotEndTold,
     LotHeadAsked,
+    LotResponse,
     LotResultsAsked,
     LotTold,
     ManifestAnswer,
@@ -24,7 +24,7 @@
 __all__ = [
     "CLUSTER_PROTOCOL",
     "ClusterController",
-    "LotAnswer",
+    "LotResponse",
     "LotBodyAsked",
     "LotEndTold",
     "LotHeadAsked",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -8,7 +8,7 @@
 
 __all__ = [
     "CLUSTER_PROTOCOL",
-    "LotAnswer",
+    "LotResponse",
     "LotBodyAsked",
     "LotEndTold",
     "LotHeadAsked",
@@ -143,7 +143,7 @@
     lot_id: str
 
 
-class LotAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
+class LotResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
     """A holder's answer.
 
     Attributes:
@@ -176,7 +176,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: StoreAnswer | ManifestAnswer | LotAnswer | None
+    content: StoreAnswer | ManifestAnswer | LotResponse | None
 
 
 class _Envelope(msgspec.Struct, frozen=True, kw_only=True):
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -11,10 +11,10 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
-    LotAnswer,
     LotBodyAsked,
     LotEndTold,
     LotHeadAsked,
+    LotResponse,
     LotResultsAsked,
     LotTold,
     TrueClock,
@@ -537,16 +537,16 @@
         lot = self._lots.get(lot_id)
         return lot.head if lot and self._duty.fencing else None
 
-    async def handle_head_request(self, request: LotHeadAsked) -> LotAnswer:
+    async def handle_head_request(self, request: LotHeadAsked) -> LotResponse:
         """Answers a peer that doesn't know a lot that its caller named."""
         head = self.head(request.lot_id)
         if head is None:
-            return LotAnswer(is_held=False)
-        return LotAnswer(is_held=True, content=msgspec.json.encode(head))
+            return LotResponse(is_held=False)
+        return LotResponse(is_held=True, content=msgspec.json.encode(head))
 
     async def handle_results_request(
         self, request: LotResultsAsked
-    ) -> LotAnswer:
+    ) -> LotResponse:
         """Answers a peer that reads results for its caller."""
         found = await self.results(
             request.lot_id, request.after, request.wait_s
@@ -554,18 +554,18 @@
         if found is None:
             lot = self._lots.get(request.lot_id)
             is_ended = lot is not None and lot.is_ended
-            return LotAnswer(is_held=False, is_ended=is_ended)
-        return LotAnswer(is_held=True, content=msgspec.json.encode(found))
+            return LotResponse(is_held=False, is_ended=is_ended)
+        return LotResponse(is_held=True, content=msgspec.json.encode(found))
 
-    async def handle_body_request(self, request: LotBodyAsked) -> LotAnswer:
+    async def handle_body_request(self, request: LotBodyAsked) -> LotResponse:
         """Answers a peer that reads an item's body for its caller."""
         lot = self._lots.get(request.lot_id)
         if lot is None or lot.spec is None or not self._duty.fencing:
-            return LotAnswer(is_held=False)
+            return LotResponse(is_held=False)
         for item in lot.spec.items:
             if item.item_id == request.item_id:
-                return LotAnswer(is_held=True, content=item.body)
-        return LotAnswer(is_held=True, is_found=False)
+                return LotResponse(is_held=True, content=item.body)
+        return LotResponse(is_held=True, is_found=False)
 
     def add_accepted(self, head: LotHead) -> None:
         """Adds a lot that was just accepted, if this daemon has the duty."""
--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from daisyhub.cluster import LotAnswer, LotHeadAsked
+from daisyhub.cluster import LotHeadAsked, LotResponse
 from daisyhub.exceptions import Refusal
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
@@ -48,15 +48,15 @@
             raise PeerUnreachableError(f"{peer} did not answer")
         head = self.heads.get(request.lot_id)
         if head is None:
-            return LotAnswer(is_held=False)
+            return LotResponse(is_held=False)
         if request.lot_id in self.ended and not isinstance(
             request, LotHeadAsked
         ):
-            return LotAnswer(is_held=False, is_ended=True)
+            return LotResponse(is_held=False, is_ended=True)
         if isinstance(request, LotHeadAsked):
-            return LotAnswer(is_held=True, content=msgspec.json.encode(head))
+            return LotResponse(is_held=True, content=msgspec.json.encode(head))
         content = msgspec.json.encode([RESULT][request.after :])
-        return LotAnswer(is_held=True, content=content)
+        return LotResponse(is_held=True, content=content)
 
 
 class LotReaderTest(unittest.IsolatedAsyncioTestCase):
