--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -23,7 +23,7 @@
 from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
-from daisyhub.peers import LotAnswer, LotCall
+from daisyhub.peers import LotCall, LotCallResponse
 from daisyhub.rollouts import (
     AckBody,
     AckRequested,
@@ -171,7 +171,7 @@
         self._wakeup.set()
         await self._lease.release()
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCall) -> LotCallResponse:
         """Serves one trainer's call.
 
         Raises:
@@ -335,7 +335,7 @@
     raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"no verb {call.verb!r}")
 
 
-def _answer_of(action: object) -> LotAnswer:
+def _answer_of(action: object) -> LotCallResponse:
     """Returns the trainer's answer; raises `Refusal` if it is one."""
     match action:
         case DeliverGroups():
@@ -376,5 +376,5 @@
         raise Refusal(ErrorCode.BODY_INVALID, str(exc)) from exc
 
 
-def _json_answer(value: object) -> LotAnswer:
-    return LotAnswer(status=_OK, body=msgspec.json.encode(value))
+def _json_answer(value: object) -> LotCallResponse:
+    return LotCallResponse(status=_OK, body=msgspec.json.encode(value))
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -20,8 +20,8 @@
 from daisyhub.hosting import LeaseRecord, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    LotAnswer,
     LotCall,
+    LotCallResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -80,7 +80,7 @@
             for seat in list(self._seats.values()):
                 tasks.start_soon(seat.release)
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCall) -> LotCallResponse:
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
@@ -102,7 +102,7 @@
                 retry_after_s=_RETRY_S,
             ) from exc
 
-    async def handle_forwarded_call(self, call: LotCall) -> LotAnswer:
+    async def handle_forwarded_call(self, call: LotCall) -> LotCallResponse:
         """Serves a call that a peer passed on; never passes it further."""
         seat = self._seats.get(call.lot_id)
         if seat is None or not seat.is_serving:
@@ -112,20 +112,22 @@
         except Refusal as exc:
             if exc.error is ErrorCode.LOT_ELSEWHERE:
                 return _elsewhere_answer()
-            return LotAnswer(
+            return LotCallResponse(
                 status=exc.error.status,
                 body=problem_body(exc, call.lot_id),
                 retry_after_s=exc.retry_after_s,
             )
 
-    async def _serve_here(self, seat: LotServer, call: LotCall) -> LotAnswer:
+    async def _serve_here(
+        self, seat: LotServer, call: LotCall
+    ) -> LotCallResponse:
         with anyio.move_on_after(_TAKE_WAIT_S):
             await seat.ready.wait()
         if not seat.is_serving:
             raise _being_taken()
         return await seat.serve(call)
 
-    async def _ask_holder(self, call: LotCall) -> LotAnswer | None:
+    async def _ask_holder(self, call: LotCall) -> LotCallResponse | None:
         """Returns the holder's answer, or None if no holder answers.
 
         While the platform is down, the holder last seen is asked.
@@ -241,7 +243,7 @@
     )
 
 
-def _elsewhere_answer() -> LotAnswer:
-    return LotAnswer(
+def _elsewhere_answer() -> LotCallResponse:
+    return LotCallResponse(
         status=ErrorCode.LOT_ELSEWHERE.status, body=b"", is_elsewhere=True
     )
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -7,7 +7,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.messages import Request, Response
-from daisyhub.peers import LotAnswer, LotCall
+from daisyhub.peers import LotCall, LotCallResponse
 
 __all__ = ["LotsFilter"]
 
@@ -26,7 +26,7 @@
 
     name = "lots"
 
-    def __init__(self, serve: Callable[[LotCall], Awaitable[LotAnswer]]):
+    def __init__(self, serve: Callable[[LotCall], Awaitable[LotCallResponse]]):
         self._serve = serve
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -17,7 +17,7 @@
     "EndpointParts",
     "Envelope",
     "Heartbeat",
-    "LotAnswer",
+    "LotCallResponse",
     "LotCall",
     "RateAsk",
     "RateGrant",
@@ -124,7 +124,7 @@
     body: bytes
 
 
-class LotAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
+class LotCallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
     """The holder's answer to a `LotCall`.
 
     Attributes:
@@ -151,7 +151,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: ConfigParts | EndpointParts | LotAnswer | None
+    content: ConfigParts | EndpointParts | LotCallResponse | None
 
 
 class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
