--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -23,7 +23,7 @@
 from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
-from daisyhub.peers import LotCall, LotCallResponse
+from daisyhub.peers import LotCallRequest, LotCallResponse
 from daisyhub.rollouts import (
     AckBody,
     AckRequested,
@@ -171,7 +171,7 @@
         self._wakeup.set()
         await self._lease.release()
 
-    async def serve(self, call: LotCall) -> LotCallResponse:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves one trainer's call.
 
         Raises:
@@ -310,7 +310,7 @@
         return StateWritten(action.write_id, version)
 
 
-def _event_of(call: LotCall, number: int) -> object:
+def _event_of(call: LotCallRequest, number: int) -> object:
     until_s = time.monotonic() + _CALL_WAIT_S
     match call.verb:
         case "open":
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -20,7 +20,7 @@
 from daisyhub.hosting import LeaseRecord, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    LotCall,
+    LotCallRequest,
     LotCallResponse,
     PeerNetwork,
     PeerUnreachableError,
@@ -80,7 +80,7 @@
             for seat in list(self._seats.values()):
                 tasks.start_soon(seat.release)
 
-    async def serve(self, call: LotCall) -> LotCallResponse:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
@@ -102,7 +102,9 @@
                 retry_after_s=_RETRY_S,
             ) from exc
 
-    async def handle_forwarded_call(self, call: LotCall) -> LotCallResponse:
+    async def handle_forwarded_call(
+        self, call: LotCallRequest
+    ) -> LotCallResponse:
         """Serves a call that a peer passed on; never passes it further."""
         seat = self._seats.get(call.lot_id)
         if seat is None or not seat.is_serving:
@@ -119,7 +121,7 @@
             )
 
     async def _serve_here(
-        self, seat: LotServer, call: LotCall
+        self, seat: LotServer, call: LotCallRequest
     ) -> LotCallResponse:
         with anyio.move_on_after(_TAKE_WAIT_S):
             await seat.ready.wait()
@@ -127,7 +129,7 @@
             raise _being_taken()
         return await seat.serve(call)
 
-    async def _ask_holder(self, call: LotCall) -> LotCallResponse | None:
+    async def _ask_holder(self, call: LotCallRequest) -> LotCallResponse | None:
         """Returns the holder's answer, or None if no holder answers.
 
         While the platform is down, the holder last seen is asked.
@@ -175,7 +177,7 @@
                     return
                 version = found.version
 
-    async def _take_seat(self, call: LotCall) -> LotServer:
+    async def _take_seat(self, call: LotCallRequest) -> LotServer:
         spec = await self._find_spec(call)
         if spec.account != call.account:
             raise _unknown_lot()
@@ -188,7 +190,7 @@
             await self._new_seats.send(seat)
         return seat
 
-    async def _find_spec(self, call: LotCall) -> LotSpec:
+    async def _find_spec(self, call: LotCallRequest) -> LotSpec:
         spec = await self._specs.find(call.lot_id)
         if spec is not None:
             return spec
@@ -196,7 +198,7 @@
             raise _unknown_lot()
         return await self._specs.create(self._new_spec(call))
 
-    def _new_spec(self, call: LotCall) -> LotSpec:
+    def _new_spec(self, call: LotCallRequest) -> LotSpec:
         body = decode_body(call.body, OpenBody)
         lots = self._tools.config.document.trainer_lots
         lot_class = lots.get(body.lot_class)
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -46,7 +46,7 @@
 from daisyhub.peers import (
     ConfigFetch,
     EndpointFetch,
-    LotCall,
+    LotCallRequest,
     PeerNetwork,
 )
 from daisyhub.process_flags import SETTINGS
@@ -162,7 +162,7 @@
         self.network.add_callee(
             EndpointFetch, self.endpoints.handle_fetch_request
         )
-        self.network.add_callee(LotCall, self.lots.handle_forwarded_call)
+        self.network.add_callee(LotCallRequest, self.lots.handle_forwarded_call)
 
     def _is_candidate(self, duty: str) -> bool:
         """Whether this daemon is among the first for a duty of its domain."""
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -7,7 +7,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.messages import Request, Response
-from daisyhub.peers import LotCall, LotCallResponse
+from daisyhub.peers import LotCallRequest, LotCallResponse
 
 __all__ = ["LotsFilter"]
 
@@ -18,7 +18,7 @@
 
 
 class LotsFilter(Filter):
-    """Converts `POST /v1/lots/...` requests to `LotCall`s and serves them.
+    """Converts `POST /v1/lots/...` requests to `LotCallRequest`s and serves them.
 
     Args:
         serve: Serves the call locally or at the daemon that holds the lot.
@@ -26,7 +26,9 @@
 
     name = "lots"
 
-    def __init__(self, serve: Callable[[LotCall], Awaitable[LotCallResponse]]):
+    def __init__(
+        self, serve: Callable[[LotCallRequest], Awaitable[LotCallResponse]]
+    ):
         self._serve = serve
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
@@ -47,7 +49,7 @@
             raise Refusal(
                 ErrorCode.METHOD_NOT_ALLOWED, "lot calls allow only POST"
             )
-        call = LotCall(
+        call = LotCallRequest(
             lot_id=match.group(1),
             verb=match.group(2) or "open",
             account=req.account,
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -18,7 +18,7 @@
     "Envelope",
     "Heartbeat",
     "LotCallResponse",
-    "LotCall",
+    "LotCallRequest",
     "RateAsk",
     "RateGrant",
     "MemberBeat",
@@ -108,7 +108,7 @@
     records: tuple[EndpointRecord, ...]
 
 
-class LotCall(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
+class LotCallRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
     """A trainer's call, passed on to the daemon that holds the lot.
 
     Attributes:
@@ -125,7 +125,7 @@
 
 
 class LotCallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
-    """The holder's answer to a `LotCall`.
+    """The holder's answer to a `LotCallRequest`.
 
     Attributes:
         status: HTTP status.
@@ -144,7 +144,7 @@
     """Asks for one answer; `call_id` is unique for the sender."""
 
     call_id: int
-    content: ConfigFetch | EndpointFetch | LotCall
+    content: ConfigFetch | EndpointFetch | LotCallRequest
 
 
 class CallAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
