--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -3,9 +3,9 @@
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
-    LotBodyAsked,
     LotEndTold,
     LotHeadAsked,
+    LotItemBodyRequest,
     LotResponse,
     LotResultsAsked,
     LotTold,
@@ -25,7 +25,7 @@
     "CLUSTER_PROTOCOL",
     "ClusterController",
     "LotResponse",
-    "LotBodyAsked",
+    "LotItemBodyRequest",
     "LotEndTold",
     "LotHeadAsked",
     "LotResultsAsked",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -9,7 +9,7 @@
 __all__ = [
     "CLUSTER_PROTOCOL",
     "LotResponse",
-    "LotBodyAsked",
+    "LotItemBodyRequest",
     "LotEndTold",
     "LotHeadAsked",
     "LotResultsAsked",
@@ -118,7 +118,7 @@
     wait_s: float
 
 
-class LotBodyAsked(msgspec.Struct, frozen=True, kw_only=True, tag="bq"):
+class LotItemBodyRequest(msgspec.Struct, frozen=True, kw_only=True, tag="bq"):
     """Asks a lot's holder for the body of an item."""
 
     lot_id: str
@@ -168,7 +168,7 @@
         | ManifestAsked
         | LotHeadAsked
         | LotResultsAsked
-        | LotBodyAsked
+        | LotItemBodyRequest
     )
 
 
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -11,9 +11,9 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
-    LotBodyAsked,
     LotEndTold,
     LotHeadAsked,
+    LotItemBodyRequest,
     LotResponse,
     LotResultsAsked,
     LotTold,
@@ -557,7 +557,9 @@
             return LotResponse(is_held=False, is_ended=is_ended)
         return LotResponse(is_held=True, content=msgspec.json.encode(found))
 
-    async def handle_body_request(self, request: LotBodyAsked) -> LotResponse:
+    async def handle_body_request(
+        self, request: LotItemBodyRequest
+    ) -> LotResponse:
         """Answers a peer that reads an item's body for its caller."""
         lot = self._lots.get(request.lot_id)
         if lot is None or lot.spec is None or not self._duty.fencing:
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -14,9 +14,9 @@
 import msgspec
 
 from daisyhub.cluster import (
-    LotBodyAsked,
     LotEndTold,
     LotHeadAsked,
+    LotItemBodyRequest,
     LotResultsAsked,
     LotTold,
     PeerTable,
@@ -108,7 +108,7 @@
             Refusal: The item doesn't exist, or can't be read now.
         """
         lot = await self._find(lot_id, account)
-        request = LotBodyAsked(lot_id=lot_id, item_id=item_id)
+        request = LotItemBodyRequest(lot_id=lot_id, item_id=item_id)
         response = await self._call_holder(request, 0.0)
         if response is not None and response.is_held and response.is_found:
             return response.content
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -14,8 +14,8 @@
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
     ClusterController,
-    LotBodyAsked,
     LotHeadAsked,
+    LotItemBodyRequest,
     LotResultsAsked,
     ManifestAsked,
     PeerCarrier,
@@ -279,7 +279,9 @@
         self.network.add_callee(
             LotResultsAsked, self.holder.handle_results_request
         )
-        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
+        self.network.add_callee(
+            LotItemBodyRequest, self.holder.handle_body_request
+        )
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
