--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -4,7 +4,7 @@
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
     LotEndTold,
-    LotHeadAsked,
+    LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
     LotResultsAsked,
@@ -27,7 +27,7 @@
     "LotResponse",
     "LotItemBodyRequest",
     "LotEndTold",
-    "LotHeadAsked",
+    "LotHeadRequest",
     "LotResultsAsked",
     "LotTold",
     "ManifestAnswer",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -11,7 +11,7 @@
     "LotResponse",
     "LotItemBodyRequest",
     "LotEndTold",
-    "LotHeadAsked",
+    "LotHeadRequest",
     "LotResultsAsked",
     "LotTold",
     "ManifestAnswer",
@@ -125,7 +125,7 @@
     item_id: str
 
 
-class LotHeadAsked(msgspec.Struct, frozen=True, kw_only=True, tag="hq"):
+class LotHeadRequest(msgspec.Struct, frozen=True, kw_only=True, tag="hq"):
     """Asks a lot's holder for the lot without its items."""
 
     lot_id: str
@@ -166,7 +166,7 @@
     content: (
         StoreAsked
         | ManifestAsked
-        | LotHeadAsked
+        | LotHeadRequest
         | LotResultsAsked
         | LotItemBodyRequest
     )
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -12,7 +12,7 @@
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     LotEndTold,
-    LotHeadAsked,
+    LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
     LotResultsAsked,
@@ -537,7 +537,7 @@
         lot = self._lots.get(lot_id)
         return lot.head if lot and self._duty.fencing else None
 
-    async def handle_head_request(self, request: LotHeadAsked) -> LotResponse:
+    async def handle_head_request(self, request: LotHeadRequest) -> LotResponse:
         """Answers a peer that doesn't know a lot that its caller named."""
         head = self.head(request.lot_id)
         if head is None:
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -15,7 +15,7 @@
 
 from daisyhub.cluster import (
     LotEndTold,
-    LotHeadAsked,
+    LotHeadRequest,
     LotItemBodyRequest,
     LotResultsAsked,
     LotTold,
@@ -168,7 +168,9 @@
         """
         head = self._holder.head(lot_id)
         if head is None:
-            response = await self._call_holder(LotHeadAsked(lot_id=lot_id), 0.0)
+            response = await self._call_holder(
+                LotHeadRequest(lot_id=lot_id), 0.0
+            )
             if response is None or not response.is_held:
                 return None
             head = msgspec.json.decode(response.content, type=LotHead)
--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -6,7 +6,7 @@
 import anyio
 import msgspec
 
-from daisyhub.cluster import LotHeadAsked, LotResponse
+from daisyhub.cluster import LotHeadRequest, LotResponse
 from daisyhub.exceptions import Refusal
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
@@ -50,10 +50,10 @@
         if head is None:
             return LotResponse(is_held=False)
         if request.lot_id in self.ended and not isinstance(
-            request, LotHeadAsked
+            request, LotHeadRequest
         ):
             return LotResponse(is_held=False, is_ended=True)
-        if isinstance(request, LotHeadAsked):
+        if isinstance(request, LotHeadRequest):
             return LotResponse(is_held=True, content=msgspec.json.encode(head))
         content = msgspec.json.encode([RESULT][request.after :])
         return LotResponse(is_held=True, content=content)
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -14,7 +14,7 @@
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
     ClusterController,
-    LotHeadAsked,
+    LotHeadRequest,
     LotItemBodyRequest,
     LotResultsAsked,
     ManifestAsked,
@@ -275,7 +275,7 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
+        self.network.add_callee(LotHeadRequest, self.holder.handle_head_request)
         self.network.add_callee(
             LotResultsAsked, self.holder.handle_results_request
         )
