--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -12,7 +12,7 @@
     "LotItemBodyRequest",
     "LotEndTold",
     "LotHeadRequest",
-    "LotResultsAsked",
+    "LotResultsRequest",
     "LotTold",
     "ManifestAnswer",
     "ManifestAsked",
@@ -104,7 +104,7 @@
     found: StoredObject | None
 
 
-class LotResultsAsked(msgspec.Struct, frozen=True, kw_only=True, tag="rq"):
+class LotResultsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="rq"):
     """Asks a lot's holder for results.
 
     Attributes:
@@ -167,7 +167,7 @@
         StoreAsked
         | ManifestAsked
         | LotHeadRequest
-        | LotResultsAsked
+        | LotResultsRequest
         | LotItemBodyRequest
     )
 
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -15,7 +15,7 @@
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
-    LotResultsAsked,
+    LotResultsRequest,
     LotTold,
     TrueClock,
 )
@@ -545,7 +545,7 @@
         return LotResponse(is_held=True, content=msgspec.json.encode(head))
 
     async def handle_results_request(
-        self, request: LotResultsAsked
+        self, request: LotResultsRequest
     ) -> LotResponse:
         """Answers a peer that reads results for its caller."""
         found = await self.results(
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -17,7 +17,7 @@
     LotEndTold,
     LotHeadRequest,
     LotItemBodyRequest,
-    LotResultsAsked,
+    LotResultsRequest,
     LotTold,
     PeerTable,
 )
@@ -237,7 +237,7 @@
         own = await self._holder.results(lot_id, first, wait_s)
         if own is not None:
             return own
-        request = LotResultsAsked(lot_id=lot_id, after=first, wait_s=wait_s)
+        request = LotResultsRequest(lot_id=lot_id, after=first, wait_s=wait_s)
         response = await self._call_holder(request, wait_s)
         if response is None:
             return None
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -16,7 +16,7 @@
     ClusterController,
     LotHeadRequest,
     LotItemBodyRequest,
-    LotResultsAsked,
+    LotResultsRequest,
     ManifestAsked,
     PeerCarrier,
     PeerTable,
@@ -277,7 +277,7 @@
         )
         self.network.add_callee(LotHeadRequest, self.holder.handle_head_request)
         self.network.add_callee(
-            LotResultsAsked, self.holder.handle_results_request
+            LotResultsRequest, self.holder.handle_results_request
         )
         self.network.add_callee(
             LotItemBodyRequest, self.holder.handle_body_request
