--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -3,12 +3,12 @@
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
+    LotAcceptedNotification,
     LotEndTold,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
     LotResultsRequest,
-    LotTold,
     ManifestAnswer,
     ManifestAsked,
     Ping,
@@ -29,7 +29,7 @@
     "LotEndTold",
     "LotHeadRequest",
     "LotResultsRequest",
-    "LotTold",
+    "LotAcceptedNotification",
     "ManifestAnswer",
     "ManifestAsked",
     "PeerCarrier",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -13,7 +13,7 @@
     "LotEndTold",
     "LotHeadRequest",
     "LotResultsRequest",
-    "LotTold",
+    "LotAcceptedNotification",
     "ManifestAnswer",
     "ManifestAsked",
     "Ping",
@@ -131,7 +131,7 @@
     lot_id: str
 
 
-class LotTold(msgspec.Struct, frozen=True, tag="lt"):
+class LotAcceptedNotification(msgspec.Struct, frozen=True, tag="lt"):
     """Tells a lot's holder that the lot was accepted; `head` is encoded."""
 
     head: bytes
@@ -184,7 +184,9 @@
 
     sender: str
     incarnation: int
-    messages: tuple[Ping | LotTold | LotEndTold | _Call | _CallAnswer, ...]
+    messages: tuple[
+        Ping | LotAcceptedNotification | LotEndTold | _Call | _CallAnswer, ...
+    ]
 
 
 CLUSTER_PROTOCOL = PeerProtocol(_Envelope, _Call, _CallAnswer)
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -11,12 +11,12 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
+    LotAcceptedNotification,
     LotEndTold,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
     LotResultsRequest,
-    LotTold,
     TrueClock,
 )
 from daisyhub.duties import DutyController
@@ -578,7 +578,7 @@
     def receive(self, _, message: object) -> None:
         """Handles a peer's notification that it accepted or ended a lot."""
         match message:
-            case LotTold(head):
+            case LotAcceptedNotification(head):
                 self.add_accepted(msgspec.json.decode(head, type=LotHead))
             case LotEndTold(lot_id):
                 self.end(lot_id)
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from daisyhub.cluster import (
+    LotAcceptedNotification,
     LotEndTold,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResultsRequest,
-    LotTold,
     PeerTable,
 )
 from daisyhub.exceptions import DaisyhubError, ErrorCode, Refusal
@@ -149,7 +149,9 @@
         """
         self._cache_lot(_CachedLot(head, is_ended=False))
         self._holder.add_accepted(head)
-        self._notify_holder(LotTold(head=msgspec.json.encode(head)))
+        self._notify_holder(
+            LotAcceptedNotification(head=msgspec.json.encode(head))
+        )
 
     async def _find(self, lot_id: str, account: str) -> _CachedLot:
         lot = self._cache.get(lot_id)
