--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -4,7 +4,7 @@
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
     LotAcceptedNotification,
-    LotEndTold,
+    LotEndedNotification,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
@@ -26,7 +26,7 @@
     "ClusterController",
     "LotResponse",
     "LotItemBodyRequest",
-    "LotEndTold",
+    "LotEndedNotification",
     "LotHeadRequest",
     "LotResultsRequest",
     "LotAcceptedNotification",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -10,7 +10,7 @@
     "CLUSTER_PROTOCOL",
     "LotResponse",
     "LotItemBodyRequest",
-    "LotEndTold",
+    "LotEndedNotification",
     "LotHeadRequest",
     "LotResultsRequest",
     "LotAcceptedNotification",
@@ -137,7 +137,7 @@
     head: bytes
 
 
-class LotEndTold(msgspec.Struct, frozen=True, tag="le"):
+class LotEndedNotification(msgspec.Struct, frozen=True, tag="le"):
     """Tells a lot's holder that the lot was ended."""
 
     lot_id: str
@@ -185,7 +185,12 @@
     sender: str
     incarnation: int
     messages: tuple[
-        Ping | LotAcceptedNotification | LotEndTold | _Call | _CallAnswer, ...
+        Ping
+        | LotAcceptedNotification
+        | LotEndedNotification
+        | _Call
+        | _CallAnswer,
+        ...,
     ]
 
 
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -12,7 +12,7 @@
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     LotAcceptedNotification,
-    LotEndTold,
+    LotEndedNotification,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
@@ -580,7 +580,7 @@
         match message:
             case LotAcceptedNotification(head):
                 self.add_accepted(msgspec.json.decode(head, type=LotHead))
-            case LotEndTold(lot_id):
+            case LotEndedNotification(lot_id):
                 self.end(lot_id)
 
     async def _delete_expired_lots(self, watcher: KindWatcher) -> None:
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -15,7 +15,7 @@
 
 from daisyhub.cluster import (
     LotAcceptedNotification,
-    LotEndTold,
+    LotEndedNotification,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResultsRequest,
@@ -139,7 +139,7 @@
         lot.is_ended = True
         self._log.note("lot_ended", lot=lot_id)
         self._holder.end(lot_id)
-        self._notify_holder(LotEndTold(lot_id=lot_id))
+        self._notify_holder(LotEndedNotification(lot_id=lot_id))
 
     def record_accepted(self, head: LotHead) -> None:
         """Caches the head of a lot accepted here, and notifies the holder.
