--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -8,7 +8,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.catalog import ManifestController
-from daisyhub.cluster._messages import ManifestAnswer, ManifestAsked, Ping
+from daisyhub.cluster._messages import ManifestAnswer, ManifestRequest, Ping
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.cluster._ping_plan import PING_S, PingPlan
 from daisyhub.cluster._true_clock import TrueClock
@@ -205,7 +205,7 @@
         if peer is None or not self._peers.is_live(found.name):
             self.learn_address(found.name, record.address)
 
-    async def answer_manifest(self, _: ManifestAsked) -> ManifestAnswer:
+    async def answer_manifest(self, _: ManifestRequest) -> ManifestAnswer:
         """Hands the manifest in force to a peer."""
         return ManifestAnswer(found=self._manifests.active_object)
 
@@ -224,7 +224,7 @@
         self._is_fetching = True
         try:
             answer = await self._network.call(
-                newest.daemon_id, ManifestAsked(), _CALL_TIMEOUT_S
+                newest.daemon_id, ManifestRequest(), _CALL_TIMEOUT_S
             )
         except DaisyhubError as exc:
             self._log.note(
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -15,7 +15,7 @@
     "LotResultsRequest",
     "LotAcceptedNotification",
     "ManifestAnswer",
-    "ManifestAsked",
+    "ManifestRequest",
     "Ping",
     "StoreAnswer",
     "StoreAsked",
@@ -94,7 +94,7 @@
     items: tuple[StoredObject, ...] = ()
 
 
-class ManifestAsked(msgspec.Struct, frozen=True, kw_only=True, tag="mq"):
+class ManifestRequest(msgspec.Struct, frozen=True, kw_only=True, tag="mq"):
     """Asks for the manifest in force."""
 
 
@@ -165,7 +165,7 @@
     call_id: int
     content: (
         StoreAsked
-        | ManifestAsked
+        | ManifestRequest
         | LotHeadRequest
         | LotResultsRequest
         | LotItemBodyRequest
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -17,7 +17,7 @@
     LotHeadRequest,
     LotItemBodyRequest,
     LotResultsRequest,
-    ManifestAsked,
+    ManifestRequest,
     PeerCarrier,
     PeerTable,
     Ping,
@@ -161,7 +161,7 @@
         self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
-        self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
+        self.network.add_callee(ManifestRequest, self.cluster.answer_manifest)
         self.watchers = (
             KindWatcher(
                 self.store,
