--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -8,7 +8,7 @@
 
 from daisyhub.base import Controller
 from daisyhub.catalog import ManifestController
-from daisyhub.cluster._messages import ManifestAnswer, ManifestRequest, Ping
+from daisyhub.cluster._messages import ManifestRequest, ManifestResponse, Ping
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.cluster._ping_plan import PING_S, PingPlan
 from daisyhub.cluster._true_clock import TrueClock
@@ -205,9 +205,9 @@
         if peer is None or not self._peers.is_live(found.name):
             self.learn_address(found.name, record.address)
 
-    async def answer_manifest(self, _: ManifestRequest) -> ManifestAnswer:
+    async def answer_manifest(self, _: ManifestRequest) -> ManifestResponse:
         """Hands the manifest in force to a peer."""
-        return ManifestAnswer(found=self._manifests.active_object)
+        return ManifestResponse(found=self._manifests.active_object)
 
     def _needs_manifest(self) -> bool:
         if self._is_fetching:
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -14,7 +14,7 @@
     "LotHeadRequest",
     "LotResultsRequest",
     "LotAcceptedNotification",
-    "ManifestAnswer",
+    "ManifestResponse",
     "ManifestRequest",
     "Ping",
     "StoreAnswer",
@@ -98,7 +98,7 @@
     """Asks for the manifest in force."""
 
 
-class ManifestAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="ma"):
+class ManifestResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ma"):
     """The manifest in force, None if there is none."""
 
     found: StoredObject | None
@@ -176,7 +176,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: StoreAnswer | ManifestAnswer | LotResponse | None
+    content: StoreAnswer | ManifestResponse | LotResponse | None
 
 
 class _Envelope(msgspec.Struct, frozen=True, kw_only=True):
