--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -13,7 +13,7 @@
     ManifestResponse,
     Ping,
     StoreAnswer,
-    StoreAsked,
+    StoreRequest,
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
 from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
@@ -38,7 +38,7 @@
     "Ping",
     "PingPlan",
     "StoreAnswer",
-    "StoreAsked",
+    "StoreRequest",
     "StoreCallee",
     "TrueClock",
     "WatchVerifier",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -18,7 +18,7 @@
     "ManifestRequest",
     "Ping",
     "StoreAnswer",
-    "StoreAsked",
+    "StoreRequest",
 ]
 
 
@@ -54,7 +54,7 @@
     peers: dict[str, str] = {}
 
 
-class StoreAsked(msgspec.Struct, frozen=True, kw_only=True, tag="sq"):
+class StoreRequest(msgspec.Struct, frozen=True, kw_only=True, tag="sq"):
     """Asks a peer to carry a call of the store.
 
     Attributes:
@@ -164,7 +164,7 @@
 
     call_id: int
     content: (
-        StoreAsked
+        StoreRequest
         | ManifestRequest
         | LotHeadRequest
         | LotResultsRequest
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable
 
-from daisyhub.cluster._messages import StoreAnswer, StoreAsked
+from daisyhub.cluster._messages import StoreAnswer, StoreRequest
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.objects import (
     HistoryGoneError,
@@ -31,7 +31,7 @@
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreAsked) -> StoreAnswer:
+    async def answer(self, asked: StoreRequest) -> StoreAnswer:
         """Carries out one call."""
         try:
             return await self._answer(asked)
@@ -48,7 +48,7 @@
                 may_be_done=exc.may_be_done,
             )
 
-    async def _answer(self, asked: StoreAsked) -> StoreAnswer:
+    async def _answer(self, asked: StoreRequest) -> StoreAnswer:
         store, kind, name = self._store, asked.kind, asked.name
         match asked.verb:
             case "read":
@@ -92,11 +92,13 @@
         self, kind: str, name: str, *, may_be_late: bool = False
     ) -> StoredObject | None:
         del may_be_late  # The few calls that peers carry are never late.
-        answer = await self._call(StoreAsked(verb="read", kind=kind, name=name))
+        answer = await self._call(
+            StoreRequest(verb="read", kind=kind, name=name)
+        )
         return answer.found
 
     async def list_all(self, kind: str) -> ObjectList:
-        answer = await self._call(StoreAsked(verb="list", kind=kind))
+        answer = await self._call(StoreRequest(verb="list", kind=kind))
         return ObjectList(revision=answer.revision, items=answer.items)
 
     async def watch(
@@ -108,20 +110,20 @@
         may_be_late: bool = False,
     ) -> WatchBatch:
         del may_be_late
-        asked = StoreAsked(
+        asked = StoreRequest(
             verb="watch", kind=kind, revision=after_revision, wait_s=wait_s
         )
         answer = await self._call(asked, wait_s)
         return WatchBatch(revision=answer.revision, changes=answer.items)
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
-        asked = StoreAsked(verb="create", kind=kind, name=name, content=spec)
+        asked = StoreRequest(verb="create", kind=kind, name=name, content=spec)
         return (await self._call(asked)).found
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
     ) -> StoredObject:
-        asked = StoreAsked(
+        asked = StoreRequest(
             verb="replace",
             kind=kind,
             name=name,
@@ -133,15 +135,17 @@
     async def set_status(
         self, kind: str, name: str, status: bytes
     ) -> StoredObject | None:
-        asked = StoreAsked(
+        asked = StoreRequest(
             verb="set_status", kind=kind, name=name, content=status
         )
         return (await self._call(asked)).found
 
     async def delete(self, kind: str, name: str) -> None:
-        await self._call(StoreAsked(verb="delete", kind=kind, name=name))
+        await self._call(StoreRequest(verb="delete", kind=kind, name=name))
 
-    async def _call(self, asked: StoreAsked, wait_s: float = 0) -> StoreAnswer:
+    async def _call(
+        self, asked: StoreRequest, wait_s: float = 0
+    ) -> StoreAnswer:
         is_write = asked.verb not in _READS
         call: Awaitable = self._network.call(
             self._peer_id, asked, self._timeout_s + wait_s
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -21,8 +21,8 @@
     PeerCarrier,
     PeerTable,
     Ping,
-    StoreAsked,
     StoreCallee,
+    StoreRequest,
     TrueClock,
     WatchVerifier,
 )
@@ -138,7 +138,7 @@
         )
         self.store = RelayedStore(direct, carrier, self.log)
         callee = StoreCallee(direct)
-        self.network.add_callee(StoreAsked, callee.answer)
+        self.network.add_callee(StoreRequest, callee.answer)
 
     def _build_state(self) -> None:
         cfg = self.cfg
