--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -12,8 +12,8 @@
     ManifestRequest,
     ManifestResponse,
     Ping,
-    StoreAnswer,
     StoreRequest,
+    StoreResponse,
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
 from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
@@ -37,7 +37,7 @@
     "PeerTable",
     "Ping",
     "PingPlan",
-    "StoreAnswer",
+    "StoreResponse",
     "StoreRequest",
     "StoreCallee",
     "TrueClock",
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -17,7 +17,7 @@
     "ManifestResponse",
     "ManifestRequest",
     "Ping",
-    "StoreAnswer",
+    "StoreResponse",
     "StoreRequest",
 ]
 
@@ -74,7 +74,7 @@
     wait_s: float = 0.0
 
 
-class StoreAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="sa"):
+class StoreResponse(msgspec.Struct, frozen=True, kw_only=True, tag="sa"):
     """What a carried call brought.
 
     Attributes:
@@ -176,7 +176,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: StoreAnswer | ManifestResponse | LotResponse | None
+    content: StoreResponse | ManifestResponse | LotResponse | None
 
 
 class _Envelope(msgspec.Struct, frozen=True, kw_only=True):
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable
 
-from daisyhub.cluster._messages import StoreAnswer, StoreRequest
+from daisyhub.cluster._messages import StoreRequest, StoreResponse
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.objects import (
     HistoryGoneError,
@@ -31,50 +31,54 @@
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreRequest) -> StoreAnswer:
+    async def answer(self, asked: StoreRequest) -> StoreResponse:
         """Carries out one call."""
         try:
             return await self._answer(asked)
         except ObjectConflictError as exc:
-            return StoreAnswer(
+            return StoreResponse(
                 failure="conflict", detail=str(exc), found=exc.found
             )
         except HistoryGoneError as exc:
-            return StoreAnswer(failure="history_gone", detail=str(exc))
+            return StoreResponse(failure="history_gone", detail=str(exc))
         except ObjectStoreError as exc:
-            return StoreAnswer(
+            return StoreResponse(
                 failure="unavailable",
                 detail=str(exc),
                 may_be_done=exc.may_be_done,
             )
 
-    async def _answer(self, asked: StoreRequest) -> StoreAnswer:
+    async def _answer(self, asked: StoreRequest) -> StoreResponse:
         store, kind, name = self._store, asked.kind, asked.name
         match asked.verb:
             case "read":
-                return StoreAnswer(found=await store.read(kind, name))
+                return StoreResponse(found=await store.read(kind, name))
             case "list":
                 listed = await store.list_all(kind)
-                return StoreAnswer(revision=listed.revision, items=listed.items)
+                return StoreResponse(
+                    revision=listed.revision, items=listed.items
+                )
             case "watch":
                 batch = await store.watch(
                     kind, after_revision=asked.revision, wait_s=asked.wait_s
                 )
-                return StoreAnswer(revision=batch.revision, items=batch.changes)
+                return StoreResponse(
+                    revision=batch.revision, items=batch.changes
+                )
             case "create":
                 found = await store.create(kind, name, asked.content)
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "replace":
                 found = await store.replace(
                     kind, name, asked.content, revision=asked.revision
                 )
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "set_status":
                 found = await store.set_status(kind, name, asked.content)
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "delete":
                 await store.delete(kind, name)
-                return StoreAnswer()
+                return StoreResponse()
         raise ObjectStoreError(
             f"a peer asked for {asked.verb!r}", may_be_done=False
         )
@@ -145,7 +149,7 @@
 
     async def _call(
         self, asked: StoreRequest, wait_s: float = 0
-    ) -> StoreAnswer:
+    ) -> StoreResponse:
         is_write = asked.verb not in _READS
         call: Awaitable = self._network.call(
             self._peer_id, asked, self._timeout_s + wait_s
