--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -9,7 +9,7 @@
 )
 from daisyhub.peers._messages import (
     Call,
-    CallAnswer,
+    CallResponse,
     ConfigFetch,
     ConfigParts,
     EndpointFetch,
@@ -35,7 +35,7 @@
 
 __all__ = [
     "Call",
-    "CallAnswer",
+    "CallResponse",
     "ConfigFetch",
     "ConfigParts",
     "EndpointFetch",
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -9,7 +9,7 @@
 
 __all__ = [
     "Call",
-    "CallAnswer",
+    "CallResponse",
     "ConfigFetch",
     "ConfigParts",
     "EndpointFetch",
@@ -147,7 +147,7 @@
     content: ConfigFetch | EndpointFetch | LotCallRequest
 
 
-class CallAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
+class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
@@ -184,7 +184,7 @@
     | RateAsk
     | RateGrant
     | Call
-    | CallAnswer
+    | CallResponse
 )
 
 
