--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -30,7 +30,7 @@
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
     Call,
-    ConfigFetch,
+    ConfigRequest,
     EndpointNewsBatch,
     Envelope,
     Heartbeat,
@@ -185,7 +185,7 @@
 def _fetch_bytes(size_kb: int) -> float:
     """Bytes with which a daemon asks a peer for what it lacks."""
     head, _ = _document(size_kb)
-    fetch = ConfigFetch(known_digests=tuple(sorted(head.digests)))
+    fetch = ConfigRequest(known_digests=tuple(sorted(head.digests)))
     return _envelope_bytes(Call(call_id=1, content=fetch))
 
 
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -33,8 +33,8 @@
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    ConfigFetch,
     ConfigParts,
+    ConfigRequest,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -139,8 +139,8 @@
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
-    async def handle_fetch_request(self, fetch: ConfigFetch) -> ConfigParts:
-        """Serves a peer's `ConfigFetch`."""
+    async def handle_fetch_request(self, fetch: ConfigRequest) -> ConfigParts:
+        """Serves a peer's `ConfigRequest`."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
         contents = {
@@ -189,7 +189,7 @@
             return FetchFailed(_PLATFORM)
 
     async def _fetch_from_peer(self, fetch: FetchFromPeer) -> object:
-        call = ConfigFetch(known_digests=fetch.known_digests)
+        call = ConfigRequest(known_digests=fetch.known_digests)
         try:
             parts = await self._network.call(
                 fetch.daemon_id, call, _FETCH_TIMEOUT_S
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -44,7 +44,7 @@
 from daisyhub.logs import get_logger, set_up_logs
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
-    ConfigFetch,
+    ConfigRequest,
     EndpointFetch,
     LotCallRequest,
     PeerNetwork,
@@ -158,7 +158,7 @@
         self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
-        self.network.add_callee(ConfigFetch, self.config.handle_fetch_request)
+        self.network.add_callee(ConfigRequest, self.config.handle_fetch_request)
         self.network.add_callee(
             EndpointFetch, self.endpoints.handle_fetch_request
         )
--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -10,8 +10,8 @@
 from daisyhub.peers._messages import (
     Call,
     CallResponse,
-    ConfigFetch,
     ConfigParts,
+    ConfigRequest,
     EndpointFetch,
     EndpointNewsBatch,
     EndpointParts,
@@ -36,7 +36,7 @@
 __all__ = [
     "Call",
     "CallResponse",
-    "ConfigFetch",
+    "ConfigRequest",
     "ConfigParts",
     "EndpointFetch",
     "EndpointNewsBatch",
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -10,7 +10,7 @@
 __all__ = [
     "Call",
     "CallResponse",
-    "ConfigFetch",
+    "ConfigRequest",
     "ConfigParts",
     "EndpointFetch",
     "EndpointNewsBatch",
@@ -84,7 +84,7 @@
     number: int
 
 
-class ConfigFetch(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
+class ConfigRequest(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
     """Asks a peer for its head and for sections that aren't known here."""
 
     known_digests: tuple[str, ...]
@@ -144,7 +144,7 @@
     """Asks for one answer; `call_id` is unique for the sender."""
 
     call_id: int
-    content: ConfigFetch | EndpointFetch | LotCallRequest
+    content: ConfigRequest | EndpointFetch | LotCallRequest
 
 
 class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
