--- a/benchmarks/slope_catch_up.py
+++ b/benchmarks/slope_catch_up.py
@@ -16,7 +16,7 @@
 from daisyhub.config import ConfigHead, split_sections
 from daisyhub.controllers import ConfigController, PeerController
 from daisyhub.identity import KeyTable
-from daisyhub.peers import ConfigParts, Envelope, Heartbeat
+from daisyhub.peers import ConfigResponse, Envelope, Heartbeat
 
 __all__ = ["catch_up_slopes"]
 
@@ -54,7 +54,7 @@
             {"routes": _ROUTES, "endpoint_pools": _POOLS}
         )
         head = ConfigHead(version=2, sections=refs)
-        return ConfigParts(head=head, contents=contents, withdrawn=())
+        return ConfigResponse(head=head, contents=contents, withdrawn=())
 
 
 async def _run(count: int) -> _Network:
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -33,8 +33,8 @@
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    ConfigParts,
     ConfigRequest,
+    ConfigResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -139,7 +139,9 @@
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
-    async def handle_fetch_request(self, fetch: ConfigRequest) -> ConfigParts:
+    async def handle_fetch_request(
+        self, fetch: ConfigRequest
+    ) -> ConfigResponse:
         """Serves a peer's `ConfigRequest`."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
@@ -148,7 +150,7 @@
             for digest, text in self._core.active_parts.items()
             if digest not in known
         }
-        return ConfigParts(
+        return ConfigResponse(
             head=snapshot.head if snapshot else ConfigHead(),
             contents=contents,
             withdrawn=tuple(sorted(self._core.withdrawn)),
@@ -197,7 +199,7 @@
         except PeerUnreachableError as exc:
             log.info("no configuration from {}: {}", fetch.daemon_id, exc)
             return FetchFailed(fetch.daemon_id)
-        if not isinstance(parts, ConfigParts):
+        if not isinstance(parts, ConfigResponse):
             return FetchFailed(fetch.daemon_id)
         return PeerStateFetched(
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -10,8 +10,8 @@
 from daisyhub.peers._messages import (
     Call,
     CallResponse,
-    ConfigParts,
     ConfigRequest,
+    ConfigResponse,
     EndpointFetch,
     EndpointNewsBatch,
     EndpointParts,
@@ -37,7 +37,7 @@
     "Call",
     "CallResponse",
     "ConfigRequest",
-    "ConfigParts",
+    "ConfigResponse",
     "EndpointFetch",
     "EndpointNewsBatch",
     "EndpointParts",
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -11,7 +11,7 @@
     "Call",
     "CallResponse",
     "ConfigRequest",
-    "ConfigParts",
+    "ConfigResponse",
     "EndpointFetch",
     "EndpointNewsBatch",
     "EndpointParts",
@@ -90,7 +90,7 @@
     known_digests: tuple[str, ...]
 
 
-class ConfigParts(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
+class ConfigResponse(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
     """A head, the section texts asked for, and the withdrawn keys."""
 
     head: ConfigHead
@@ -151,7 +151,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: ConfigParts | EndpointParts | LotCallResponse | None
+    content: ConfigResponse | EndpointParts | LotCallResponse | None
 
 
 class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
