--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -25,8 +25,8 @@
 )
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointFetch,
     EndpointParts,
+    EndpointsRequest,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -129,15 +129,15 @@
         for daemon_id in domain.intersection(self._peers.live_peers()):
             try:
                 parts = await self._network.call(
-                    daemon_id, EndpointFetch(), _PROBE_TIMEOUT_S
+                    daemon_id, EndpointsRequest(), _PROBE_TIMEOUT_S
                 )
             except PeerUnreachableError:
                 continue
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def handle_fetch_request(self, _: EndpointFetch) -> EndpointParts:
-        """Serves a peer's `EndpointFetch`."""
+    async def handle_fetch_request(self, _: EndpointsRequest) -> EndpointParts:
+        """Serves a peer's `EndpointsRequest`."""
         records = tuple(_record_of(state) for state in self._table.all())
         return EndpointParts(records=records)
 
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -45,7 +45,7 @@
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
     ConfigRequest,
-    EndpointFetch,
+    EndpointsRequest,
     LotCallRequest,
     PeerNetwork,
 )
@@ -160,7 +160,7 @@
         self.network.add_receiver(self.peers.receive)
         self.network.add_callee(ConfigRequest, self.config.handle_fetch_request)
         self.network.add_callee(
-            EndpointFetch, self.endpoints.handle_fetch_request
+            EndpointsRequest, self.endpoints.handle_fetch_request
         )
         self.network.add_callee(LotCallRequest, self.lots.handle_forwarded_call)
 
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -12,7 +12,7 @@
     "CallResponse",
     "ConfigRequest",
     "ConfigResponse",
-    "EndpointFetch",
+    "EndpointsRequest",
     "EndpointNewsBatch",
     "EndpointParts",
     "Envelope",
@@ -98,7 +98,7 @@
     withdrawn: tuple[str, ...]
 
 
-class EndpointFetch(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
+class EndpointsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
     """Asks a peer of the same failure domain for its endpoints."""
 
 
@@ -144,7 +144,7 @@
     """Asks for one answer; `call_id` is unique for the sender."""
 
     call_id: int
-    content: ConfigRequest | EndpointFetch | LotCallRequest
+    content: ConfigRequest | EndpointsRequest | LotCallRequest
 
 
 class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
