--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -25,8 +25,8 @@
 )
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointParts,
     EndpointsRequest,
+    EndpointsResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -136,10 +136,12 @@
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def handle_fetch_request(self, _: EndpointsRequest) -> EndpointParts:
+    async def handle_fetch_request(
+        self, _: EndpointsRequest
+    ) -> EndpointsResponse:
         """Serves a peer's `EndpointsRequest`."""
         records = tuple(_record_of(state) for state in self._table.all())
-        return EndpointParts(records=records)
+        return EndpointsResponse(records=records)
 
     async def _probe_share(self) -> None:
         """Probes the quiet endpoints of this daemon's share.
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -14,7 +14,7 @@
     "ConfigResponse",
     "EndpointsRequest",
     "EndpointNewsBatch",
-    "EndpointParts",
+    "EndpointsResponse",
     "Envelope",
     "Heartbeat",
     "LotCallResponse",
@@ -102,7 +102,7 @@
     """Asks a peer of the same failure domain for its endpoints."""
 
 
-class EndpointParts(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
+class EndpointsResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
     """The endpoints that a daemon knows, as the platform would list them."""
 
     records: tuple[EndpointRecord, ...]
@@ -151,7 +151,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: ConfigResponse | EndpointParts | LotCallResponse | None
+    content: ConfigResponse | EndpointsResponse | LotCallResponse | None
 
 
 class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
