--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -31,7 +31,7 @@
 from daisyhub.peers import (
     Call,
     ConfigRequest,
-    EndpointNewsBatch,
+    EndpointUpdateBatch,
     Envelope,
     Heartbeat,
     encode_envelope,
@@ -259,7 +259,7 @@
         )
         for record in endpoint_records(count)
     )
-    return _envelope_bytes(_heartbeat(), EndpointNewsBatch(news=news))
+    return _envelope_bytes(_heartbeat(), EndpointUpdateBatch(news=news))
 
 
 def _slope(name, per, unit, sizes, measure, repeats=3) -> Slope:
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -20,7 +20,7 @@
 from daisyhub.controllers._config import ConfigController
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointNewsBatch,
+    EndpointUpdateBatch,
     Envelope,
     Heartbeat,
     HeartbeatHeard,
@@ -134,7 +134,7 @@
         match message:
             case Heartbeat():
                 self._on_heartbeat(sender, message)
-            case EndpointNewsBatch():
+            case EndpointUpdateBatch():
                 self._on_news(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
@@ -190,7 +190,7 @@
             )
         )
 
-    def _on_news(self, batch: EndpointNewsBatch) -> None:
+    def _on_news(self, batch: EndpointUpdateBatch) -> None:
         for news in batch.news:
             self._table.apply_update(news)
 
@@ -205,7 +205,7 @@
             if left > 1
         }
         for daemon_id in self._core.view(time.monotonic()):
-            self._network.send(daemon_id, EndpointNewsBatch(news=news))
+            self._network.send(daemon_id, EndpointUpdateBatch(news=news))
 
     def _send_bulk(self) -> None:
         """Sends usage and rates to those concerned, loads to all, rarely."""
@@ -222,13 +222,13 @@
             if messages:
                 self._network.send(daemon_id, *messages)
 
-    def _due_news(self, peers: int) -> list[EndpointNewsBatch]:
+    def _due_news(self, peers: int) -> list[EndpointUpdateBatch]:
         """Returns the batch of loads, the less often the more peers."""
         self._ticks_to_news -= 1
         if self._ticks_to_news > 0 or not self._news:
             return []
         self._ticks_to_news = peers // _PEERS_PER_NEWS_TICK
-        batch = EndpointNewsBatch(news=tuple(self._news.values()))
+        batch = EndpointUpdateBatch(news=tuple(self._news.values()))
         self._news.clear()
         return [batch]
 
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -13,7 +13,7 @@
     "ConfigRequest",
     "ConfigResponse",
     "EndpointsRequest",
-    "EndpointNewsBatch",
+    "EndpointUpdateBatch",
     "EndpointsResponse",
     "Envelope",
     "Heartbeat",
@@ -65,7 +65,7 @@
     members: tuple[MemberBeat, ...] = ()
 
 
-class EndpointNewsBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
+class EndpointUpdateBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
     """News of endpoints since the last tick."""
 
     news: tuple[EndpointUpdate, ...]
@@ -178,7 +178,7 @@
 
 Message = (
     Heartbeat
-    | EndpointNewsBatch
+    | EndpointUpdateBatch
     | UsageCopy
     | UsageHeld
     | RateAsk
