--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -28,8 +28,8 @@
     MembershipTick,
     PeerNetwork,
     PostureChanged,
-    RateAsk,
     RateGrant,
+    RateLoanRequest,
     SendHeartbeat,
     UsageCopy,
     UsageHeld,
@@ -138,7 +138,7 @@
                 self._on_news(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
-            case RateAsk() | RateGrant():
+            case RateLoanRequest() | RateGrant():
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
             case UsageHeld():
@@ -246,23 +246,23 @@
 
 def _rate_messages(
     daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
-) -> list[RateAsk | RateGrant]:
+) -> list[RateLoanRequest | RateGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
             continue
         fields = {"incarnation": action.incarnation, "stamp_s": action.stamp_s}
         if isinstance(action, SendLoanRequest):
-            messages.append(RateAsk(wants=action.wants, **fields))
+            messages.append(RateLoanRequest(wants=action.wants, **fields))
         else:
             messages.append(RateGrant(grants=action.grants, **fields))
     return messages
 
 
 def _share_event(
-    envelope: Envelope, message: RateAsk | RateGrant
+    envelope: Envelope, message: RateLoanRequest | RateGrant
 ) -> LoanRequested | LoanGranted:
-    if isinstance(message, RateAsk):
+    if isinstance(message, RateLoanRequest):
         return LoanRequested(
             envelope.sender,
             message.incarnation,
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -19,7 +19,7 @@
     "Heartbeat",
     "LotCallResponse",
     "LotCallRequest",
-    "RateAsk",
+    "RateLoanRequest",
     "RateGrant",
     "MemberBeat",
     "UsageCopy",
@@ -154,7 +154,7 @@
     content: ConfigResponse | EndpointsResponse | LotCallResponse | None
 
 
-class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
+class RateLoanRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
     """Asks to borrow parts of accounts' limits.
 
     Attributes:
@@ -169,7 +169,7 @@
 
 
 class RateGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
-    """Lends parts of accounts' limits, in answer to a `RateAsk`."""
+    """Lends parts of accounts' limits, in answer to a `RateLoanRequest`."""
 
     incarnation: int
     stamp_s: float
@@ -181,7 +181,7 @@
     | EndpointUpdateBatch
     | UsageCopy
     | UsageHeld
-    | RateAsk
+    | RateLoanRequest
     | RateGrant
     | Call
     | CallResponse
