--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -28,7 +28,7 @@
     MembershipTick,
     PeerNetwork,
     PostureChanged,
-    RateGrant,
+    RateLoanGrant,
     RateLoanRequest,
     SendHeartbeat,
     UsageCopy,
@@ -138,7 +138,7 @@
                 self._on_news(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
-            case RateLoanRequest() | RateGrant():
+            case RateLoanRequest() | RateLoanGrant():
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
             case UsageHeld():
@@ -246,7 +246,7 @@
 
 def _rate_messages(
     daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
-) -> list[RateLoanRequest | RateGrant]:
+) -> list[RateLoanRequest | RateLoanGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
@@ -255,12 +255,12 @@
         if isinstance(action, SendLoanRequest):
             messages.append(RateLoanRequest(wants=action.wants, **fields))
         else:
-            messages.append(RateGrant(grants=action.grants, **fields))
+            messages.append(RateLoanGrant(grants=action.grants, **fields))
     return messages
 
 
 def _share_event(
-    envelope: Envelope, message: RateLoanRequest | RateGrant
+    envelope: Envelope, message: RateLoanRequest | RateLoanGrant
 ) -> LoanRequested | LoanGranted:
     if isinstance(message, RateLoanRequest):
         return LoanRequested(
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -20,7 +20,7 @@
     "LotCallResponse",
     "LotCallRequest",
     "RateLoanRequest",
-    "RateGrant",
+    "RateLoanGrant",
     "MemberBeat",
     "UsageCopy",
     "UsageHeld",
@@ -168,7 +168,7 @@
     wants: tuple[tuple[str, int], ...]
 
 
-class RateGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
+class RateLoanGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
     """Lends parts of accounts' limits, in answer to a `RateLoanRequest`."""
 
     incarnation: int
@@ -182,7 +182,7 @@
     | UsageCopy
     | UsageHeld
     | RateLoanRequest
-    | RateGrant
+    | RateLoanGrant
     | Call
     | CallResponse
 )
