--- a/benchmarks/slope_usage.py
+++ b/benchmarks/slope_usage.py
@@ -32,7 +32,7 @@
     WriteLedger,
     WriteStore,
 )
-from daisyhub.peers import Envelope, UsageCopy, UsageHeld, encode_envelope
+from daisyhub.peers import Envelope, UsageCopy, UsageCopyAck, encode_envelope
 
 __all__ = ["usage_slopes"]
 
@@ -72,7 +72,7 @@
 
 def _copy_bytes(accounts: int) -> float:
     parts = _parts(accounts)[-1:]
-    held = UsageHeld(epoch=_EPOCH, number=_TICKS)
+    held = UsageCopyAck(epoch=_EPOCH, number=_TICKS)
     envelope = Envelope(
         sender="daemon-busan-00",
         incarnation=_EPOCH,
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -32,7 +32,7 @@
     RateLoanRequest,
     SendHeartbeat,
     UsageCopy,
-    UsageHeld,
+    UsageCopyAck,
 )
 from daisyhub.settings import DaemonSettings
 
@@ -141,7 +141,7 @@
             case RateLoanRequest() | RateLoanGrant():
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
-            case UsageHeld():
+            case UsageCopyAck():
                 self._counters.on_copies_acknowledged(
                     envelope.sender,
                     envelope.incarnation,
@@ -233,13 +233,13 @@
         return [batch]
 
 
-def _usage_messages(told: PeerUsage) -> list[UsageCopy | UsageHeld]:
+def _usage_messages(told: PeerUsage) -> list[UsageCopy | UsageCopyAck]:
     messages = []
     if told.parts:
         messages.append(UsageCopy(parts=told.parts))
     if told.acked_number:
         messages.append(
-            UsageHeld(epoch=told.acked_epoch, number=told.acked_number)
+            UsageCopyAck(epoch=told.acked_epoch, number=told.acked_number)
         )
     return messages
 
--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -23,7 +23,7 @@
     RateLoanGrant,
     RateLoanRequest,
     UsageCopy,
-    UsageHeld,
+    UsageCopyAck,
     decode_envelope,
     encode_envelope,
 )
@@ -57,7 +57,7 @@
     "PostureChanged",
     "SendHeartbeat",
     "UsageCopy",
-    "UsageHeld",
+    "UsageCopyAck",
     "decode_envelope",
     "encode_envelope",
 ]
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -23,7 +23,7 @@
     "RateLoanGrant",
     "MemberBeat",
     "UsageCopy",
-    "UsageHeld",
+    "UsageCopyAck",
     "decode_envelope",
     "encode_envelope",
 ]
@@ -77,7 +77,7 @@
     parts: tuple[UsagePart, ...]
 
 
-class UsageHeld(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
+class UsageCopyAck(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
     """Tells a peer that its parts up to `number` of `epoch` are kept."""
 
     epoch: int
@@ -180,7 +180,7 @@
     Heartbeat
     | EndpointUpdateBatch
     | UsageCopy
-    | UsageHeld
+    | UsageCopyAck
     | RateLoanRequest
     | RateLoanGrant
     | Call
