--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -12,7 +12,7 @@
 from daisyhub.controllers import EndpointController
 from daisyhub.peers import (
     Envelope,
-    HeartbeatHeard,
+    HeartbeatReceived,
     MembershipCore,
     MembershipTick,
     PostureChanged,
@@ -106,7 +106,7 @@
             sent.largest_bytes = max(sent.largest_bytes, size_bytes)
             if target in self.cores:
                 self.sent[target].heard += 1
-                heard = HeartbeatHeard(name, action.heartbeat)
+                heard = HeartbeatReceived(name, action.heartbeat)
                 self._feed(target, heard, now_s)
 
 
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -23,7 +23,7 @@
     EndpointUpdateBatch,
     Envelope,
     Heartbeat,
-    HeartbeatHeard,
+    HeartbeatReceived,
     MembershipCore,
     MembershipTick,
     PeerNetwork,
@@ -180,7 +180,7 @@
 
     def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
         self._versions[sender] = beat.config_version
-        self._feed(HeartbeatHeard(sender, beat))
+        self._feed(HeartbeatReceived(sender, beat))
         self._config.on_peer_summary(
             PeerSummaryReceived(
                 sender,
--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -1,7 +1,7 @@
 """Messages between daemons."""
 
 from daisyhub.peers._membership import (
-    HeartbeatHeard,
+    HeartbeatReceived,
     MembershipCore,
     MembershipTick,
     PostureChanged,
@@ -43,7 +43,7 @@
     "EndpointsResponse",
     "Envelope",
     "Heartbeat",
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "LotCallResponse",
     "LotCallRequest",
     "MemberBeat",
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -16,7 +16,7 @@
 from daisyhub.settings import DaemonSettings
 
 __all__ = [
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "MembershipCore",
     "MembershipTick",
     "PostureChanged",
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeartbeatHeard:
+class HeartbeatReceived:
     """Event: a heartbeat came in."""
 
     sender: str
@@ -121,7 +121,7 @@
         match event:
             case MembershipTick():
                 return self._on_tick(now_s)
-            case HeartbeatHeard():
+            case HeartbeatReceived():
                 return self._on_heartbeat(event, now_s)
             case PostureChanged():
                 return self._on_posture(event, now_s)
@@ -202,7 +202,7 @@
             members=members,
         )
 
-    def _on_heartbeat(self, event: HeartbeatHeard, now_s) -> list[object]:
+    def _on_heartbeat(self, event: HeartbeatReceived, now_s) -> list[object]:
         beat = event.heartbeat
         if event.sender in self._members:
             self._note(event.sender, beat.beat, beat.is_leaving, now_s)
--- a/daisyhub/peers/tests/test_membership_at_size.py
+++ b/daisyhub/peers/tests/test_membership_at_size.py
@@ -7,7 +7,7 @@
 
 from daisyhub.peers import (
     Envelope,
-    HeartbeatHeard,
+    HeartbeatReceived,
     MembershipCore,
     MembershipTick,
     PostureChanged,
@@ -84,7 +84,7 @@
                 self.sent += 1
                 self.bytes += size_bytes
                 if self.random.random() >= self.loss:
-                    heard = HeartbeatHeard(name, action.heartbeat)
+                    heard = HeartbeatReceived(name, action.heartbeat)
                     self.put(self.now_s + MESSAGE_S, target, heard)
         if isinstance(event, MembershipTick):
             self.put(core.next_wakeup_s, name, event)
@@ -99,7 +99,7 @@
                 self.adopt(name, event)
                 continue
             self.feed(name, event)
-            if isinstance(event, HeartbeatHeard):
+            if isinstance(event, HeartbeatReceived):
                 version = event.heartbeat.config_version
                 if version > self.versions[name]:
                     self.put(self.now_s + FETCH_S, name, version)
