--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -13,9 +13,9 @@
 from daisyhub.peers import (
     Envelope,
     HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
-    PostureChanged,
     SendHeartbeat,
     encode_envelope,
 )
@@ -84,7 +84,7 @@
         """Ticks every core once a second and delivers what it sends."""
         for now_s in range(first_tick, first_tick + ticks):
             for name in self.cores:
-                self._feed(name, PostureChanged(7600, 300, "0" * 16), now_s)
+                self._feed(name, LocalStateChanged(7600, 300, "0" * 16), now_s)
                 self._feed(name, MembershipTick(), now_s)
 
     def _feed(self, name: str, event: object, now_s: float) -> None:
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -24,10 +24,10 @@
     Envelope,
     Heartbeat,
     HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
     PeerNetwork,
-    PostureChanged,
     RateLoanGrant,
     RateLoanRequest,
     SendHeartbeat,
@@ -163,8 +163,8 @@
                 self._send_bulk()
             self._send_leaving()
 
-    def _posture(self) -> PostureChanged:
-        return PostureChanged(
+    def _posture(self) -> LocalStateChanged:
+        return LocalStateChanged(
             self._config.version,
             self._config.withdrawn_count,
             self._config.withdrawn_digest,
--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -2,9 +2,9 @@
 
 from daisyhub.peers._membership import (
     HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
-    PostureChanged,
     SendHeartbeat,
 )
 from daisyhub.peers._messages import (
@@ -54,7 +54,7 @@
     "PeerUnreachableError",
     "RateLoanRequest",
     "RateLoanGrant",
-    "PostureChanged",
+    "LocalStateChanged",
     "SendHeartbeat",
     "UsageCopy",
     "UsageCopyAck",
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -19,7 +19,7 @@
     "HeartbeatReceived",
     "MembershipCore",
     "MembershipTick",
-    "PostureChanged",
+    "LocalStateChanged",
     "SendHeartbeat",
     "member_hash",
 ]
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PostureChanged:
+class LocalStateChanged:
     """Event: what this daemon tells of itself has changed."""
 
     config_version: int
@@ -91,7 +91,7 @@
         self.cfg = cfg
         self.incarnation = incarnation
         self._beat = incarnation
-        self._posture = PostureChanged(0, 0, "")
+        self._posture = LocalStateChanged(0, 0, "")
         self._next_s: float | None = 0.0
         self._members = {p.daemon_id: _Member() for p in cfg.domain_peers}
         self._ids = {member_hash(name): name for name in self._members}
@@ -123,7 +123,7 @@
                 return self._on_tick(now_s)
             case HeartbeatReceived():
                 return self._on_heartbeat(event, now_s)
-            case PostureChanged():
+            case LocalStateChanged():
                 return self._on_posture(event, now_s)
         raise TypeError(f"not a membership event: {event!r}")
 
@@ -142,7 +142,7 @@
             actions.append(self._to_others(names, ticks))
         return actions
 
-    def _on_posture(self, event: PostureChanged, now_s) -> list[object]:
+    def _on_posture(self, event: LocalStateChanged, now_s) -> list[object]:
         if event == self._posture:
             return []
         self._posture = event
--- a/daisyhub/peers/tests/test_membership_at_size.py
+++ b/daisyhub/peers/tests/test_membership_at_size.py
@@ -8,9 +8,9 @@
 from daisyhub.peers import (
     Envelope,
     HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
-    PostureChanged,
     encode_envelope,
 )
 from daisyhub.settings import Address, DaemonSettings, PeerSettings
@@ -69,7 +69,7 @@
         if name in self.dead or self.versions[name] >= version:
             return
         self.versions[name] = version
-        self.feed(name, PostureChanged(version, 0, ""))
+        self.feed(name, LocalStateChanged(version, 0, ""))
 
     def feed(self, name, event):
         core = self.cores[name]
@@ -153,7 +153,7 @@
         fleet.start("d000")
         fleet.run(12.0)
         self.assertEqual(fleet.wrong_views(), [])
-        fleet.feed("d002", PostureChanged(0, 0, "", True))
+        fleet.feed("d002", LocalStateChanged(0, 0, "", True))
         fleet.run(4.0)
         near = fleet.live_true("d002")
         self.assertFalse([n for n in near if "d002" in fleet.live_seen(n)])
