--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -18,7 +18,7 @@
 from daisyhub.cluster._peers import PeerState, PeerTable
 from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
 from daisyhub.cluster._store_calls import PeerCarrier, StoreCallee
-from daisyhub.cluster._true_clock import TrueClock
+from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.cluster._verifier import WatchVerifier
 
 __all__ = [
@@ -40,7 +40,7 @@
     "StoreResponse",
     "StoreRequest",
     "StoreCallee",
-    "TrueClock",
+    "ClusterClock",
     "WatchVerifier",
     "silent_after_s",
 ]
--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -11,7 +11,7 @@
 from daisyhub.cluster._messages import ManifestRequest, ManifestResponse, Ping
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.cluster._ping_plan import PING_S, PingPlan
-from daisyhub.cluster._true_clock import TrueClock
+from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.exceptions import DaisyhubError
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import (
@@ -69,7 +69,7 @@
         seeds: tuple[Address, ...],
         network: PeerNetwork,
         peers: PeerTable,
-        clock: TrueClock,
+        clock: ClusterClock,
         manifests: ManifestController,
         store: ObjectStore,
         make_ping: Callable[[], Ping],
--- a/daisyhub/cluster/tests/test_cluster_controller.py
+++ b/daisyhub/cluster/tests/test_cluster_controller.py
@@ -7,7 +7,7 @@
 import anyio
 import msgspec
 
-from daisyhub.cluster import ClusterController, PeerTable, Ping, TrueClock
+from daisyhub.cluster import ClusterClock, ClusterController, PeerTable, Ping
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 from daisyhub.testing.object_store import Fault, MemoryStore
@@ -45,7 +45,7 @@
         (),
         FakeNetwork(hub, peers.own_id),
         peers,
-        TrueClock(),
+        ClusterClock(),
         types.SimpleNamespace(revision=0),
         store,
         lambda: Ping(domain="z", address=str(address), wall_s=0.0),
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -2,7 +2,7 @@
 
 from daisyhub.base import Filter, Handler
 from daisyhub.catalog import RouteKind
-from daisyhub.cluster import TrueClock
+from daisyhub.cluster import ClusterClock
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.logs import DecisionLog
 from daisyhub.lots._calls import EndLot, ReadItemBody, ReadResults
@@ -43,7 +43,7 @@
         lots: LotStore,
         reader: LotReader,
         wire: LotWire,
-        clock: TrueClock,
+        clock: ClusterClock,
         log: DecisionLog,
     ):
         self._lots = lots
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -11,13 +11,13 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
+    ClusterClock,
     LotAcceptedNotification,
     LotEndedNotification,
     LotHeadRequest,
     LotItemBodyRequest,
     LotResponse,
     LotResultsRequest,
-    TrueClock,
 )
 from daisyhub.duties import DutyController
 from daisyhub.duty_bound import DutyBoundController
@@ -117,7 +117,7 @@
     rewards: RewardCaller
     is_loading: Callable[[str], bool]
     has_lost_peers: Callable[[], bool]
-    clock: TrueClock
+    clock: ClusterClock
     metrics: Metrics
     log: DecisionLog
     status_s: float
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -13,6 +13,7 @@
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
+    ClusterClock,
     ClusterController,
     LotHeadRequest,
     LotItemBodyRequest,
@@ -23,7 +24,6 @@
     Ping,
     StoreCallee,
     StoreRequest,
-    TrueClock,
     WatchVerifier,
 )
 from daisyhub.connections import HttpClient
@@ -142,7 +142,7 @@
 
     def _build_state(self) -> None:
         cfg = self.cfg
-        self.clock = TrueClock()
+        self.clock = ClusterClock()
         self.meter = UsageMeter(cfg.usage_window_s, self.clock.now_s)
         self.manifests = ManifestController(PlatformManifestReader(), self.log)
         self.directory = EndpointDirectory(random.random, self.http.has_idle)
