--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -16,7 +16,7 @@
 )
 from daisyhub.peers import PeerNetwork, PeerUnreachableError
 
-__all__ = ["PeerCarrier", "StoreCallee"]
+__all__ = ["PeerRelayProvider", "StoreCallee"]
 
 _READS = frozenset({"read", "list", "watch"})
 
@@ -169,7 +169,7 @@
         raise ObjectStoreError(detail, may_be_done=answer.may_be_done)
 
 
-class PeerCarrier(StoreCarrier):
+class PeerRelayProvider(StoreCarrier):
     """Finds peers that reach the store.
 
     Args:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -19,7 +19,7 @@
     LotItemBodyRequest,
     LotResultsRequest,
     ManifestRequest,
-    PeerCarrier,
+    PeerRelayProvider,
     PeerTable,
     Ping,
     StoreCallee,
@@ -133,7 +133,7 @@
         direct = PlatformStore(
             address_of(cfg.store), self.http, cfg.call_timeout_s
         )
-        carrier = PeerCarrier(
+        carrier = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
         self.store = RelayedStore(direct, carrier, self.log)
