--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -20,19 +20,19 @@
 from daisyhub.controllers._config import ConfigController
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointNewsBatch,
+    EndpointUpdateBatch,
     Envelope,
     Heartbeat,
-    HeartbeatHeard,
+    HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
     PeerNetwork,
-    PostureChanged,
-    RateAsk,
-    RateGrant,
+    RateLoanGrant,
+    RateLoanRequest,
     SendHeartbeat,
     UsageCopy,
-    UsageHeld,
+    UsageCopyAck,
 )
 from daisyhub.settings import DaemonSettings
 
@@ -108,7 +108,7 @@
             if daemon_id in self._incarnations
         }
 
-    def add_news(self, news: EndpointUpdate) -> None:
+    def add_update(self, news: EndpointUpdate) -> None:
         """Notes endpoint news for a later tick; leaving goes at once."""
         if news.is_leaving:
             self._leaving[news.endpoint_id] = (news, _NEWS_REPEATS)
@@ -134,14 +134,14 @@
         match message:
             case Heartbeat():
                 self._on_heartbeat(sender, message)
-            case EndpointNewsBatch():
+            case EndpointUpdateBatch():
                 self._on_news(message)
             case UsageCopy():
                 self._counters.keep_copies(envelope.sender, message.parts)
-            case RateAsk() | RateGrant():
+            case RateLoanRequest() | RateLoanGrant():
                 event = _share_event(envelope, message)
                 self._shares.handle(event, boot_time_s())
-            case UsageHeld():
+            case UsageCopyAck():
                 self._counters.on_copies_acknowledged(
                     envelope.sender,
                     envelope.incarnation,
@@ -163,8 +163,8 @@
                 self._send_bulk()
             self._send_leaving()
 
-    def _posture(self) -> PostureChanged:
-        return PostureChanged(
+    def _posture(self) -> LocalStateChanged:
+        return LocalStateChanged(
             self._config.version,
             self._config.withdrawn_count,
             self._config.withdrawn_digest,
@@ -180,8 +180,8 @@
 
     def _on_heartbeat(self, sender: str, beat: Heartbeat) -> None:
         self._versions[sender] = beat.config_version
-        self._feed(HeartbeatHeard(sender, beat))
-        self._config.on_peer(
+        self._feed(HeartbeatReceived(sender, beat))
+        self._config.on_peer_summary(
             PeerSummaryReceived(
                 sender,
                 beat.config_version,
@@ -190,7 +190,7 @@
             )
         )
 
-    def _on_news(self, batch: EndpointNewsBatch) -> None:
+    def _on_news(self, batch: EndpointUpdateBatch) -> None:
         for news in batch.news:
             self._table.apply_update(news)
 
@@ -205,7 +205,7 @@
             if left > 1
         }
         for daemon_id in self._core.view(time.monotonic()):
-            self._network.send(daemon_id, EndpointNewsBatch(news=news))
+            self._network.send(daemon_id, EndpointUpdateBatch(news=news))
 
     def _send_bulk(self) -> None:
         """Sends usage and rates to those concerned, loads to all, rarely."""
@@ -222,47 +222,47 @@
             if messages:
                 self._network.send(daemon_id, *messages)
 
-    def _due_news(self, peers: int) -> list[EndpointNewsBatch]:
+    def _due_news(self, peers: int) -> list[EndpointUpdateBatch]:
         """Returns the batch of loads, the less often the more peers."""
         self._ticks_to_news -= 1
         if self._ticks_to_news > 0 or not self._news:
             return []
         self._ticks_to_news = peers // _PEERS_PER_NEWS_TICK
-        batch = EndpointNewsBatch(news=tuple(self._news.values()))
+        batch = EndpointUpdateBatch(news=tuple(self._news.values()))
         self._news.clear()
         return [batch]
 
 
-def _usage_messages(told: PeerUsage) -> list[UsageCopy | UsageHeld]:
+def _usage_messages(told: PeerUsage) -> list[UsageCopy | UsageCopyAck]:
     messages = []
     if told.parts:
         messages.append(UsageCopy(parts=told.parts))
     if told.acked_number:
         messages.append(
-            UsageHeld(epoch=told.acked_epoch, number=told.acked_number)
+            UsageCopyAck(epoch=told.acked_epoch, number=told.acked_number)
         )
     return messages
 
 
 def _rate_messages(
     daemon_id: str, actions: list[SendLoanRequest | SendLoanGrant]
-) -> list[RateAsk | RateGrant]:
+) -> list[RateLoanRequest | RateLoanGrant]:
     messages = []
     for action in actions:
         if action.peer != daemon_id:
             continue
         fields = {"incarnation": action.incarnation, "stamp_s": action.stamp_s}
         if isinstance(action, SendLoanRequest):
-            messages.append(RateAsk(wants=action.wants, **fields))
+            messages.append(RateLoanRequest(wants=action.wants, **fields))
         else:
-            messages.append(RateGrant(grants=action.grants, **fields))
+            messages.append(RateLoanGrant(grants=action.grants, **fields))
     return messages
 
 
 def _share_event(
-    envelope: Envelope, message: RateAsk | RateGrant
+    envelope: Envelope, message: RateLoanRequest | RateLoanGrant
 ) -> LoanRequested | LoanGranted:
-    if isinstance(message, RateAsk):
+    if isinstance(message, RateLoanRequest):
         return LoanRequested(
             envelope.sender,
             message.incarnation,
--- a/daisyhub/lots/_runner.py
+++ b/daisyhub/lots/_runner.py
@@ -7,9 +7,9 @@
 from daisyhub.connections import (
     HttpClient,
     RequestFailedError,
-    StreamedAnswer,
+    StreamedResponse,
 )
-from daisyhub.gateway import EndpointWire, SentRequest
+from daisyhub.gateway import EndpointRequest, EndpointWire
 from daisyhub.lots._run_types import (
     RunCompleted,
     RunFailed,
@@ -73,15 +73,15 @@
         if endpoint is None:
             emit(RunFailed(action.run, RunFault.ELSEWHERE))
             return "unknown endpoint"
-        left_s = max(0.0, give_up_at_s - time.monotonic())
+        remaining_s = max(0.0, give_up_at_s - time.monotonic())
         item = action.item
         headers = self._endpoint_wire.request_headers(
-            SentRequest(
+            EndpointRequest(
                 request_id=item.item_id,
                 host=head.host,
                 endpoint_id=action.endpoint_id,
                 account=head.account,
-                left_s=left_s,
+                remaining_s=remaining_s,
                 headers=tuple(
                     (name.encode(), value.encode())
                     for name, value in item.headers.items()
@@ -96,7 +96,7 @@
                 item.path,
                 headers=headers,
                 body=item.body,
-                timeout_s=left_s,
+                timeout_s=remaining_s,
             )
         except RequestFailedError as exc:
             emit(RunFailed(action.run, RunFault.UNREACHABLE))
@@ -107,14 +107,14 @@
             await response.aclose()
 
     async def _read(
-        self, action: StartRun, response: StreamedAnswer, emit: EventSink
+        self, action: StartRun, response: StreamedResponse, emit: EventSink
     ) -> str:
-        decoded = self._endpoint_wire.read_answer(
+        decoded = self._endpoint_wire.read_response_head(
             response.status, response.headers
         )
         if decoded.is_not_run:
             fault = RunFault.NOT_RUN
-            if decoded.is_other_endpoint:
+            if decoded.is_misdirected:
                 fault = RunFault.ELSEWHERE
             emit(RunFailed(action.run, fault))
             await response.drain()
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -16,10 +16,10 @@
 from daisyhub.settings import DaemonSettings
 
 __all__ = [
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "MembershipCore",
     "MembershipTick",
-    "PostureChanged",
+    "LocalStateChanged",
     "SendHeartbeat",
     "member_hash",
 ]
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeartbeatHeard:
+class HeartbeatReceived:
     """Event: a heartbeat came in."""
 
     sender: str
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PostureChanged:
+class LocalStateChanged:
     """Event: what this daemon tells of itself has changed."""
 
     config_version: int
@@ -91,7 +91,7 @@
         self.cfg = cfg
         self.incarnation = incarnation
         self._beat = incarnation
-        self._posture = PostureChanged(0, 0, "")
+        self._posture = LocalStateChanged(0, 0, "")
         self._next_s: float | None = 0.0
         self._members = {p.daemon_id: _Member() for p in cfg.domain_peers}
         self._ids = {member_hash(name): name for name in self._members}
@@ -121,9 +121,9 @@
         match event:
             case MembershipTick():
                 return self._on_tick(now_s)
-            case HeartbeatHeard():
+            case HeartbeatReceived():
                 return self._on_heartbeat(event, now_s)
-            case PostureChanged():
+            case LocalStateChanged():
                 return self._on_posture(event, now_s)
         raise TypeError(f"not a membership event: {event!r}")
 
@@ -142,7 +142,7 @@
             actions.append(self._to_others(names, ticks))
         return actions
 
-    def _on_posture(self, event: PostureChanged, now_s) -> list[object]:
+    def _on_posture(self, event: LocalStateChanged, now_s) -> list[object]:
         if event == self._posture:
             return []
         self._posture = event
@@ -202,7 +202,7 @@
             members=members,
         )
 
-    def _on_heartbeat(self, event: HeartbeatHeard, now_s) -> list[object]:
+    def _on_heartbeat(self, event: HeartbeatReceived, now_s) -> list[object]:
         beat = event.heartbeat
         if event.sender in self._members:
             self._note(event.sender, beat.beat, beat.is_leaving, now_s)
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -13,17 +13,17 @@
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
+    ClusterClock,
     ClusterController,
-    LotBodyAsked,
-    LotHeadAsked,
-    LotResultsAsked,
-    ManifestAsked,
-    PeerCarrier,
+    LotHeadRequest,
+    LotItemBodyRequest,
+    LotResultsRequest,
+    ManifestRequest,
+    PeerRelayProvider,
     PeerTable,
     Ping,
-    StoreAsked,
     StoreCallee,
-    TrueClock,
+    StoreRequest,
     WatchVerifier,
 )
 from daisyhub.connections import HttpClient
@@ -133,16 +133,16 @@
         direct = PlatformStore(
             address_of(cfg.store), self.http, cfg.call_timeout_s
         )
-        carrier = PeerCarrier(
+        carrier = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
         self.store = RelayedStore(direct, carrier, self.log)
         callee = StoreCallee(direct)
-        self.network.add_callee(StoreAsked, callee.answer)
+        self.network.add_callee(StoreRequest, callee.answer)
 
     def _build_state(self) -> None:
         cfg = self.cfg
-        self.clock = TrueClock()
+        self.clock = ClusterClock()
         self.meter = UsageMeter(cfg.usage_window_s, self.clock.now_s)
         self.manifests = ManifestController(PlatformManifestReader(), self.log)
         self.directory = EndpointDirectory(random.random, self.http.has_idle)
@@ -161,7 +161,7 @@
         self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
-        self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
+        self.network.add_callee(ManifestRequest, self.cluster.answer_manifest)
         self.watchers = (
             KindWatcher(
                 self.store,
@@ -275,11 +275,13 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
+        self.network.add_callee(LotHeadRequest, self.holder.handle_head_request)
         self.network.add_callee(
-            LotResultsAsked, self.holder.handle_results_request
+            LotResultsRequest, self.holder.handle_results_request
+        )
+        self.network.add_callee(
+            LotItemBodyRequest, self.holder.handle_body_request
         )
-        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
