--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -10,7 +10,7 @@
     ObjectList,
     ObjectStore,
     ObjectStoreError,
-    StoreCarrier,
+    RelayProvider,
     StoredObject,
     WatchBatch,
 )
@@ -169,7 +169,7 @@
         raise ObjectStoreError(detail, may_be_done=answer.may_be_done)
 
 
-class PeerRelayProvider(StoreCarrier):
+class PeerRelayProvider(RelayProvider):
     """Finds peers that reach the store.
 
     Args:
--- a/daisyhub/objects/_relayed.py
+++ b/daisyhub/objects/_relayed.py
@@ -23,7 +23,7 @@
     is_same_json,
 )
 
-__all__ = ["RelayedStore", "StoreCarrier"]
+__all__ = ["RelayedStore", "RelayProvider"]
 
 # Seconds for which calls go to a peer first after the direct way failed; the
 # next call after it tries the direct way again.
@@ -35,7 +35,7 @@
 _MOST_CARRIERS = 2
 
 
-class StoreCarrier(abc.ABC):
+class RelayProvider(abc.ABC):
     """Hands store calls to other daemons."""
 
     @abc.abstractmethod
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, direct: ObjectStore, carrier: StoreCarrier, log: DecisionLog
+        self, direct: ObjectStore, carrier: RelayProvider, log: DecisionLog
     ):
         self._direct = direct
         self._carrier = carrier
--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -9,12 +9,12 @@
     ObjectConflictError,
     ObjectStoreError,
     RelayedStore,
-    StoreCarrier,
+    RelayProvider,
 )
 from daisyhub.testing.object_store import Fault, MemoryStore
 
 
-class Carrier(StoreCarrier):
+class Carrier(RelayProvider):
     def __init__(self, *stores):
         self._stores = list(stores)
 
