--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -17,7 +17,7 @@
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
 from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
-from daisyhub.cluster._store_calls import PeerRelayProvider, StoreCallee
+from daisyhub.cluster._store_calls import PeerRelayProvider, StoreRequestHandler
 from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.cluster._verifier import WatchVerifier
 
@@ -39,7 +39,7 @@
     "PingPlan",
     "StoreResponse",
     "StoreRequest",
-    "StoreCallee",
+    "StoreRequestHandler",
     "ClusterClock",
     "WatchVerifier",
     "silent_after_s",
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -16,12 +16,12 @@
 )
 from daisyhub.peers import PeerNetwork, PeerUnreachableError
 
-__all__ = ["PeerRelayProvider", "StoreCallee"]
+__all__ = ["PeerRelayProvider", "StoreRequestHandler"]
 
 _READS = frozenset({"read", "list", "watch"})
 
 
-class StoreCallee:
+class StoreRequestHandler:
     """Answers peers' store calls over the own direct way.
 
     Args:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -22,8 +22,8 @@
     PeerRelayProvider,
     PeerTable,
     Ping,
-    StoreCallee,
     StoreRequest,
+    StoreRequestHandler,
     WatchVerifier,
 )
 from daisyhub.connections import HttpClient
@@ -137,7 +137,7 @@
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
         self.store = RelayedStore(direct, carrier, self.log)
-        callee = StoreCallee(direct)
+        callee = StoreRequestHandler(direct)
         self.network.add_callee(StoreRequest, callee.answer)
 
     def _build_state(self) -> None:
