--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -158,11 +158,15 @@
         self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
-        self.network.add_callee(ConfigRequest, self.config.handle_fetch_request)
-        self.network.add_callee(
+        self.network.add_request_handler(
+            ConfigRequest, self.config.handle_fetch_request
+        )
+        self.network.add_request_handler(
             EndpointsRequest, self.endpoints.handle_fetch_request
         )
-        self.network.add_callee(LotCallRequest, self.lots.handle_forwarded_call)
+        self.network.add_request_handler(
+            LotCallRequest, self.lots.handle_forwarded_call
+        )
 
     def _is_candidate(self, duty: str) -> bool:
         """Whether this daemon is among the first for a duty of its domain."""
--- a/daisyhub/peers/_network.py
+++ b/daisyhub/peers/_network.py
@@ -107,7 +107,7 @@
         """Passes every message that isn't a call to `receiver`."""
         self._receivers.append(receiver)
 
-    def add_callee(self, kind: type, callee: Callee) -> None:
+    def add_request_handler(self, kind: type, callee: Callee) -> None:
         """Lets `callee` answer calls whose content is a `kind`."""
         self._callees[kind] = callee
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -138,7 +138,7 @@
         )
         self.store = RelayedStore(direct, carrier, self.log)
         callee = StoreRequestHandler(direct)
-        self.network.add_callee(StoreRequest, callee.answer)
+        self.network.add_request_handler(StoreRequest, callee.answer)
 
     def _build_state(self) -> None:
         cfg = self.cfg
@@ -161,7 +161,9 @@
         self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
-        self.network.add_callee(ManifestRequest, self.cluster.answer_manifest)
+        self.network.add_request_handler(
+            ManifestRequest, self.cluster.answer_manifest
+        )
         self.watchers = (
             KindWatcher(
                 self.store,
@@ -275,11 +277,13 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadRequest, self.holder.handle_head_request)
-        self.network.add_callee(
+        self.network.add_request_handler(
+            LotHeadRequest, self.holder.handle_head_request
+        )
+        self.network.add_request_handler(
             LotResultsRequest, self.holder.handle_results_request
         )
-        self.network.add_callee(
+        self.network.add_request_handler(
             LotItemBodyRequest, self.holder.handle_body_request
         )
         self.network.add_receiver(self.holder.receive)
