--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -96,7 +96,7 @@
         known = {peer.ping.domain for peer in self._peers.values()}
         return frozenset(known - {peer.ping.domain for peer in self.live()})
 
-    def is_missing_some(self) -> bool:
+    def has_lost_peers(self) -> bool:
         """Whether a daemon that was heard before is silent now."""
         return len(self.live()) < len(self._peers)
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -249,7 +249,7 @@
                 self.manifests, self.sender, self._endpoint_wire, self.log
             ),
             is_loading=self._is_loading,
-            has_lost_peers=self.peers.is_missing_some,
+            has_lost_peers=self.peers.has_lost_peers,
             clock=self.clock,
             metrics=self.metrics,
             log=self.log,
