--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -105,7 +105,7 @@
         holders = [p for p in self.live() if duty in p.ping.duties]
         return max(holders, key=lambda p: p.ping.duties[duty], default=None)
 
-    def hears_holder(self) -> bool:
+    def has_live_holder_with_store(self) -> bool:
         """Whether a live daemon with a duty reaches the store."""
         return any(
             peer.ping.duties and peer.ping.reaches_store for peer in self.live()
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -387,7 +387,7 @@
 
     def _may_be_late(self) -> bool:
         """Whether a daemon with a duty would tell of changes missed here."""
-        return not self._duties() and self.peers.hears_holder()
+        return not self._duties() and self.peers.has_live_holder_with_store()
 
     def _on_config(self, found: StoredObject) -> None:
         if found.name == CONFIG_NAME:
