--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -115,7 +115,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._find_others)
             while True:
-                self.ping_all()
+                self.send_pings()
                 await anyio.sleep(PING_S)
                 for daemon_id in self._peers.note_time():
                     self._addresses.pop(daemon_id, None)
@@ -123,7 +123,7 @@
                 if self._needs_manifest():
                     tasks.start_soon(self._fetch_manifest)
 
-    def ping_all(self) -> None:
+    def send_pings(self) -> None:
         """Sends a ping to every daemon known, or a part of many in turn."""
         ping = self._make_ping()
         if self._round % _ADDRESSES_EACH == 0:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -518,7 +518,7 @@
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
-        self.cluster.ping_all()
+        self.cluster.send_pings()
         await anyio.sleep(_LEAVE_NOTICE_S)
         self.callers_server.stop()
         latest_s = started_s + _LEAVE_SHARE * self.cfg.grace_s
