--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -205,7 +205,9 @@
         if peer is None or not self._peers.is_live(found.name):
             self.learn_address(found.name, record.address)
 
-    async def answer_manifest(self, _: ManifestRequest) -> ManifestResponse:
+    async def handle_manifest_request(
+        self, _: ManifestRequest
+    ) -> ManifestResponse:
         """Hands the manifest in force to a peer."""
         return ManifestResponse(found=self._manifests.active_object)
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -162,7 +162,7 @@
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
         self.network.add_request_handler(
-            ManifestRequest, self.cluster.answer_manifest
+            ManifestRequest, self.cluster.handle_manifest_request
         )
         self.watchers = (
             KindWatcher(
