--- a/daisyhub/objects/_watcher.py
+++ b/daisyhub/objects/_watcher.py
@@ -87,7 +87,7 @@
         return self.synced.is_set() and self._failed_since_s is None
 
     @property
-    def newest_change(self) -> int:
+    def newest_revision(self) -> int:
         """The revision of the newest change seen, 0 for none."""
         return self._newest
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -367,7 +367,7 @@
             reaches_store=self.store.is_direct,
             manifest_revision=self.manifests.revision,
             duties=self._duties(),
-            newest={w.kind: w.newest_change for w in self.watchers},
+            newest={w.kind: w.newest_revision for w in self.watchers},
             usage=self.meter.snapshot(),
             closed_before=self.meter.closed_before(),
         )
