--- a/daisyhub/objects/_relayed.py
+++ b/daisyhub/objects/_relayed.py
@@ -62,7 +62,7 @@
         self._direct_watches: set[anyio.CancelScope] = set()
 
     @property
-    def is_direct(self) -> bool:
+    def is_directly_reachable(self) -> bool:
         """Whether the last direct call succeeded."""
         return self._lost_at_s is None
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -364,7 +364,7 @@
             wall_s=time.time(),
             speed=self.cfg.processor_speed,
             is_leaving=self._is_draining,
-            reaches_store=self.store.is_direct,
+            reaches_store=self.store.is_directly_reachable,
             manifest_revision=self.manifests.revision,
             duties=self._duties(),
             newest={w.kind: w.newest_revision for w in self.watchers},
