--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -93,9 +93,9 @@
         self._timeout_s = timeout_s
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
-        del may_be_late  # The few calls that peers carry are never late.
+        del can_be_stale  # The few calls that peers carry are never late.
         answer = await self._call(
             StoreRequest(verb="read", kind=kind, name=name)
         )
@@ -111,9 +111,9 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
-        del may_be_late
+        del can_be_stale
         asked = StoreRequest(
             verb="watch", kind=kind, revision=after_revision, wait_s=wait_s
         )
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -194,7 +194,7 @@
         while results and size < _READ_LIMIT_BYTES:
             name = _chunk_name(lot_id, first + len(results))
             found = await self._store.read(
-                _RESULTS_KIND, name, may_be_late=True
+                _RESULTS_KIND, name, can_be_stale=True
             )
             if found is None:
                 break
@@ -210,7 +210,7 @@
         A read that may be stale is cheaper, and its result is valid if it
         finds the object. Only a miss is repeated as a current read.
         """
-        found = await self._store.read(kind, name, may_be_late=True)
+        found = await self._store.read(kind, name, can_be_stale=True)
         return found or await self._store.read(kind, name)
 
     async def write_chunk(
--- a/daisyhub/objects/_relayed.py
+++ b/daisyhub/objects/_relayed.py
@@ -67,11 +67,11 @@
         return self._lost_at_s is None
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object; see `ObjectStore.read`."""
         return await self._call(
-            lambda store: store.read(kind, name, may_be_late=may_be_late)
+            lambda store: store.read(kind, name, can_be_stale=can_be_stale)
         )
 
     async def list_all(self, kind: str) -> ObjectList:
@@ -84,14 +84,14 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """Waits for changes; see `ObjectStore.watch`."""
 
         def watch_at(store: ObjectStore) -> Awaitable[WatchBatch]:
             if store is self._direct:
                 return self._watch_directly(
-                    kind, after_revision, wait_s, may_be_late
+                    kind, after_revision, wait_s, can_be_stale
                 )
             return store.watch(
                 kind,
@@ -106,7 +106,7 @@
         kind: str,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool,
+        can_be_stale: bool,
     ) -> WatchBatch:
         """Waits at the store itself, as long as other calls reach it.
 
@@ -120,7 +120,7 @@
                     kind,
                     after_revision=after_revision,
                     wait_s=wait_s,
-                    may_be_late=may_be_late,
+                    can_be_stale=can_be_stale,
                 )
             finally:
                 self._direct_watches.discard(scope)
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -170,7 +170,7 @@
                 CONFIG_KIND,
                 self.log,
                 self._on_config,
-                may_be_late=self._may_be_late,
+                can_be_stale=self._may_be_late,
             ),
             KindWatcher(
                 self.store,
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -83,10 +83,10 @@
         self._timeout_s = timeout_s
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object; see `ObjectStore.read`."""
-        query = f"?{_LATE}" if may_be_late else ""
+        query = f"?{_LATE}" if can_be_stale else ""
         answer = await self._call("GET", _path(kind, name) + query)
         if answer.status == _NOT_FOUND:
             return None
@@ -119,11 +119,11 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """Waits for changes; see `ObjectStore.watch`."""
         wait_ms = int(wait_s * _MS_PER_S)
-        lateness = f"&{_LATE}" if may_be_late else ""
+        lateness = f"&{_LATE}" if can_be_stale else ""
         answer = await self._call(
             "GET",
             f"{_path(kind)}?watch={after_revision}&wait-ms={wait_ms}{lateness}",
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -71,10 +71,10 @@
             self._note(kind, name, known.spec, known.status, deleted=True)
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """See `ObjectStore.read`."""
-        if may_be_late:
+        if can_be_stale:
             self.calls["late read"] += 1
             if self._next_fault("late read") is Fault.DEAF:
                 return None
@@ -90,10 +90,10 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """See `ObjectStore.watch`."""
-        self.calls["late watch" if may_be_late else "watch"] += 1
+        self.calls["late watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
         if fault is Fault.GONE:
             raise HistoryGoneError(kind)
