--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -204,7 +204,7 @@
             for item, left in self._leaving.values()
             if left > 1
         }
-        for daemon_id in self._core.view(time.monotonic()):
+        for daemon_id in self._core.next_targets(time.monotonic()):
             self._network.send(daemon_id, EndpointUpdateBatch(news=news))
 
     def _send_bulk(self) -> None:
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -131,7 +131,7 @@
         self._beat += 1
         self._next_s = now_s + self.cfg.timing.peer_tick_s
         ticks = self._beat - self.incarnation
-        actions = [self._to_domain(self.view(now_s))]
+        actions = [self._to_domain(self.next_targets(now_s))]
         if self._is_relay(now_s) and self._domain_names:
             count = min(_DOMAINS_PER_TICK, len(self._domain_names))
             first = ticks * count
@@ -146,7 +146,7 @@
         if event == self._posture:
             return []
         self._posture = event
-        targets = self.view(now_s)
+        targets = self.next_targets(now_s)
         if event.is_leaving:
             targets = tuple(sorted(self._members))
         actions = [self._to_domain(targets)]
@@ -155,7 +155,7 @@
             actions.append(self._to_others(self._domain_names, ticks))
         return actions
 
-    def view(self, now_s: float) -> tuple[str, ...]:
+    def next_targets(self, now_s: float) -> tuple[str, ...]:
         """Returns the daemons of the own domain to tell now.
 
         The ring goes through live members only; one in turn of all members,
