--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -21,7 +21,7 @@
     "MembershipTick",
     "LocalStateChanged",
     "SendHeartbeat",
-    "member_hash",
+    "hash_member_id",
 ]
 
 _SUCCESSORS = 1
@@ -35,7 +35,7 @@
 _RESTART_STEP = 500_000
 
 
-def member_hash(daemon_id: str) -> int:
+def hash_member_id(daemon_id: str) -> int:
     """Returns the short name of a daemon in heartbeats."""
     digest = hashlib.blake2b(daemon_id.encode(), digest_size=_HASH_BYTES)
     return int.from_bytes(digest.digest(), "big")
@@ -94,7 +94,7 @@
         self._posture = LocalStateChanged(0, 0, "")
         self._next_s: float | None = 0.0
         self._members = {p.daemon_id: _Member() for p in cfg.domain_peers}
-        self._ids = {member_hash(name): name for name in self._members}
+        self._ids = {hash_member_id(name): name for name in self._members}
         self._others: dict[str, list[str]] = {}
         for peer in sorted(cfg.peers, key=lambda p: p.daemon_id):
             if peer.failure_domain != cfg.failure_domain:
@@ -167,7 +167,7 @@
         targets = ring[:_SUCCESSORS]
         names = sorted(self._members)
         if names:
-            turn = (self._beat + member_hash(own)) % len(names)
+            turn = (self._beat + hash_member_id(own)) % len(names)
             targets.append(names[turn])
         return tuple(dict.fromkeys(targets))
 
@@ -177,7 +177,7 @@
 
     def _to_domain(self, targets: tuple[str, ...]) -> SendHeartbeat:
         beats = [
-            MemberBeat(member_hash(name), member.beat, member.is_leaving)
+            MemberBeat(hash_member_id(name), member.beat, member.is_leaving)
             for name, member in sorted(self._members.items())
             if member.beat
         ]
