--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -16,7 +16,7 @@
     StoreResponse,
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
-from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
+from daisyhub.cluster._ping_plan import PingPlan, ping_timeout_s
 from daisyhub.cluster._store_calls import PeerRelayProvider, StoreRequestHandler
 from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.cluster._verifier import WatchVerifier
@@ -42,5 +42,5 @@
     "StoreRequestHandler",
     "ClusterClock",
     "WatchVerifier",
-    "silent_after_s",
+    "ping_timeout_s",
 ]
--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -4,7 +4,7 @@
 import time
 
 from daisyhub.cluster._messages import Ping
-from daisyhub.cluster._ping_plan import silent_after_s
+from daisyhub.cluster._ping_plan import ping_timeout_s
 from daisyhub.logs import DecisionLog
 
 __all__ = ["PeerState", "PeerTable"]
@@ -81,7 +81,7 @@
 
     def _is_heard(self, peer: PeerState, now_s: float) -> bool:
         has_duty = self._has_duty or bool(peer.ping.duties)
-        limit_s = silent_after_s(len(self._peers), has_duty=has_duty)
+        limit_s = ping_timeout_s(len(self._peers), has_duty=has_duty)
         return now_s - peer.last_received_at_s <= limit_s
 
     def is_live(self, daemon_id: str) -> bool:
