--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -1,5 +1,6 @@
 """The daemons of one system: who lives, what each knows, the true time."""
 
+from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
@@ -18,7 +19,6 @@
 from daisyhub.cluster._peers import PeerState, PeerTable
 from daisyhub.cluster._ping_plan import PingPlan, ping_timeout_s
 from daisyhub.cluster._store_calls import PeerRelayProvider, StoreRequestHandler
-from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.cluster._verifier import WatchVerifier
 
 __all__ = [
--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -8,10 +8,10 @@
 
 from daisyhub.base import Controller
 from daisyhub.catalog import ManifestController
+from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._messages import ManifestRequest, ManifestResponse, Ping
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.cluster._ping_plan import PING_S, PingPlan
-from daisyhub.cluster._true_clock import ClusterClock
 from daisyhub.exceptions import DaisyhubError
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import (
