--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -31,7 +31,7 @@
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreRequest) -> StoreResponse:
+    async def handle(self, asked: StoreRequest) -> StoreResponse:
         """Carries out one call."""
         try:
             return await self._answer(asked)
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -18,7 +18,7 @@
 
 
 class LotsFilter(Filter):
-    """Converts `POST /v1/lots/...` requests to `LotCallRequest`s and serves them.
+    """Converts `POST /v1/lots/...` requests to lot calls and serves them.
 
     Args:
         serve: Serves the call locally or at the daemon that holds the lot.
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -138,7 +138,7 @@
         )
         self.store = RelayedStore(direct, carrier, self.log)
         callee = StoreRequestHandler(direct)
-        self.network.add_request_handler(StoreRequest, callee.answer)
+        self.network.add_request_handler(StoreRequest, callee.handle)
 
     def _build_state(self) -> None:
         cfg = self.cfg
