--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -1,5 +1,6 @@
 """The daemons of one system: who lives, what each knows, the true time."""
 
+from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
@@ -16,9 +17,8 @@
     StoreResponse,
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
-from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
-from daisyhub.cluster._store_calls import PeerRelayProvider, StoreCallee
-from daisyhub.cluster._true_clock import ClusterClock
+from daisyhub.cluster._ping_plan import PingPlan, ping_timeout_s
+from daisyhub.cluster._store_calls import PeerRelayProvider, StoreRequestHandler
 from daisyhub.cluster._verifier import WatchVerifier
 
 __all__ = [
@@ -39,8 +39,8 @@
     "PingPlan",
     "StoreResponse",
     "StoreRequest",
-    "StoreCallee",
+    "StoreRequestHandler",
     "ClusterClock",
     "WatchVerifier",
-    "silent_after_s",
+    "ping_timeout_s",
 ]
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -10,18 +10,18 @@
     ObjectList,
     ObjectStore,
     ObjectStoreError,
-    StoreCarrier,
+    RelayProvider,
     StoredObject,
     WatchBatch,
 )
 from daisyhub.peers import PeerNetwork, PeerUnreachableError
 
-__all__ = ["PeerRelayProvider", "StoreCallee"]
+__all__ = ["PeerRelayProvider", "StoreRequestHandler"]
 
 _READS = frozenset({"read", "list", "watch"})
 
 
-class StoreCallee:
+class StoreRequestHandler:
     """Answers peers' store calls over the own direct way.
 
     Args:
@@ -31,7 +31,7 @@
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreRequest) -> StoreResponse:
+    async def handle(self, asked: StoreRequest) -> StoreResponse:
         """Carries out one call."""
         try:
             return await self._answer(asked)
@@ -93,9 +93,9 @@
         self._timeout_s = timeout_s
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
-        del may_be_late  # The few calls that peers carry are never late.
+        del can_be_stale  # The few calls that peers carry are never late.
         answer = await self._call(
             StoreRequest(verb="read", kind=kind, name=name)
         )
@@ -111,9 +111,9 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
-        del may_be_late
+        del can_be_stale
         asked = StoreRequest(
             verb="watch", kind=kind, revision=after_revision, wait_s=wait_s
         )
@@ -169,7 +169,7 @@
         raise ObjectStoreError(detail, may_be_done=answer.may_be_done)
 
 
-class PeerRelayProvider(StoreCarrier):
+class PeerRelayProvider(RelayProvider):
     """Finds peers that reach the store.
 
     Args:
