--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -104,19 +104,19 @@
 class PlatformEndpointWire(EndpointWire):
     """How endpoints of the platform are spoken to."""
 
-    def request_headers(self, sent: EndpointRequest) -> tuple[Header, ...]:
+    def request_headers(self, req: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers; the caller's key is never among them."""
         headers = [
-            (b"host", sent.host.encode("latin-1")),
-            (_REQUEST_ID, sent.request_id.encode("latin-1")),
-            (_DEADLINE_MS, str(int(sent.remaining_s * _MS_PER_S)).encode()),
-            (_ENDPOINT, sent.endpoint_id.encode("latin-1")),
+            (b"host", req.host.encode("latin-1")),
+            (_REQUEST_ID, req.request_id.encode("latin-1")),
+            (_DEADLINE_MS, str(int(req.remaining_s * _MS_PER_S)).encode()),
+            (_ENDPOINT, req.endpoint_id.encode("latin-1")),
         ]
-        if sent.account:
-            headers.append((_ACCOUNT, sent.account.encode("latin-1")))
-        if sent.resume_after:
-            headers.append((_RESUME_AFTER, str(sent.resume_after).encode()))
-        headers += [h for h in sent.headers if h[0] not in _OWN_HEADERS]
+        if req.account:
+            headers.append((_ACCOUNT, req.account.encode("latin-1")))
+        if req.resume_after:
+            headers.append((_RESUME_AFTER, str(req.resume_after).encode()))
+        headers += [h for h in req.headers if h[0] not in _OWN_HEADERS]
         return tuple(headers)
 
     def read_response_head(
