--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -151,7 +151,7 @@
     names = [f"engine-busan-{number:05d}" for number in range(endpoints)]
 
     def look() -> list[bool]:
-        controller._follow_live_daemons()
+        controller._update_live_daemons()
         return [controller._is_watched_here(name) for name in names]
 
     look()  # Ranks the watchers, which is kept until the live set changes.
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -149,7 +149,7 @@
         Answers to requests carry the same news, so that a busy endpoint
         needs no probe.
         """
-        self._follow_live_daemons()
+        self._update_live_daemons()
         quiet_s = _QUIET_PROBES * self._cfg.timing.probe_s
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
@@ -159,7 +159,7 @@
                 if self._is_watched_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
 
-    def _follow_live_daemons(self) -> None:
+    def _update_live_daemons(self) -> None:
         """Ranks watchers anew once the live daemons have changed."""
         live = frozenset((self._cfg.daemon_id, *self._peers.live_peers()))
         if live != self._watchers:
