--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -152,7 +152,7 @@
 
     def look() -> list[bool]:
         controller._update_live_daemons()
-        return [controller._is_watched_here(name) for name in names]
+        return [controller._is_assigned_here(name) for name in names]
 
     look()  # Ranks the watchers, which is kept until the live set changes.
     return processor_us(look)
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -156,7 +156,7 @@
             for state in self._table.all():
                 if state.last_received_at_s > oldest_s:
                     continue
-                if self._is_watched_here(state.endpoint_id):
+                if self._is_assigned_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
 
     def _update_live_daemons(self) -> None:
@@ -166,7 +166,7 @@
             self._watchers = live
             self._is_watched.clear()
 
-    def _is_watched_here(self, endpoint_id: str) -> bool:
+    def _is_assigned_here(self, endpoint_id: str) -> bool:
         """Whether this daemon is the one that watches the endpoint."""
         if endpoint_id not in self._is_watched:
             watcher, *_ = rank_candidates(endpoint_id, self._watchers)
