--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -14,11 +14,11 @@
 import msgspec
 
 from daisyhub.cluster import (
-    LotBodyAsked,
-    LotEndTold,
-    LotHeadAsked,
-    LotResultsAsked,
-    LotTold,
+    LotAcceptedNotification,
+    LotEndedNotification,
+    LotHeadRequest,
+    LotItemBodyRequest,
+    LotResultsRequest,
     PeerTable,
 )
 from daisyhub.exceptions import DaisyhubError, ErrorCode, Refusal
@@ -108,7 +108,7 @@
             Refusal: The item doesn't exist, or can't be read now.
         """
         lot = await self._find(lot_id, account)
-        request = LotBodyAsked(lot_id=lot_id, item_id=item_id)
+        request = LotItemBodyRequest(lot_id=lot_id, item_id=item_id)
         response = await self._call_holder(request, 0.0)
         if response is not None and response.is_held and response.is_found:
             return response.content
@@ -139,7 +139,7 @@
         lot.is_ended = True
         self._log.note("lot_ended", lot=lot_id)
         self._holder.end(lot_id)
-        self._notify_holder(LotEndTold(lot_id=lot_id))
+        self._notify_holder(LotEndedNotification(lot_id=lot_id))
 
     def record_accepted(self, head: LotHead) -> None:
         """Caches the head of a lot accepted here, and notifies the holder.
@@ -149,7 +149,9 @@
         """
         self._cache_lot(_CachedLot(head, is_ended=False))
         self._holder.add_accepted(head)
-        self._notify_holder(LotTold(head=msgspec.json.encode(head)))
+        self._notify_holder(
+            LotAcceptedNotification(head=msgspec.json.encode(head))
+        )
 
     async def _find(self, lot_id: str, account: str) -> _CachedLot:
         lot = self._cache.get(lot_id)
@@ -168,7 +170,9 @@
         """
         head = self._holder.head(lot_id)
         if head is None:
-            response = await self._call_holder(LotHeadAsked(lot_id=lot_id), 0.0)
+            response = await self._call_holder(
+                LotHeadRequest(lot_id=lot_id), 0.0
+            )
             if response is None or not response.is_held:
                 return None
             head = msgspec.json.decode(response.content, type=LotHead)
@@ -204,19 +208,19 @@
         deadline_s = time.monotonic() + wait_s
         lot_id = lot.head.lot_id
         while len(lot.results) <= after and not self._is_complete(lot):
-            left_s = max(0.0, deadline_s - time.monotonic())
+            remaining_s = max(0.0, deadline_s - time.monotonic())
             first = len(lot.results)
             found = None
             if not lot.is_ended:
-                found = await self._results_from_holder(lot, first, left_s)
+                found = await self._results_from_holder(lot, first, remaining_s)
             if found is None:
                 found = await self._results_from_store(lot_id, first)
             self._append(lot, first, found)
-            left_s = deadline_s - time.monotonic()
-            if not found and (left_s <= 0 or lot.is_ended):
+            remaining_s = deadline_s - time.monotonic()
+            if not found and (remaining_s <= 0 or lot.is_ended):
                 return
             if not found:
-                await anyio.sleep(min(_STORE_POLL_INTERVAL_S, left_s))
+                await anyio.sleep(min(_STORE_POLL_INTERVAL_S, remaining_s))
 
     def _append(
         self, lot: _CachedLot, first: int, found: list[ItemResult]
@@ -235,7 +239,7 @@
         own = await self._holder.results(lot_id, first, wait_s)
         if own is not None:
             return own
-        request = LotResultsAsked(lot_id=lot_id, after=first, wait_s=wait_s)
+        request = LotResultsRequest(lot_id=lot_id, after=first, wait_s=wait_s)
         response = await self._call_holder(request, wait_s)
         if response is None:
             return None
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -13,17 +13,17 @@
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
+    ClusterClock,
     ClusterController,
-    LotBodyAsked,
-    LotHeadAsked,
-    LotResultsAsked,
-    ManifestAsked,
-    PeerCarrier,
+    LotHeadRequest,
+    LotItemBodyRequest,
+    LotResultsRequest,
+    ManifestRequest,
+    PeerRelayProvider,
     PeerTable,
     Ping,
-    StoreAsked,
-    StoreCallee,
-    TrueClock,
+    StoreRequest,
+    StoreRequestHandler,
     WatchVerifier,
 )
 from daisyhub.connections import HttpClient
@@ -133,16 +133,16 @@
         direct = PlatformStore(
             address_of(cfg.store), self.http, cfg.call_timeout_s
         )
-        carrier = PeerCarrier(
+        carrier = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
         self.store = RelayedStore(direct, carrier, self.log)
-        callee = StoreCallee(direct)
-        self.network.add_callee(StoreAsked, callee.answer)
+        callee = StoreRequestHandler(direct)
+        self.network.add_request_handler(StoreRequest, callee.handle)
 
     def _build_state(self) -> None:
         cfg = self.cfg
-        self.clock = TrueClock()
+        self.clock = ClusterClock()
         self.meter = UsageMeter(cfg.usage_window_s, self.clock.now_s)
         self.manifests = ManifestController(PlatformManifestReader(), self.log)
         self.directory = EndpointDirectory(random.random, self.http.has_idle)
@@ -161,14 +161,16 @@
         self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
         self.network.add_receiver(self._note_usage)
-        self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
+        self.network.add_request_handler(
+            ManifestRequest, self.cluster.handle_manifest_request
+        )
         self.watchers = (
             KindWatcher(
                 self.store,
                 CONFIG_KIND,
                 self.log,
                 self._on_config,
-                may_be_late=self._may_be_late,
+                can_be_stale=self._may_be_late,
             ),
             KindWatcher(
                 self.store,
@@ -247,7 +249,7 @@
                 self.manifests, self.sender, self._endpoint_wire, self.log
             ),
             is_loading=self._is_loading,
-            has_lost_peers=self.peers.is_missing_some,
+            has_lost_peers=self.peers.has_lost_peers,
             clock=self.clock,
             metrics=self.metrics,
             log=self.log,
@@ -275,11 +277,15 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.handle_head_request)
-        self.network.add_callee(
-            LotResultsAsked, self.holder.handle_results_request
+        self.network.add_request_handler(
+            LotHeadRequest, self.holder.handle_head_request
+        )
+        self.network.add_request_handler(
+            LotResultsRequest, self.holder.handle_results_request
+        )
+        self.network.add_request_handler(
+            LotItemBodyRequest, self.holder.handle_body_request
         )
-        self.network.add_callee(LotBodyAsked, self.holder.handle_body_request)
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
@@ -358,10 +364,10 @@
             wall_s=time.time(),
             speed=self.cfg.processor_speed,
             is_leaving=self._is_draining,
-            reaches_store=self.store.is_direct,
+            reaches_store=self.store.is_directly_reachable,
             manifest_revision=self.manifests.revision,
             duties=self._duties(),
-            newest={w.kind: w.newest_change for w in self.watchers},
+            newest={w.kind: w.newest_revision for w in self.watchers},
             usage=self.meter.snapshot(),
             closed_before=self.meter.closed_before(),
         )
@@ -381,7 +387,7 @@
 
     def _may_be_late(self) -> bool:
         """Whether a daemon with a duty would tell of changes missed here."""
-        return not self._duties() and self.peers.hears_holder()
+        return not self._duties() and self.peers.has_live_holder_with_store()
 
     def _on_config(self, found: StoredObject) -> None:
         if found.name == CONFIG_NAME:
@@ -512,7 +518,7 @@
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
-        self.cluster.ping_all()
+        self.cluster.send_pings()
         await anyio.sleep(_LEAVE_NOTICE_S)
         self.callers_server.stop()
         latest_s = started_s + _LEAVE_SHARE * self.cfg.grace_s
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -11,9 +11,9 @@
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.gateway import (
     CallerWire,
-    EndpointAnswer,
+    EndpointRequest,
+    EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 from daisyhub.lots import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.messages import BodyReader, Header, Request, Response
@@ -79,7 +79,7 @@
             raise Refusal(ErrorCode.HEADER_INVALID, "the host is missing")
         path = scope["raw_path"].decode("latin-1")
         query = scope["query_string"].decode("latin-1")
-        left_s = _seconds(known, _DEADLINE_MS, _NO_DEADLINE_S)
+        remaining_s = _seconds(known, _DEADLINE_MS, _NO_DEADLINE_S)
         return Request(
             request_id=known.get(_REQUEST_ID, b"").decode("latin-1"),
             method=scope["method"],
@@ -89,12 +89,12 @@
             headers=headers,
             read_body=read_body,
             started_s=now_s,
-            deadline_s=now_s + left_s,
+            deadline_s=now_s + remaining_s,
             key=known.get(_KEY, b"").decode("latin-1"),
             lot_call=_lot_call(scope["method"], path, query, known),
         )
 
-    def answer_headers(self, resp: Response) -> tuple[Header, ...]:
+    def response_headers(self, resp: Response) -> tuple[Header, ...]:
         """Returns all headers but those of one connection."""
         return tuple(
             item for item in resp.headers if item[0] not in _HOP_HEADERS
@@ -104,31 +104,31 @@
 class PlatformEndpointWire(EndpointWire):
     """How endpoints of the platform are spoken to."""
 
-    def request_headers(self, sent: SentRequest) -> tuple[Header, ...]:
+    def request_headers(self, req: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers; the caller's key is never among them."""
         headers = [
-            (b"host", sent.host.encode("latin-1")),
-            (_REQUEST_ID, sent.request_id.encode("latin-1")),
-            (_DEADLINE_MS, str(int(sent.left_s * _MS_PER_S)).encode()),
-            (_ENDPOINT, sent.endpoint_id.encode("latin-1")),
+            (b"host", req.host.encode("latin-1")),
+            (_REQUEST_ID, req.request_id.encode("latin-1")),
+            (_DEADLINE_MS, str(int(req.remaining_s * _MS_PER_S)).encode()),
+            (_ENDPOINT, req.endpoint_id.encode("latin-1")),
         ]
-        if sent.account:
-            headers.append((_ACCOUNT, sent.account.encode("latin-1")))
-        if sent.resume_after:
-            headers.append((_RESUME_AFTER, str(sent.resume_after).encode()))
-        headers += [h for h in sent.headers if h[0] not in _OWN_HEADERS]
+        if req.account:
+            headers.append((_ACCOUNT, req.account.encode("latin-1")))
+        if req.resume_after:
+            headers.append((_RESUME_AFTER, str(req.resume_after).encode()))
+        headers += [h for h in req.headers if h[0] not in _OWN_HEADERS]
         return tuple(headers)
 
-    def read_answer(
+    def read_response_head(
         self, status: int, headers: tuple[Header, ...]
-    ) -> EndpointAnswer:
-        """Reads the head of an answer; see `EndpointWire.read_answer`."""
+    ) -> EndpointResponseHead:
+        """Reads a response head; see `EndpointWire.read_response_head`."""
         known = dict(headers)
         is_other = status == _OTHER_ENDPOINT_STATUS
         weights = known.get(_WEIGHTS, b"")
-        return EndpointAnswer(
+        return EndpointResponseHead(
             is_not_run=is_other or _NOT_RUN in known,
-            is_other_endpoint=is_other,
+            is_misdirected=is_other,
             load=_load(known.get(_LOAD, b"")),
             proof=known.get(_PROOF, b"").decode("latin-1"),
             weight_version=int(weights) if _VERSION.fullmatch(weights) else 0,
