--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -42,6 +42,7 @@
 __all__ = ["ConfigController"]
 
 _FETCH_TIMEOUT_S = 2.0
+# The source of a `FetchFailed`, if it isn't the daemon id of a peer.
 _PLATFORM_SOURCE = ""
 
 log = get_logger("config")
@@ -142,11 +143,11 @@
         self._feed(summary)
 
     async def handle_fetch_request(
-        self, fetch: ConfigRequest
+        self, request: ConfigRequest
     ) -> ConfigResponse:
-        """Returns the active configuration without parts the peer has."""
+        """Returns the active configuration without the parts a peer has."""
         snapshot = self._core.snapshot
-        known = set(fetch.known_digests)
+        known = set(request.known_digests)
         contents = {
             digest: text
             for digest, text in self._core.active_parts.items()
@@ -193,10 +194,10 @@
             return FetchFailed(_PLATFORM_SOURCE)
 
     async def _fetch_from_peer(self, fetch: FetchFromPeer) -> object:
-        call = ConfigRequest(known_digests=fetch.known_digests)
+        request = ConfigRequest(known_digests=fetch.known_digests)
         try:
-            parts = await self._network.call(
-                fetch.daemon_id, call, _FETCH_TIMEOUT_S
+            response = await self._network.call(
+                fetch.daemon_id, request, _FETCH_TIMEOUT_S
             )
         except PeerUnreachableError as exc:
             log.info(
@@ -205,10 +206,13 @@
                 exc,
             )
             return FetchFailed(fetch.daemon_id)
-        if not isinstance(parts, ConfigResponse):
+        if not isinstance(response, ConfigResponse):
             return FetchFailed(fetch.daemon_id)
         return PeerStateFetched(
-            fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
+            fetch.daemon_id,
+            response.head,
+            response.contents,
+            response.withdrawn,
         )
 
     def _notify_listeners(self) -> None:
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -35,6 +35,7 @@
 __all__ = ["EndpointController"]
 
 _PROBE_TIMEOUT_S = 1.0
+# An endpoint is probed after this many probe intervals without a response.
 _QUIET_PROBE_INTERVALS = 5
 
 log = get_logger("endpoints")
@@ -131,12 +132,12 @@
         domain = {peer.daemon_id for peer in self._cfg.domain_peers}
         for daemon_id in domain.intersection(self._peers.live_peers()):
             try:
-                parts = await self._network.call(
+                response = await self._network.call(
                     daemon_id, EndpointsRequest(), _PROBE_TIMEOUT_S
                 )
             except PeerUnreachableError:
                 continue
-            self._table.apply_list(parts.records, time.monotonic())
+            self._table.apply_list(response.records, time.monotonic())
             return
 
     async def handle_fetch_request(
@@ -186,7 +187,7 @@
             return
         state.last_received_at_s = time.monotonic()
         update = parse_endpoint_headers(state, response.headers)
-        if _is_significant(state, update):
+        if _should_send(state, update):
             self._peers.add_update(update)
         self._table.apply_update(update)
 
@@ -203,11 +204,11 @@
     )
 
 
-def _is_significant(state: EndpointState, update) -> bool:
-    """Returns whether an update is sent to peers.
+def _should_send(state: EndpointState, update) -> bool:
+    """Returns whether an update must be sent to peers.
 
-    It is if the weight version has risen or the load has reached another
-    power of two.
+    This is the case if the weight version has risen or the load has changed to
+    another power of two.
     """
     if update.weight_version > state.weight_version:
         return True
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -50,7 +50,7 @@
         self._balancer = balancer
         self._http = http
         self._scopes: dict[int, anyio.CancelScope] = {}
-        self._endpoints: dict[int, str] = {}
+        self._endpoint_ids: dict[int, str] = {}
 
     def cancel(self, attempt: int) -> None:
         """Cancels an attempt and closes its connection."""
@@ -67,14 +67,14 @@
         state = self._choose(action)
         if state is None:
             return None
-        self._endpoints[action.attempt] = state.endpoint_id
+        self._endpoint_ids[action.attempt] = state.endpoint_id
         try:
             with anyio.CancelScope() as scope:
                 self._scopes[action.attempt] = scope
                 return await self._request(action, state)
         finally:
             del self._scopes[action.attempt]
-            del self._endpoints[action.attempt]
+            del self._endpoint_ids[action.attempt]
         return None
 
     def _choose(self, action: Generate) -> EndpointState | None:
@@ -85,14 +85,14 @@
         """
         now_s = time.monotonic()
         used = frozenset(
-            self._endpoints[other]
+            self._endpoint_ids[other]
             for other in action.others
-            if other in self._endpoints
+            if other in self._endpoint_ids
         )
         pool = self._spec.pool
-        found = self._table.candidates(pool, now_s, used)
-        found = found or self._table.candidates(pool, now_s)
-        endpoint_id = self._balancer.choose(found)
+        candidates = self._table.candidates(pool, now_s, used)
+        candidates = candidates or self._table.candidates(pool, now_s)
+        endpoint_id = self._balancer.choose(candidates)
         return self._table.get(endpoint_id) if endpoint_id else None
 
     async def _request(
--- a/daisyhub/controllers/_lot_specs.py
+++ b/daisyhub/controllers/_lot_specs.py
@@ -99,7 +99,7 @@
         if length > _MAX_PART_BYTES:
             raise Refusal(
                 ErrorCode.BODY_TOO_LARGE,
-                f"a prompt has {length} bytes; the maximum is {_MAX_PART_BYTES}",
+                f"a prompt has {length} bytes, the limit is {_MAX_PART_BYTES}",
             )
         if size + length > _MAX_PART_BYTES:
             parts.append([])
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -63,7 +63,7 @@
         )
 
     def status(self) -> dict[str, object]:
-        """Returns the status of each lot that this daemon serves or acquires."""
+        """Returns the status of each lot served or being acquired here."""
         return {
             lot_id: server.status()
             for lot_id, server in sorted(self._servers.items())
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -39,6 +39,7 @@
 __all__ = ["PeerController"]
 
 _LEAVING_REPEATS = 3
+# Endpoint updates are sent every `live peers // _PEERS_PER_BATCH_TICK` ticks.
 _PEERS_PER_BATCH_TICK = 3
 
 log = get_logger("peers")
@@ -127,7 +128,7 @@
     def set_leaving(self) -> None:
         """Sends peers at once the message that this daemon is shutting down."""
         self._is_leaving = True
-        self._feed(self._posture())
+        self._feed(self._local_state())
 
     def receive(self, envelope: Envelope, message: object) -> None:
         """Handles a message of a peer; ignores those of older incarnations."""
@@ -161,13 +162,13 @@
                 await self._wakeup.wait()
             is_woken = self._wakeup.is_set()
             self._wakeup = anyio.Event()
-            self._feed(self._posture())
+            self._feed(self._local_state())
             if not is_woken:
                 self._feed(MembershipTick())
                 self._send_periodic_messages()
             self._send_leaving()
 
-    def _posture(self) -> LocalStateChanged:
+    def _local_state(self) -> LocalStateChanged:
         return LocalStateChanged(
             self._config.version,
             self._config.withdrawn_count,
@@ -212,7 +213,7 @@
             self._network.send(daemon_id, EndpointUpdateBatch(news=updates))
 
     def _send_periodic_messages(self) -> None:
-        """Sends due endpoint updates to all live peers, the rest as addressed."""
+        """Sends endpoint updates, usage copies and rate loans that are due."""
         live = self.live_incarnations()
         usage = self._counters.tick(live)
         rates = self._shares.tick(tuple(live), boot_time_s())
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -104,7 +104,7 @@
         self._store_prefix = f"usage/{cfg.failure_domain}/"
 
     def status(self) -> dict[str, object]:
-        """Returns the lease's holder, the last sealed window and part counts."""
+        """Returns the state of the lease, of sealing and of unsealed parts."""
         return {
             "fencing": self._lease.fencing,
             "holder": self._lease.observed_holder,
--- a/daisyhub/controllers/_watch_core.py
+++ b/daisyhub/controllers/_watch_core.py
@@ -14,12 +14,12 @@
 __all__ = [
     "DeliverObject",
     "DeliveryFailed",
-    "WatchStarted",
-    "WatchCore",
     "ObjectDelivered",
-    "WatchResponseReceived",
+    "WatchCore",
     "WatchFailed",
     "WatchObjects",
+    "WatchResponseReceived",
+    "WatchStarted",
 ]
 
 _RETRY_DELAY_S = 0.5
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -44,7 +44,7 @@
 
 
 class WeightOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine, which may reject lower fencing numbers."""
+    """An order to an engine; one that checks fencing rejects lower numbers."""
 
     kind: str
     version: int
--- a/daisyhub/controllers/tests/test_membership_processes.py
+++ b/daisyhub/controllers/tests/test_membership_processes.py
@@ -1,4 +1,7 @@
-"""Configuration and endpoints among real processes that fail."""
+"""Tests that configuration and drain orders spread despite failures.
+
+The daemons are real processes, which are paused, killed and restarted.
+"""
 
 import signal
 import unittest
@@ -13,7 +16,7 @@
 from daisyhub.testing.processes import Deployment
 
 
-class MembershipProcesses(unittest.IsolatedAsyncioTestCase):
+class MembershipProcessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.keys = DemoKeys.make()
         self.deployment = Deployment(engines_each=1)
@@ -42,10 +45,10 @@
     async def wait(self, **options):
         await self.deployment.wait_for_version(self.version, **options)
 
-    async def test_a_configuration_spreads_past_every_kind_of_failure(self):
+    async def test_configuration_reaches_all_daemons_despite_failures(self):
         await self.wait()
         stopped, killed = self.deployment.daemons("busan")
-        # A paused daemon, and one that is killed, catch up.
+        # A paused daemon and a killed one receive the new version later.
         stopped.send_signal(signal.SIGSTOP)
         killed.send_signal(signal.SIGKILL)
         killed.wait()
@@ -54,7 +57,7 @@
         await self.wait(skip=(stopped.name, killed.name))
         stopped.send_signal(signal.SIGCONT)
         await self.wait(skip=(killed.name,))
-        # Without the platform, a daemon that starts hears its peers.
+        # Without the platform, a daemon gets the configuration from peers.
         await self.store.withdraw_key(self.keys.yard.key_id)
         await self.deployment.wait_for_status(
             lambda status: status["config"]["withdrawn_keys"] == 1,
@@ -68,7 +71,7 @@
         await self.deployment.wait_for_status(
             lambda status: status["config"]["withdrawn_keys"] == 1
         )
-        # Answers that are lost or damaged don't stop the next change.
+        # Lost or damaged responses don't prevent the next change.
         await self.caller.send("DELETE", "/faults")
         for kind in ("lose", "truncate", "silent"):
             fault = {"kind": kind, "path": "/objects", "count": 3}
@@ -80,7 +83,7 @@
         versions = [entry.version for entry in audit]
         self.assertEqual(versions, list(range(1, self.version + 1)))
 
-    async def test_a_drained_endpoint_gets_no_new_work(self):
+    async def test_a_drained_endpoint_gets_no_new_requests(self):
         await self.wait()
         endpoint_id = self.deployment.services("busan")[0].name
         order = DrainOrder(endpoint_id=endpoint_id, incarnation=1)
@@ -100,6 +103,6 @@
         await self.deployment.wait_for_status(is_drained)
         daemon = self.deployment.daemons("busan")[0]
         caller = Caller(daemon.address, DemoKeys.text(self.keys.yard))
-        answer = await caller.send("GET", "/records/1")
-        self.assertEqual(answer.status, 503)
+        response = await caller.send("GET", "/records/1")
+        self.assertEqual(response.status, 503)
         await caller.aclose()
--- a/daisyhub/controllers/tests/test_orders_processes.py
+++ b/daisyhub/controllers/tests/test_orders_processes.py
@@ -1,4 +1,8 @@
-"""Endpoint orders on real processes: take-over, freeze, platform outage."""
+"""Tests of endpoint orders on real processes.
+
+Each test guards against endpoints that are ordered twice: by a holder that is
+frozen or replaced, or after a response of the platform was lost.
+"""
 
 import signal
 import unittest
@@ -63,7 +67,7 @@
 
         anyio.run(run)
 
-    def test_a_frozen_holder_never_makes_the_pool_exceed_its_need(self):
+    def test_a_frozen_holder_causes_no_excess_order(self):
         async def scenario(deployment):
             await deployment.apply(ordering_document())
             frozen = await holder_of(deployment)
@@ -93,7 +97,7 @@
 
         self.run_with_deployment(scenario)
 
-    def test_lost_answers_of_the_platform_lead_to_no_second_endpoint(self):
+    def test_lost_platform_responses_cause_no_second_order(self):
         async def scenario(deployment):
             caller = Caller(deployment.platform.address)
             for path in ("/objects/orders", "/domains/busan/orders"):
--- a/daisyhub/controllers/tests/test_usage_failures.py
+++ b/daisyhub/controllers/tests/test_usage_failures.py
@@ -1,4 +1,7 @@
-"""Usage reports while daemons die or freeze and answers are lost."""
+"""Tests that each served request is reported once despite failures.
+
+Daemons are killed or paused, and responses of the platform are lost.
+"""
 
 import json
 import signal
@@ -49,8 +52,8 @@
     async def look_up(self, daemon, count):
         caller = Caller(daemon.address, DemoKeys.text(self.key))
         for number in range(count):
-            answer = await caller.send("GET", f"/records/{number}")
-            self.served += answer.status == 200
+            response = await caller.send("GET", f"/records/{number}")
+            self.served += response.status == 200
         await caller.aclose()
 
     async def status_of(self, daemon):
@@ -61,16 +64,19 @@
 
     async def platform(self, method, target, value=None):
         caller = Caller(self.deployment.platform.address)
-        answer = await caller.send(method, target, value)
+        response = await caller.send(method, target, value)
         await caller.aclose()
-        return json.loads(answer.body)
+        return json.loads(response.body)
 
     async def check_reports(self):
-        """Waits until all is reported; no window may have two figures."""
+        """Waits until all requests are reported, each window with one body.
+
+        Returns the count of repeated reports.
+        """
         self.assertGreater(self.served, 0)
-        found = 0
+        reported_count = 0
         with anyio.move_on_after(WAIT_S):
-            while found != self.served:
+            while reported_count != self.served:
                 await anyio.sleep(0.2)
                 reports = await self.platform("GET", "/admin/usage")
                 bodies = {}
@@ -78,25 +84,25 @@
                     known = bodies.setdefault(report["window"], report["body"])
                     self.assertEqual(known, report["body"])
                 counts = [json.loads(b)["counts"] for b in bodies.values()]
-                found = sum(c["requests"] for cs in counts for c in cs)
-                self.assertLessEqual(found, self.served)
-        self.assertEqual(found, self.served)
+                reported_count = sum(c["requests"] for cs in counts for c in cs)
+                self.assertLessEqual(reported_count, self.served)
+        self.assertEqual(reported_count, self.served)
         return len(reports) - len(bodies)
 
     def test_a_killed_daemons_unflushed_counts_are_reported(self):
         async def scenario():
-            victim = self.deployment.daemons()[0]
-            await self.look_up(victim, 30)
+            killed = self.deployment.daemons()[0]
+            await self.look_up(killed, 30)
             with anyio.fail_after(WAIT_S):
-                while (await self.status_of(victim))["unkept_requests"]:
+                while (await self.status_of(killed))["unkept_requests"]:
                     await anyio.sleep(0.05)
             self.assertEqual(self.served, 30)
-            victim.send_signal(signal.SIGKILL)
+            killed.send_signal(signal.SIGKILL)
             await self.check_reports()
 
         self.run_with(scenario, usage_window_s=4.0)
 
-    def test_a_holder_that_wakes_up_after_its_term_changes_no_window(self):
+    def test_a_holder_resumed_after_its_term_changes_no_window(self):
         async def scenario():
             daemons = self.deployment.daemons()
             for _ in range(2):
@@ -122,7 +128,7 @@
                         return daemon
                 await anyio.sleep(0.1)
 
-    def test_an_account_at_one_daemon_borrows_its_peers_shares(self):
+    def test_an_account_at_one_daemon_borrows_the_shares_of_peers(self):
         async def scenario():
             daemon = self.deployment.daemons()[0]
             with anyio.fail_after(WAIT_S):
@@ -138,7 +144,7 @@
         await caller.aclose()
         return status["peers"]["rate_shares"].get("archive", 0.0)
 
-    def test_lost_answers_to_seals_and_reports_change_no_window(self):
+    def test_lost_responses_to_seals_and_reports_change_no_window(self):
         async def scenario():
             daemons = self.deployment.daemons()
             for path, method in (("/objects/sealed", "PUT"), ("/usage", "")):
