--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -182,7 +182,7 @@
         """Serves one trainer's call.
 
         Raises:
-            Refusal: The call failed; holds the response for the trainer.
+            Refusal: The call failed; the trainer receives this refusal.
         """
         if call.account != self.spec.account:
             raise Refusal(ErrorCode.LOT_UNKNOWN, "there is no such lot")
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -86,7 +86,7 @@
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
-            Refusal: The call failed; holds the response for the trainer.
+            Refusal: The call failed; the trainer receives this refusal.
         """
         try:
             server = self._servers.get(call.lot_id)
