--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -24,13 +24,13 @@
 
     Attributes:
         parts: Parts for it to keep until they are sealed.
-        held_epoch: Its epoch that `held_number` belongs to.
-        held_number: Newest of its parts kept here; 0 for nothing to tell.
+        acked_epoch: Its epoch that `acked_number` belongs to.
+        acked_number: Newest of its parts kept here; 0 for nothing to tell.
     """
 
     parts: tuple[UsagePart, ...] = ()
-    held_epoch: int = 0
-    held_number: int = 0
+    acked_epoch: int = 0
+    acked_number: int = 0
 
 
 class UsageCounters:
@@ -62,7 +62,7 @@
         sums[0] += 1
         sums[1] += tokens
 
-    def cut(self) -> None:
+    def cut_parts(self) -> None:
         """Makes parts of all that was counted since the last cut."""
         by_window: dict[int, list[PartCount]] = {}
         for (window, account), (requests, tokens) in sorted(self._open.items()):
@@ -92,7 +92,7 @@
         self._ticks += 1
         unflushed = len(self._own) - len(self._flushed)
         if self._ticks > unflushed // _PARTS_PER_CUT_TICK:
-            self.cut()
+            self.cut_parts()
         self._acknowledged = {
             peer: number
             for peer, number in self._acknowledged.items()
@@ -110,7 +110,7 @@
                 usage[peer] = PeerUsage(parts, epoch, number)
         return usage
 
-    def hold(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
+    def keep_copies(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
         """Keeps a peer's parts until they are sealed."""
         for part in parts:
             self._held[part.part_id] = part
@@ -118,7 +118,9 @@
                 newest = self._to_tell.get(sender, (0, 0))
                 self._to_tell[sender] = max(newest, (part.epoch, part.number))
 
-    def on_held(self, peer: str, incarnation: int, epoch: int, number: int):
+    def on_copies_acknowledged(
+        self, peer: str, incarnation: int, epoch: int, number: int
+    ):
         """Notes that a peer keeps this daemon's parts up to `number`."""
         if epoch != self.epoch:
             return
@@ -159,7 +161,7 @@
         }
 
     @property
-    def unsealed(self) -> int:
+    def unsealed_count(self) -> int:
         """How many own parts aren't known to be sealed."""
         return len(self._own) + bool(self._open)
 
@@ -174,7 +176,7 @@
         return unkept
 
     @property
-    def held(self) -> int:
+    def copy_count(self) -> int:
         """How many parts of peers are kept here."""
         return len(self._held)
 
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -20,7 +20,7 @@
     "FlushTick",
     "ReadStore",
     "StoreRead",
-    "StoreRefused",
+    "StoreWriteRejected",
     "StoreWritten",
     "WriteStore",
 ]
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StoreRefused:
+class StoreWriteRejected:
     """The object is at another version."""
 
 
@@ -121,7 +121,7 @@
                 return self._write(now_s)
             case StoreWritten():
                 return self._on_written(event, now_s)
-            case StoreRefused():
+            case StoreWriteRejected():
                 self._version = None
                 return [ReadStore()]
             case CallFailed():
@@ -136,7 +136,7 @@
         window = window_of(event.wall_s, self._counters.window_s)
         end_wall_s = window + self._counters.window_s
         self._window_end_s = now_s + end_wall_s - event.wall_s
-        self._counters.cut()
+        self._counters.cut_parts()
         self._orphans = self._counters.orphans(event.live)
         self._is_waiting = True
         self._is_done = False
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -3,10 +3,10 @@
 import math
 
 from daisyhub.accounting._share_core import (
-    AskHeard,
-    GrantHeard,
-    SendAsk,
-    SendGrant,
+    LoanGranted,
+    LoanRequested,
+    SendLoanGrant,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
@@ -38,7 +38,7 @@
         self._limits[account] = limit_per_s
         return self._core.share(account, now_s)
 
-    def seen_shares(self, now_s: float) -> dict[str, float]:
+    def active_shares(self, now_s: float) -> dict[str, float]:
         """Returns the shares of accounts that were seen lately."""
         return {
             account: self._core.share(account, now_s)
@@ -47,13 +47,13 @@
 
     def tick(
         self, live: tuple[str, ...], now_s: float
-    ) -> list[SendAsk | SendGrant]:
+    ) -> list[SendLoanRequest | SendLoanGrant]:
         """Returns what to send to peers."""
         self._measure(now_s)
         wanted = {account: self._wanted(account) for account in self._rates}
         return self._core.handle(ShareTick(wanted, live), now_s)
 
-    def hear(self, event: AskHeard | GrantHeard, now_s: float) -> None:
+    def handle(self, event: LoanRequested | LoanGranted, now_s: float) -> None:
         """Takes a peer's ask or grant."""
         self._core.handle(event, now_s)
 
--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -17,12 +17,12 @@
     "CallFailed",
     "EmptyStore",
     "LedgerRead",
-    "LedgerRefused",
+    "LedgerWriteRejected",
     "LedgerWritten",
     "ListParts",
     "PartsListed",
     "ReadLedger",
-    "ReportDone",
+    "ReportAccepted",
     "SealCore",
     "SealTick",
     "SendReport",
@@ -69,12 +69,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LedgerRefused:
+class LedgerWriteRejected:
     """The ledger is at another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReportDone:
+class ReportAccepted:
     """The platform took the report of a window."""
 
     window: int
@@ -180,10 +180,10 @@
                 return self._on_written(event, now_s)
             case StoreEmptied():
                 return self._step(now_s)
-            case ReportDone():
+            case ReportAccepted():
                 self._reported |= {event.window}
                 return self._step(now_s)
-            case LedgerRefused() | CallFailed():
+            case LedgerWriteRejected() | CallFailed():
                 return self._on_failed(now_s)
         raise TypeError(f"not a seal event: {event!r}")
 
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -16,10 +16,10 @@
 from daisyhub.base import Core
 
 __all__ = [
-    "AskHeard",
-    "GrantHeard",
-    "SendAsk",
-    "SendGrant",
+    "LoanRequested",
+    "LoanGranted",
+    "SendLoanRequest",
+    "SendLoanGrant",
     "ShareCore",
     "ShareTick",
     "Wants",
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskHeard:
+class LoanRequested:
     """A peer asks for quanta; `stamp_s` and `incarnation` are its own."""
 
     peer: str
@@ -58,7 +58,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantHeard:
+class LoanGranted:
     """A peer lends quanta in answer to the ask of `stamp_s`.
 
     Attributes:
@@ -77,7 +77,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendAsk:
+class SendLoanRequest:
     """Action: ask a peer."""
 
     peer: str
@@ -87,7 +87,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendGrant:
+class SendLoanGrant:
     """Action: answer a peer's ask; `incarnation` is that of the ask."""
 
     peer: str
@@ -132,7 +132,7 @@
         self._incarnations: dict[str, int] = {}
         self._lent: dict[str, dict[str, list[_Loan]]] = {}
         self._borrowed: dict[str, dict[str, _Loan]] = {}
-        self._asks: dict[str, AskHeard] = {}
+        self._asks: dict[str, LoanRequested] = {}
         self._next_ask_s = started_s
 
     @property
@@ -149,15 +149,15 @@
         return self.quanta(account, now_s) / self.total
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendAsk` and `SendGrant` actions."""
+        """Takes one event; returns `SendLoanRequest` and `SendLoanGrant` actions."""
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
-            case AskHeard():
+            case LoanRequested():
                 self._note_incarnation(event.peer, event.incarnation)
                 self._asks[event.peer] = event
                 return []
-            case GrantHeard():
+            case LoanGranted():
                 self._on_grant(event)
                 return []
         raise TypeError(f"not a share event: {event!r}")
@@ -173,7 +173,9 @@
         if not self._is_held_back(now_s):
             self._next_ask_s = now_s + self._term_s / _ASKS_PER_TERM
         for peer in event.live:
-            actions.append(SendAsk(peer, self._incarnation, now_s, wants))
+            actions.append(
+                SendLoanRequest(peer, self._incarnation, now_s, wants)
+            )
         return actions
 
     def _missing(self, event: ShareTick, now_s: float) -> Wants:
@@ -206,7 +208,9 @@
         kept = max(_FLOOR_QUANTA, int(wanted * _HEADROOM))
         return max(0, BASE_QUANTA - kept)
 
-    def _grant(self, ask: AskHeard, asked, spare, now_s: float) -> SendGrant:
+    def _grant(
+        self, ask: LoanRequested, asked, spare, now_s: float
+    ) -> SendLoanGrant:
         """Lends a part of the spare quanta in proportion to the asks."""
         grants = []
         for account, wanted in ask.wants:
@@ -216,9 +220,11 @@
             quanta = max(0, min(wanted, part, room))
             grants.append((account, quanta))
             self._note_lent(account, ask, quanta, now_s)
-        return SendGrant(ask.peer, ask.incarnation, ask.stamp_s, tuple(grants))
+        return SendLoanGrant(
+            ask.peer, ask.incarnation, ask.stamp_s, tuple(grants)
+        )
 
-    def _note_lent(self, account, ask: AskHeard, quanta, now_s) -> None:
+    def _note_lent(self, account, ask: LoanRequested, quanta, now_s) -> None:
         """Notes a loan beside earlier ones, which may still be used."""
         if not quanta:
             return
@@ -226,7 +232,7 @@
         loans = self._lent.setdefault(account, {}).setdefault(ask.peer, [])
         loans.append(_Loan(quanta, ask.stamp_s, until_s))
 
-    def _on_grant(self, event: GrantHeard) -> None:
+    def _on_grant(self, event: LoanGranted) -> None:
         self._note_incarnation(event.peer, event.lender_incarnation)
         is_current = (
             event.incarnation == self._incarnation
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -85,9 +85,9 @@
         a.add("yard", 5, 61.0)
         told = a.tick(live)
         self.assertEqual(list(told), ["b", "c"])
-        b.hold("a", told["b"].parts)
+        b.keep_copies("a", told["b"].parts)
         back = b.tick({"a": 1})["a"]
-        a.on_held("b", 1, back.held_epoch, back.held_number)
+        a.on_copies_acknowledged("b", 1, back.acked_epoch, back.acked_number)
         self.assertEqual(a.unkept_requests, 0)
         self.assertEqual(list(a.tick(live)), ["c"])
         self.assertFalse(b.orphans({"a": 1}))
@@ -95,11 +95,11 @@
         ledger = seal("busan", Ledger(), told["b"].parts, 60, WINDOW_S)
         for counters in (a, b):
             counters.forget(Marks(ledger))
-        self.assertEqual((a.unsealed, b.held), (0, 0))
+        self.assertEqual((a.unsealed_count, b.copy_count), (0, 0))
 
     def test_a_long_backlog_is_cut_more_rarely(self):
         counters = UsageCounters("a", 1, WINDOW_S)
         for second in range(3600):
             counters.add("yard", 5, float(second))
             counters.tick({})
-        self.assertLess(counters.unsealed, 800)
+        self.assertLess(counters.unsealed_count, 800)
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -16,9 +16,9 @@
 )
 
 from daisyhub.accounting import (
-    AskHeard,
-    GrantHeard,
-    SendAsk,
+    LoanGranted,
+    LoanRequested,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
@@ -66,10 +66,10 @@
 
     def hear(self, sender, incarnation, action):
         stamp = (action.incarnation, action.stamp_s)
-        if isinstance(action, SendAsk):
-            event = AskHeard(sender, *stamp, action.wants)
+        if isinstance(action, SendLoanRequest):
+            event = LoanRequested(sender, *stamp, action.wants)
         else:
-            event = GrantHeard(sender, incarnation, *stamp, action.grants)
+            event = LoanGranted(sender, incarnation, *stamp, action.grants)
         self.cores[action.peer].handle(event, self.now_s)
 
     @rule(
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -20,7 +20,7 @@
     FlushTick,
     Ledger,
     LedgerRead,
-    LedgerRefused,
+    LedgerWriteRejected,
     LedgerWritten,
     ListedStore,
     ListParts,
@@ -29,14 +29,14 @@
     PartStore,
     ReadLedger,
     ReadStore,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealedWindow,
     SealTick,
     SendReport,
     StoreEmptied,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     UsageCounters,
     WriteLedger,
@@ -177,10 +177,10 @@
     def hear(self, peer, sender, incarnation, usage):
         counters = self.daemons[peer].counters
         if usage.parts:
-            counters.hold(sender, usage.parts)
-        if usage.held_number:
-            counters.on_held(
-                sender, incarnation, usage.held_epoch, usage.held_number
+            counters.keep_copies(sender, usage.parts)
+        if usage.acked_number:
+            counters.on_copies_acknowledged(
+                sender, incarnation, usage.acked_epoch, usage.acked_number
             )
 
     @rule(seconds=st.sampled_from([1.1, 4.0, 13.0, 25.0]))
@@ -287,7 +287,7 @@
                 return self.write_ledger(action)
             case SendReport():
                 self.oracle.on_report(action)
-                return ReportDone(action.window)
+                return ReportAccepted(action.window)
         raise AssertionError(action)
 
     def listed(self):
@@ -299,13 +299,13 @@
     def write_store(self, name, action):
         version = self.stores[name][1]
         if action.expected_version not in (version, None):
-            return StoreRefused()
+            return StoreWriteRejected()
         self.stores[name] = (action.store, version + 1)
         return StoreWritten(version + 1)
 
     def write_ledger(self, action):
         if action.expected_version not in (self.ledger_version, None):
-            return LedgerRefused()
+            return LedgerWriteRejected()
         self.ledger_version += 1
         self.ledger = action.ledger
         self.oracle.on_sealed(self.ledger)
@@ -333,7 +333,7 @@
         if self.starts[name] >= MOST_STARTS:
             return
         counters = self.daemons[name].counters
-        counters.cut()
+        counters.cut_parts()
         gone = counters.own_parts() + counters.orphans({})
         self.stalled.pop((name, "flush"), None)
         self.stalled.pop((name, "seal"), None)
--- a/daisyhub/rollouts/_group_choice.py
+++ b/daisyhub/rollouts/_group_choice.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Iterable
 
-from daisyhub.rollouts._lot_events import CountUsage, PullAsked
+from daisyhub.rollouts._lot_events import CountUsage, PullRequested
 from daisyhub.rollouts._slot_table import SlotTable
 
 __all__ = ["choose_groups", "usage_of"]
@@ -11,7 +11,7 @@
 
 
 def choose_groups(
-    pulls: Iterable[PullAsked],
+    pulls: Iterable[PullRequested],
     slots: SlotTable,
     owned: set[int],
     max_staleness: int,
@@ -27,7 +27,7 @@
         max_staleness: Largest distance from the version in the call.
         now_s: Monotonic time in seconds.
     """
-    waiting: dict[str, PullAsked] = {}
+    waiting: dict[str, PullRequested] = {}
     for call in pulls:
         known = waiting.get(call.pull_id)
         if known is None or known.version < call.version:
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -14,26 +14,26 @@
 from daisyhub.base import Core
 from daisyhub.rollouts._group_choice import choose_groups, usage_of
 from daisyhub.rollouts._lot_events import (
-    AckAsked,
-    CloseAsked,
+    AckRequested,
+    CloseRequested,
     CountUsage,
-    GiveUp,
-    HandOver,
+    DeliverGroups,
     LotReleased,
     LotTick,
-    OpenAsked,
-    PullAsked,
+    OpenRequested,
+    PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
+    SendProgress,
     StateRead,
     StateReadFailed,
-    TellProgress,
-    WriteDone,
-    WriteInDoubt,
-    WriteRefused,
+    StateWriteRejected,
+    StateWriteUncertain,
+    StateWritten,
+    StopServing,
     WriteState,
 )
 from daisyhub.rollouts._lot_types import (
@@ -50,7 +50,7 @@
 _STORE_PAUSE_S = 0.2
 _IDLE_S = 900.0
 
-LotCall = PullAsked | OpenAsked | AckAsked | CloseAsked
+LotCall = PullRequested | OpenRequested | AckRequested | CloseRequested
 
 
 class LotCore(Core):
@@ -64,7 +64,7 @@
     def __init__(self, spec: LotSpec, holder: str):
         self.spec = spec
         self.holder = holder
-        self.bad_answers = 0
+        self.invalid_answers = 0
         self._slots = SlotTable(spec)
         self._state: LotState | None = None
         self._version = 0
@@ -122,17 +122,24 @@
         match event:
             case LotTick():
                 pass
-            case SampleReady():
+            case SampleReceived():
                 actions += self._on_ready(event, now_s)
             case SampleFailed():
                 self._slots.fail(event.attempt, now_s)
-            case PullAsked() | OpenAsked() | AckAsked() | CloseAsked():
+            case (
+                PullRequested()
+                | OpenRequested()
+                | AckRequested()
+                | CloseRequested()
+            ):
                 self._on_call(event, now_s)
             case StateRead():
                 actions += self._on_read(event)
-            case WriteDone():
+            case StateWritten():
                 actions += self._on_written(event)
-            case StateReadFailed() | WriteRefused() | WriteInDoubt():
+            case (
+                StateReadFailed() | StateWriteRejected() | StateWriteUncertain()
+            ):
                 self._on_store_trouble(event, now_s)
             case LotReleased():
                 self._is_released = True
@@ -143,7 +150,7 @@
     def _go_on(self, now_s: float) -> list[object]:
         """Does what is possible now."""
         if self.is_over:
-            return self._refuse_all(RefusedBecause.RELEASED)
+            return self._refuse_all(RefusalReason.RELEASED)
         if self._is_idle(now_s) or self._is_released:
             return self._wind_up(now_s)
         actions = self._serve_calls(now_s)
@@ -160,14 +167,14 @@
     def _wind_up(self, now_s: float) -> list[object]:
         """Refuses calls at once; waits only for a write in flight."""
         self._is_released = True
-        actions = self._refuse_all(RefusedBecause.RELEASED)
+        actions = self._refuse_all(RefusalReason.RELEASED)
         actions += self._slots.forget(range(len(self.spec.prompts)))
         if self._is_waiting or self._write is not None or self._unbilled:
             return actions + self._talk_to_store(now_s)
         self.is_over = True
-        return [*actions, GiveUp()]
+        return [*actions, StopServing()]
 
-    def _refuse_all(self, reason: RefusedBecause) -> list[object]:
+    def _refuse_all(self, reason: RefusalReason) -> list[object]:
         refused = [RefuseCall(number, reason) for number in self._calls]
         self._calls.clear()
         self._unread.clear()
@@ -177,15 +184,15 @@
         self._touched_s = now_s
         self._calls[call.call] = call
         match call:
-            case PullAsked():
+            case PullRequested():
                 self._acks.update(call.acks)
-            case OpenAsked():
+            case OpenRequested():
                 self._read_first(call)
-            case AckAsked():
+            case AckRequested():
                 self._acks.add(call.pull_id)
                 if self._state and call.pull_id not in self._state.pulls:
                     self._read_first(call)
-            case CloseAsked():
+            case CloseRequested():
                 self._wants_close = True
 
     def _read_first(self, call: LotCall) -> None:
@@ -196,12 +203,12 @@
         self._unread.add(call.call)
         self._must_read = True
 
-    def _on_ready(self, event: SampleReady, now_s: float) -> list[object]:
+    def _on_ready(self, event: SampleReceived, now_s: float) -> list[object]:
         place = self._slots.place_of(event.attempt)
         if place is None:
             return []
         if not check_spans(event.answer):
-            self.bad_answers += 1
+            self.invalid_answers += 1
             self._slots.fail(event.attempt, now_s)
             return []
         answer = event.answer
@@ -216,7 +223,7 @@
         self._must_read = bool(self._unread)
         return self._adopt(event.state, event.version)
 
-    def _on_written(self, event: WriteDone) -> list[object]:
+    def _on_written(self, event: StateWritten) -> list[object]:
         write = self._write
         if write is None or event.write_id != write.write_id:
             return []
@@ -235,7 +242,7 @@
             return
         self._is_waiting = False
         self._store_at_s = now_s + _STORE_PAUSE_S
-        if isinstance(event, WriteRefused):
+        if isinstance(event, StateWriteRejected):
             self._write = None
             self._must_read = True
             self._store_at_s = now_s
@@ -273,18 +280,18 @@
     def _on_closed(self) -> list[object]:
         actions = []
         for call in list(self._calls.values()):
-            if isinstance(call, CloseAsked | AckAsked):
+            if isinstance(call, CloseRequested | AckRequested):
                 actions.append(self._tell(call))
         self._is_released = True
-        return actions + self._refuse_all(RefusedBecause.CLOSED)
+        return actions + self._refuse_all(RefusalReason.CLOSED)
 
-    def _tell(self, call: LotCall) -> TellProgress:
+    def _tell(self, call: LotCall) -> SendProgress:
         self._drop_call(call)
-        return TellProgress(
+        return SendProgress(
             call.call, self.remaining, self.open_pulls, self._state.is_closed
         )
 
-    def _refuse(self, call: LotCall, reason: RefusedBecause) -> RefuseCall:
+    def _refuse(self, call: LotCall, reason: RefusalReason) -> RefuseCall:
         self._drop_call(call)
         return RefuseCall(call.call, reason)
 
@@ -305,26 +312,26 @@
         if call.call in self._unread:
             return []
         match call:
-            case OpenAsked():
+            case OpenRequested():
                 return [self._tell(call)]
-            case PullAsked():
+            case PullRequested():
                 return self._serve_pull(call, now_s)
-            case AckAsked():
+            case AckRequested():
                 return self._serve_ack(call)
         return []
 
-    def _serve_ack(self, call: AckAsked) -> list[object]:
+    def _serve_ack(self, call: AckRequested) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
         if record is None:
-            return [self._refuse(call, RefusedBecause.UNKNOWN_PULL)]
+            return [self._refuse(call, RefusalReason.UNKNOWN_PULL)]
         return [self._tell(call)] if record.is_acked else []
 
-    def _serve_pull(self, call: PullAsked, now_s: float) -> list[object]:
+    def _serve_pull(self, call: PullRequested, now_s: float) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
         if record is None:
             return []
         if record.is_acked:
-            return [self._refuse(call, RefusedBecause.ACKED)]
+            return [self._refuse(call, RefusalReason.ACKED)]
         self._slots.want(record.groups, is_repeat=True)
         oldest = call.version - self.spec.max_staleness
         # Checks every group, so that all stale samples are replaced at once.
@@ -336,9 +343,11 @@
             return []
         return [self._hand_over(call, record.groups)]
 
-    def _hand_over(self, call: PullAsked, groups: tuple[int, ...]) -> HandOver:
+    def _hand_over(
+        self, call: PullRequested, groups: tuple[int, ...]
+    ) -> DeliverGroups:
         self._drop_call(call)
-        return HandOver(
+        return DeliverGroups(
             call.call,
             call.pull_id,
             tuple(self._slots.group(group) for group in groups),
@@ -347,9 +356,9 @@
 
     def _end_wait(self, call: LotCall) -> object:
         """Ends a call whose time is over with a true answer."""
-        is_pull = isinstance(call, PullAsked)
+        is_pull = isinstance(call, PullRequested)
         if not is_pull or self._state is None or self._write is not None:
-            return self._refuse(call, RefusedBecause.PLATFORM)
+            return self._refuse(call, RefusalReason.PLATFORM)
         return self._hand_over(call, ())
 
     def _talk_to_store(self, now_s: float) -> list[object]:
@@ -394,11 +403,11 @@
         )
         return WriteState(write_id, state, self._version)
 
-    def _unstored_pulls(self) -> list[PullAsked]:
+    def _unstored_pulls(self) -> list[PullRequested]:
         return [
             call
             for call in self._calls.values()
-            if isinstance(call, PullAsked)
+            if isinstance(call, PullRequested)
             and call.pull_id not in self._state.pulls
         ]
 
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -6,33 +6,33 @@
 from daisyhub.rollouts._lot_types import EngineAnswer, Group, LotState
 
 __all__ = [
-    "AckAsked",
+    "AckRequested",
     "CancelSample",
-    "CloseAsked",
+    "CloseRequested",
     "CountUsage",
     "Generate",
-    "GiveUp",
-    "HandOver",
+    "StopServing",
+    "DeliverGroups",
     "LotReleased",
     "LotTick",
-    "OpenAsked",
-    "PullAsked",
+    "OpenRequested",
+    "PullRequested",
     "ReadState",
     "RefuseCall",
-    "RefusedBecause",
+    "RefusalReason",
     "SampleFailed",
-    "SampleReady",
+    "SampleReceived",
     "StateRead",
     "StateReadFailed",
-    "TellProgress",
-    "WriteDone",
-    "WriteInDoubt",
-    "WriteRefused",
+    "SendProgress",
+    "StateWritten",
+    "StateWriteUncertain",
+    "StateWriteRejected",
     "WriteState",
 ]
 
 
-class RefusedBecause(enum.Enum):
+class RefusalReason(enum.Enum):
     """Why a call ends without what it asked for."""
 
     RELEASED = "the lot moves to another daemon"
@@ -48,7 +48,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SampleReady:
+class SampleReceived:
     """An engine answered attempt `attempt`; the core checks the answer."""
 
     attempt: int
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class PullAsked:
+class PullRequested:
     """The trainer asks for groups.
 
     Attributes:
@@ -84,7 +84,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class OpenAsked:
+class OpenRequested:
     """The trainer opens the lot, again or for the first time."""
 
     call: int
@@ -92,7 +92,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class AckAsked:
+class AckRequested:
     """The trainer has taken the samples of a pull."""
 
     call: int
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CloseAsked:
+class CloseRequested:
     """The trainer closes the lot."""
 
     call: int
@@ -127,7 +127,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteDone:
+class StateWritten:
     """The write with this id took effect as `version`."""
 
     write_id: str
@@ -135,14 +135,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteRefused:
+class StateWriteRejected:
     """The object is at another version than this write expected."""
 
     write_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteInDoubt:
+class StateWriteUncertain:
     """Whether the write with this id took effect is unknown."""
 
     write_id: str
@@ -187,7 +187,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandOver:
+class DeliverGroups:
     """Action: answer the pull; without groups nothing was ready."""
 
     call: int
@@ -197,7 +197,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellProgress:
+class SendProgress:
     """Action: answer an open, ack or close."""
 
     call: int
@@ -211,7 +211,7 @@
     """Action: end a call with its final answer at once."""
 
     call: int
-    reason: RefusedBecause
+    reason: RefusalReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -223,5 +223,5 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveUp:
+class StopServing:
     """Action: stop serving the lot here; nothing is open any more."""
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -12,11 +12,11 @@
 
 __all__ = [
     "EngineView",
-    "EnginesSeen",
-    "OrderDone",
+    "EnginesListed",
+    "OrderCompleted",
     "OrderFailed",
     "OrderNotSent",
-    "RolloutRule",
+    "RolloutPolicy",
     "SendOrder",
     "VersionPublished",
     "WeightCore",
@@ -29,15 +29,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RolloutRule:
+class RolloutPolicy:
     """How a pool's engines take orders.
 
     Attributes:
-        loads_at_once: Engines that may load at the same time.
+        max_concurrent_loads: Engines that may load at the same time.
         checks_fencing: Whether they refuse old fencing numbers.
     """
 
-    loads_at_once: int
+    max_concurrent_loads: int
     checks_fencing: bool
 
 
@@ -67,15 +67,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EnginesSeen:
+class EnginesListed:
     """All usable engines, and the rules of their pools."""
 
     engines: tuple[EngineView, ...]
-    rules: dict[str, RolloutRule]
+    rules: dict[str, RolloutPolicy]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OrderDone:
+class OrderCompleted:
     """The engine of this attempt has loaded its version."""
 
     attempt: int
@@ -134,7 +134,7 @@
         self.extra_margin_s = extra_margin_s
         self._wanted: dict[str, int] = {}
         self._engines: dict[str, EngineView] = {}
-        self._rules: dict[str, RolloutRule] = {}
+        self._rules: dict[str, RolloutPolicy] = {}
         self._running: dict[int, SendOrder] = {}
         self._loaded: dict[tuple[str, int], int] = {}
         self._troubles: dict[str, _Trouble] = {}
@@ -173,10 +173,10 @@
                 known = self._wanted.get(event.pool, 0)
                 self._wanted[event.pool] = max(known, event.version)
                 self._queue_due(now_s)
-            case EnginesSeen():
+            case EnginesListed():
                 self._on_seen(event)
                 self._queue_due(now_s)
-            case OrderDone():
+            case OrderCompleted():
                 self._on_done(event)
             case OrderFailed():
                 self._on_failed(event, now_s)
@@ -187,7 +187,7 @@
                 raise TypeError(f"not a weight event: {event!r}")
         return self._start() if self._is_in_charge else []
 
-    def _on_seen(self, event: EnginesSeen) -> None:
+    def _on_seen(self, event: EnginesListed) -> None:
         self._engines = {e.endpoint_id: e for e in event.engines}
         self._rules = event.rules
         present = {(e.endpoint_id, e.incarnation) for e in event.engines}
@@ -196,7 +196,7 @@
         for endpoint_id in self._troubles.keys() - self._engines.keys():
             del self._troubles[endpoint_id]
 
-    def _on_done(self, event: OrderDone) -> None:
+    def _on_done(self, event: OrderCompleted) -> None:
         order = self._end(event.attempt)
         engine = self._engines.get(order.endpoint_id) if order else None
         if engine is None:
@@ -249,14 +249,14 @@
         for pool, due in self._due.items():
             rule = self._rules[pool]
             loading = self._loading.setdefault(pool, set())
-            while due and len(loading) < rule.loads_at_once:
+            while due and len(loading) < rule.max_concurrent_loads:
                 engine = self._engines[due.pop()]
                 if engine.endpoint_id not in loading:
                     loading.add(engine.endpoint_id)
                     orders.append(self._order(engine, rule))
         return orders
 
-    def _order(self, engine: EngineView, rule: RolloutRule) -> SendOrder:
+    def _order(self, engine: EngineView, rule: RolloutPolicy) -> SendOrder:
         self._attempts += 1
         order = SendOrder(
             self._attempts,
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -16,30 +16,30 @@
 )
 
 from daisyhub.rollouts import (
-    AckAsked,
+    AckRequested,
     CancelSample,
     CountUsage,
+    DeliverGroups,
     EngineAnswer,
     Generate,
-    HandOver,
     LotCore,
     LotReleased,
     LotSpec,
     LotState,
     LotTick,
-    PullAsked,
+    PullRequested,
     ReadState,
+    RefusalReason,
     RefuseCall,
-    RefusedBecause,
     Sample,
     SampleFailed,
-    SampleReady,
+    SampleReceived,
     Span,
     StateRead,
     StateReadFailed,
-    WriteDone,
-    WriteInDoubt,
-    WriteRefused,
+    StateWriteRejected,
+    StateWriteUncertain,
+    StateWritten,
     WriteState,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
@@ -142,7 +142,7 @@
         a fault, and its write to the store meets a fault.
         """
         self.calls += 1
-        call = PullAsked(
+        call = PullRequested(
             call=self.calls,
             pull_id=f"{rank}-{self.pulls[rank]}",
             version=self.trainer,
@@ -174,7 +174,9 @@
             self.calls += 1
             pull_id = done[pick % len(done)]
             until_s = self.now_s + WAIT_S
-            event = AckAsked(call=self.calls, pull_id=pull_id, until_s=until_s)
+            event = AckRequested(
+                call=self.calls, pull_id=pull_id, until_s=until_s
+            )
             self.feed(holder, event)
 
     @rule(who=st.sampled_from(["trainer", "engines", "both"]))
@@ -281,11 +283,11 @@
         }
         rest = []
         for action in self.out[holder]:
-            if isinstance(action, HandOver):
+            if isinstance(action, DeliverGroups):
                 self.take(action)
             elif isinstance(action, RefuseCall):
                 # Only pulls that were taken are acknowledged here.
-                is_known = action.reason is not RefusedBecause.UNKNOWN_PULL
+                is_known = action.reason is not RefusalReason.UNKNOWN_PULL
                 self.check(is_known, ("acknowledgement refused", action))
             elif isinstance(action, CountUsage):
                 is_new = not self.billed & set(action.groups)
@@ -309,7 +311,7 @@
             versions = (self.engines - 1, self.engines)
         answer = engine_answer(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
-            self.feed(holder, SampleReady(action.attempt, answer))
+            self.feed(holder, SampleReceived(action.attempt, answer))
         return True
 
     def apply(self, write):
@@ -332,11 +334,11 @@
             if fault in ("", "store"):
                 event = StateRead(self.state, self.version)
         elif fault in ("", "store"):
-            event = WriteRefused(action.write_id)
+            event = StateWriteRejected(action.write_id)
             if self.apply(action):
-                event = WriteDone(action.write_id, self.version)
+                event = StateWritten(action.write_id, self.version)
         else:
-            event = WriteInDoubt(action.write_id)
+            event = StateWriteUncertain(action.write_id)
             if fault == "lose":
                 self.apply(action)
             elif fault == "delay":
@@ -367,7 +369,7 @@
     """Broken: takes a write for done before its effect is known."""
 
     def _on_store_trouble(self, event, now_s):
-        if isinstance(event, WriteInDoubt) and self._write:
+        if isinstance(event, StateWriteUncertain) and self._write:
             self._adopt(self._write.state, self._version)
         super()._on_store_trouble(event, now_s)
 
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -12,12 +12,12 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
 from daisyhub.rollouts import (
-    EnginesSeen,
+    EnginesListed,
     EngineView,
-    OrderDone,
+    OrderCompleted,
     OrderFailed,
     OrderNotSent,
-    RolloutRule,
+    RolloutPolicy,
     VersionPublished,
     WeightCore,
     WeightTick,
@@ -30,7 +30,7 @@
 AT_ONCE = 2
 # Pool "b" ignores fencing numbers.
 ENGINES = ("a0", "a1", "a2", "b0", "b1")
-RULES = {"a": RolloutRule(AT_ONCE, True), "b": RolloutRule(AT_ONCE, False)}
+RULES = {"a": RolloutPolicy(AT_ONCE, True), "b": RolloutPolicy(AT_ONCE, False)}
 
 
 class WeightMachine(RuleBasedStateMachine):
@@ -66,7 +66,7 @@
             EngineView(name, name[0], engine[2], engine[0])
             for name, engine in self.engines.items()
         )
-        self.feed(holder, EnginesSeen(views, RULES))
+        self.feed(holder, EnginesListed(views, RULES))
         self.feed(holder, VersionPublished("a", self.newest))
         self.feed(holder, VersionPublished("b", self.newest))
 
@@ -118,7 +118,7 @@
             self.take_turn(1 - holder)
         is_done = self.reach(order, number, freeze_s, outcome != "failed")
         if is_done and outcome == "done":
-            self.feed(holder, OrderDone(order.attempt))
+            self.feed(holder, OrderCompleted(order.attempt))
         else:
             self.feed(holder, OrderFailed(order.attempt))
 
