--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -8,9 +8,9 @@
 
 from daisyhub.balancing import (
     DrainOrder,
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Controller
 from daisyhub.connections import HttpClient, RequestFailedError
@@ -100,12 +100,12 @@
     async def on_drain(self, found: PlatformObject) -> None:
         """Takes an operator's order from the platform's watch."""
         order = msgspec.convert(found.value, DrainOrder)
-        news = EndpointNews(
+        news = EndpointUpdate(
             endpoint_id=order.endpoint_id,
             incarnation=order.incarnation,
             is_leaving=True,
         )
-        if self._table.adopt_news(news):
+        if self._table.apply_update(news):
             log.info("{} is drained by {}", order.endpoint_id, order.author)
 
     async def _read_list(self) -> None:
@@ -118,7 +118,7 @@
             if not self._table.all():
                 await self._catch_up()
             return
-        self._table.adopt_list(records, time.monotonic())
+        self._table.apply_list(records, time.monotonic())
 
     async def _catch_up(self) -> None:
         """Takes a peer's endpoints: a daemon that starts without the platform.
@@ -133,7 +133,7 @@
                 )
             except PeerUnreachableError:
                 continue
-            self._table.adopt_list(parts.records, time.monotonic())
+            self._table.apply_list(parts.records, time.monotonic())
             return
 
     async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
@@ -183,7 +183,7 @@
         news = news_from_headers(state, answer.headers)
         if _tells_news(state, news):
             self._peers.add_news(news)
-        self._table.adopt_news(news)
+        self._table.apply_update(news)
 
 
 def _record_of(state: EndpointState) -> EndpointRecord:
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -96,7 +96,7 @@
             sample=action.index,
         )
         has_failed = False
-        self._table.note_sent(state.endpoint_id)
+        self._table.record_sent(state.endpoint_id)
         try:
             answer = await self._http.request(
                 "POST",
@@ -113,10 +113,10 @@
             self._http.forget(state.address)
             return None
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=has_failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
+        self._table.apply_update(news_from_headers(state, answer.headers))
         return None if has_failed else _decode(answer)
 
 
