--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -11,9 +11,9 @@
     WriteStore,
 )
 from daisyhub.accounting._ledger import (
-    EpochMark,
     Ledger,
-    Marks,
+    SealedParts,
+    SealedRanges,
     SealedWindow,
     StoredReport,
     seal,
@@ -24,7 +24,7 @@
     PartStore,
     UsageCount,
     UsagePart,
-    window_of,
+    window_start,
 )
 from daisyhub.accounting._rate_shares import RateShares
 from daisyhub.accounting._seal_core import (
@@ -56,7 +56,7 @@
     "LoanRequested",
     "CallFailed",
     "EmptyStore",
-    "EpochMark",
+    "SealedRanges",
     "FlushCore",
     "FlushTick",
     "LoanGranted",
@@ -66,7 +66,7 @@
     "LedgerWritten",
     "ListParts",
     "ListedStore",
-    "Marks",
+    "SealedParts",
     "PartCount",
     "PartStore",
     "PartsListed",
@@ -94,5 +94,5 @@
     "WriteLedger",
     "WriteStore",
     "seal",
-    "window_of",
+    "window_start",
 ]
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -3,19 +3,19 @@
 import dataclasses
 from collections.abc import Mapping
 
-from daisyhub.accounting._ledger import Marks
+from daisyhub.accounting._ledger import SealedParts
 from daisyhub.accounting._parts import (
     PartCount,
     PartId,
     UsagePart,
-    window_of,
+    window_start,
 )
 
 __all__ = ["PeerUsage", "UsageCounters"]
 
-_COPIES = 2
-_PARTS_PER_CUT_TICK = 60
-_COUNTS_PER_MESSAGE = 200
+_COPIES_PER_PART = 2
+_UNFLUSHED_PARTS_PER_EXTRA_TICK = 60
+_MAX_COUNTS_PER_MESSAGE = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -46,36 +46,38 @@
         self.daemon_id = daemon_id
         self.epoch = epoch
         self.window_s = window_s
-        self._open: dict[tuple[int, str], list[int]] = {}
-        self._own: dict[int, UsagePart] = {}
-        self._flushed: set[int] = set()
-        self._newest = 0
-        self._ticks = 0
-        self._held: dict[PartId, UsagePart] = {}
-        self._acknowledged: dict[tuple[str, int], int] = {}
-        self._to_tell: dict[str, tuple[int, int]] = {}
+        self._uncut_sums: dict[tuple[int, str], list[int]] = {}
+        self._own_parts: dict[int, UsagePart] = {}
+        self._flushed_numbers: set[int] = set()
+        self._last_number = 0
+        self._ticks_since_cut = 0
+        self._copies: dict[PartId, UsagePart] = {}
+        self._acked_numbers: dict[tuple[str, int], int] = {}
+        self._pending_acks: dict[str, tuple[int, int]] = {}
 
     def add(self, account: str, tokens: int, wall_s: float) -> None:
         """Counts one served request."""
-        place = (window_of(wall_s, self.window_s), account)
-        sums = self._open.setdefault(place, [0, 0])
+        key = (window_start(wall_s, self.window_s), account)
+        sums = self._uncut_sums.setdefault(key, [0, 0])
         sums[0] += 1
         sums[1] += tokens
 
     def cut_parts(self) -> None:
         """Makes parts of all that was counted since the last cut."""
         by_window: dict[int, list[PartCount]] = {}
-        for (window, account), (requests, tokens) in sorted(self._open.items()):
+        for (window, account), (requests, tokens) in sorted(
+            self._uncut_sums.items()
+        ):
             count = PartCount(account, requests, tokens)
             by_window.setdefault(window, []).append(count)
-        self._open.clear()
-        self._ticks = 0
+        self._uncut_sums.clear()
+        self._ticks_since_cut = 0
         for window, counts in by_window.items():
-            self._newest += 1
-            self._own[self._newest] = UsagePart(
+            self._last_number += 1
+            self._own_parts[self._last_number] = UsagePart(
                 daemon_id=self.daemon_id,
                 epoch=self.epoch,
-                number=self._newest,
+                number=self._last_number,
                 window=window,
                 counts=tuple(counts),
             )
@@ -89,23 +91,23 @@
         Args:
             live: Incarnations of the live peers of the domain.
         """
-        self._ticks += 1
-        unflushed = len(self._own) - len(self._flushed)
-        if self._ticks > unflushed // _PARTS_PER_CUT_TICK:
+        self._ticks_since_cut += 1
+        unflushed = len(self._own_parts) - len(self._flushed_numbers)
+        if self._ticks_since_cut > unflushed // _UNFLUSHED_PARTS_PER_EXTRA_TICK:
             self.cut_parts()
-        self._acknowledged = {
+        self._acked_numbers = {
             peer: number
-            for peer, number in self._acknowledged.items()
+            for peer, number in self._acked_numbers.items()
             if live.get(peer[0]) == peer[1]
         }
-        told, self._to_tell = self._to_tell, {}
-        keepers = self._keepers(live)
+        acks, self._pending_acks = self._pending_acks, {}
+        copy_targets = self._copy_targets(live)
         usage = {}
-        for peer in sorted({*told, *keepers}):
+        for peer in sorted({*acks, *copy_targets}):
             parts = ()
-            if peer in keepers:
-                parts = self._parts_for((peer, live[peer]))
-            epoch, number = told.get(peer, (0, 0))
+            if peer in copy_targets:
+                parts = self._unacked_parts((peer, live[peer]))
+            epoch, number = acks.get(peer, (0, 0))
             if parts or number:
                 usage[peer] = PeerUsage(parts, epoch, number)
         return usage
@@ -113,10 +115,12 @@
     def keep_copies(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
         """Keeps a peer's parts until they are sealed."""
         for part in parts:
-            self._held[part.part_id] = part
+            self._copies[part.part_id] = part
             if part.daemon_id == sender:
-                newest = self._to_tell.get(sender, (0, 0))
-                self._to_tell[sender] = max(newest, (part.epoch, part.number))
+                newest = self._pending_acks.get(sender, (0, 0))
+                self._pending_acks[sender] = max(
+                    newest, (part.epoch, part.number)
+                )
 
     def on_copies_acknowledged(
         self, peer: str, incarnation: int, epoch: int, number: int
@@ -124,77 +128,80 @@
         """Notes that a peer keeps this daemon's parts up to `number`."""
         if epoch != self.epoch:
             return
-        place = (peer, incarnation)
-        known = self._acknowledged.get(place, 0)
-        self._acknowledged[place] = max(known, number)
+        key = (peer, incarnation)
+        known = self._acked_numbers.get(key, 0)
+        self._acked_numbers[key] = max(known, number)
 
     def own_parts(self) -> list[UsagePart]:
         """Returns this epoch's parts that aren't known to be sealed."""
-        return list(self._own.values())
+        return list(self._own_parts.values())
 
-    def orphans(self, live: Mapping[str, int]) -> list[UsagePart]:
+    def orphaned_parts(self, live: Mapping[str, int]) -> list[UsagePart]:
         """Returns the held parts of epochs that no longer run."""
         return [
             part
-            for part in self._held.values()
+            for part in self._copies.values()
             if live.get(part.daemon_id) != part.epoch
         ]
 
-    def note_flushed(self, parts: tuple[UsagePart, ...]) -> None:
+    def record_flushed(self, parts: tuple[UsagePart, ...]) -> None:
         """Notes that the platform has these parts."""
         for part in parts:
-            if part.number in self._own and part == self._own[part.number]:
-                self._flushed.add(part.number)
+            if (
+                part.number in self._own_parts
+                and part == self._own_parts[part.number]
+            ):
+                self._flushed_numbers.add(part.number)
 
-    def forget(self, marks: Marks) -> None:
+    def drop_sealed(self, marks: SealedParts) -> None:
         """Forgets parts that are sealed."""
-        self._own = {
+        self._own_parts = {
             number: part
-            for number, part in self._own.items()
+            for number, part in self._own_parts.items()
             if part not in marks
         }
-        self._flushed.intersection_update(self._own)
-        self._held = {
+        self._flushed_numbers.intersection_update(self._own_parts)
+        self._copies = {
             part_id: part
-            for part_id, part in self._held.items()
+            for part_id, part in self._copies.items()
             if part not in marks
         }
 
     @property
     def unsealed_count(self) -> int:
         """How many own parts aren't known to be sealed."""
-        return len(self._own) + bool(self._open)
+        return len(self._own_parts) + bool(self._uncut_sums)
 
     @property
     def unkept_requests(self) -> int:
         """How many requests neither the platform nor a peer knows of."""
-        kept = max(self._acknowledged.values(), default=0)
-        unkept = sum(requests for requests, _ in self._open.values())
-        for number, part in self._own.items():
-            if number > kept and number not in self._flushed:
+        kept = max(self._acked_numbers.values(), default=0)
+        unkept = sum(requests for requests, _ in self._uncut_sums.values())
+        for number, part in self._own_parts.items():
+            if number > kept and number not in self._flushed_numbers:
                 unkept += sum(count.requests for count in part.counts)
         return unkept
 
     @property
     def copy_count(self) -> int:
         """How many parts of peers are kept here."""
-        return len(self._held)
+        return len(self._copies)
 
-    def _keepers(self, live: Mapping[str, int]) -> list[str]:
+    def _copy_targets(self, live: Mapping[str, int]) -> list[str]:
         """Returns the next live peers in the order of their ids."""
         ring = sorted(live)
         after = [peer for peer in ring if peer > self.daemon_id]
-        return (after + ring)[: min(_COPIES, len(ring))]
+        return (after + ring)[: min(_COPIES_PER_PART, len(ring))]
 
-    def _parts_for(self, peer: tuple[str, int]) -> tuple[UsagePart, ...]:
-        known = self._acknowledged.get(peer, 0)
+    def _unacked_parts(self, peer: tuple[str, int]) -> tuple[UsagePart, ...]:
+        known = self._acked_numbers.get(peer, 0)
         parts = []
-        room = _COUNTS_PER_MESSAGE
-        for number, part in self._own.items():
-            if number <= known or number in self._flushed:
+        remaining_counts = _MAX_COUNTS_PER_MESSAGE
+        for number, part in self._own_parts.items():
+            if number <= known or number in self._flushed_numbers:
                 continue
             parts.append(part)
-            room -= len(part.counts)
-            if room <= 0:
+            remaining_counts -= len(part.counts)
+            if remaining_counts <= 0:
                 break
         return tuple(parts)
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -10,8 +10,13 @@
 from collections.abc import Mapping
 
 from daisyhub.accounting._counters import UsageCounters
-from daisyhub.accounting._ledger import Marks
-from daisyhub.accounting._parts import PartId, PartStore, UsagePart, window_of
+from daisyhub.accounting._ledger import SealedParts
+from daisyhub.accounting._parts import (
+    PartId,
+    PartStore,
+    UsagePart,
+    window_start,
+)
 from daisyhub.accounting._seal_core import CallFailed, LedgerRead, ReadLedger
 from daisyhub.base import Core
 
@@ -25,7 +30,7 @@
     "WriteStore",
 ]
 
-_COUNTS_PER_STORE = 10_000
+_MAX_COUNTS_PER_STORE = 10_000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -87,20 +92,20 @@
     def __init__(self, counters: UsageCounters, retry_s: float):
         self._counters = counters
         self._retry_s = retry_s
-        self._stored: dict[PartId, UsagePart] = {}
+        self._stored_parts: dict[PartId, UsagePart] = {}
         self._version: int | None = None
-        self._marks: Marks | None = None
-        self._orphans: list[UsagePart] = []
-        self._pending = PartStore()
+        self._sealed_parts: SealedParts | None = None
+        self._orphaned_parts: list[UsagePart] = []
+        self._pending_store = PartStore()
         self._is_done = True
-        self._is_waiting = False
+        self._is_call_pending = False
         self._window_end_s = 0.0
-        self._next_s = 0.0
+        self._next_flush_s = 0.0
 
     @property
     def next_wakeup_s(self) -> float | None:
         """When to send the next `FlushTick`."""
-        return None if self._is_waiting else self._next_s
+        return None if self._is_call_pending else self._next_flush_s
 
     @property
     def is_done(self) -> bool:
@@ -116,8 +121,8 @@
                 return self._on_ledger(event, now_s)
             case StoreRead():
                 self._version = event.version
-                self._stored = {p.part_id: p for p in event.store.parts}
-                self._counters.note_flushed(event.store.parts)
+                self._stored_parts = {p.part_id: p for p in event.store.parts}
+                self._counters.record_flushed(event.store.parts)
                 return self._write(now_s)
             case StoreWritten():
                 return self._on_written(event, now_s)
@@ -129,63 +134,65 @@
         raise TypeError(f"not a flush event: {event!r}")
 
     def _on_tick(self, event: FlushTick, now_s: float) -> list[object]:
-        if self._is_waiting:
+        if self._is_call_pending:
             return []
-        if now_s < self._next_s and not event.is_closing:
+        if now_s < self._next_flush_s and not event.is_closing:
             return []
-        window = window_of(event.wall_s, self._counters.window_s)
+        window = window_start(event.wall_s, self._counters.window_s)
         end_wall_s = window + self._counters.window_s
         self._window_end_s = now_s + end_wall_s - event.wall_s
         self._counters.cut_parts()
-        self._orphans = self._counters.orphans(event.live)
-        self._is_waiting = True
+        self._orphaned_parts = self._counters.orphaned_parts(event.live)
+        self._is_call_pending = True
         self._is_done = False
         return [ReadLedger()]
 
     def _on_ledger(self, event: LedgerRead, now_s: float) -> list[object]:
-        self._marks = Marks(event.ledger)
-        self._counters.forget(self._marks)
+        self._sealed_parts = SealedParts(event.ledger)
+        self._counters.drop_sealed(self._sealed_parts)
         if self._version is None:
             return [ReadStore()]
         return self._write(now_s)
 
     def _write(self, now_s: float) -> list[object]:
-        wanted = dict(self._stored)
-        for part in (*self._counters.own_parts(), *self._orphans):
-            wanted[part.part_id] = part
-        unsealed = [p for p in wanted.values() if p not in self._marks]
+        known_parts = dict(self._stored_parts)
+        for part in (*self._counters.own_parts(), *self._orphaned_parts):
+            known_parts[part.part_id] = part
+        unsealed = [
+            p for p in known_parts.values() if p not in self._sealed_parts
+        ]
         parts = _oldest(unsealed)
-        if {p.part_id for p in parts} == set(self._stored):
-            return self._end(now_s)
-        self._pending = PartStore(parts=parts)
-        return [WriteStore(self._pending, self._version)]
+        if {p.part_id for p in parts} == set(self._stored_parts):
+            return self._finish_flush(now_s)
+        self._pending_store = PartStore(parts=parts)
+        return [WriteStore(self._pending_store, self._version)]
 
     def _on_written(self, event: StoreWritten, now_s: float) -> list[object]:
         self._version = event.version
-        self._stored = {p.part_id: p for p in self._pending.parts}
-        self._counters.note_flushed(self._pending.parts)
-        return self._end(now_s)
+        self._stored_parts = {p.part_id: p for p in self._pending_store.parts}
+        self._counters.record_flushed(self._pending_store.parts)
+        return self._finish_flush(now_s)
 
-    def _end(self, now_s: float) -> list[object]:
+    def _finish_flush(self, now_s: float) -> list[object]:
         self._is_done = True
-        self._next_s = max(now_s, self._window_end_s)
-        self._is_waiting = False
+        self._next_flush_s = max(now_s, self._window_end_s)
+        self._is_call_pending = False
         return []
 
     def _on_failed(self, now_s: float) -> list[object]:
         self._version = None
-        self._is_waiting = False
-        self._next_s = now_s + self._retry_s
+        self._is_call_pending = False
+        self._next_flush_s = now_s + self._retry_s
         return []
 
 
 def _oldest(parts: list[UsagePart]) -> tuple[UsagePart, ...]:
     """Returns the oldest parts that fit into an object."""
     chosen = []
-    room = _COUNTS_PER_STORE
+    remaining_counts = _MAX_COUNTS_PER_STORE
     for part in sorted(parts, key=lambda p: (p.window, p.part_id)):
-        room -= len(part.counts)
-        if room < 0 and chosen:
+        remaining_counts -= len(part.counts)
+        if remaining_counts < 0 and chosen:
             break
         chosen.append(part)
     return tuple(chosen)
--- a/daisyhub/accounting/_ledger.py
+++ b/daisyhub/accounting/_ledger.py
@@ -16,19 +16,19 @@
 )
 
 __all__ = [
-    "EpochMark",
+    "SealedRanges",
     "Ledger",
-    "Marks",
+    "SealedParts",
     "SealedWindow",
     "StoredReport",
     "seal",
 ]
 
-_KEPT_EPOCHS = 8
-_WINDOWS_PER_WRITE = 16
-_MOST_UNREPORTED = 64
-_MOST_UNREPORTED_BYTES = 500_000
-_MOST_WINDOWS_AHEAD = 2
+_MAX_EPOCHS_PER_DAEMON = 8
+_MAX_WINDOWS_PER_WRITE = 16
+_MAX_UNREPORTED_WINDOWS = 64
+_MAX_UNREPORTED_BYTES = 500_000
+_MAX_WINDOWS_AHEAD = 2
 
 Ranges = tuple[tuple[int, int], ...]
 
@@ -50,7 +50,7 @@
     late: tuple[UsageCount, ...] = ()
 
 
-class EpochMark(msgspec.Struct, frozen=True, kw_only=True):
+class SealedRanges(msgspec.Struct, frozen=True, kw_only=True):
     """Which parts of one daemon epoch are sealed.
 
     Attributes:
@@ -84,11 +84,11 @@
 
     window: int = -1
     unreported: tuple[StoredReport, ...] = ()
-    marks: tuple[EpochMark, ...] = ()
+    marks: tuple[SealedRanges, ...] = ()
     retired: dict[str, int] = {}
 
 
-class Marks:
+class SealedParts:
     """Tells which parts a ledger has sealed, and adds to them."""
 
     def __init__(self, ledger: Ledger):
@@ -105,25 +105,25 @@
         return any(first <= part.number <= last for first, last in ranges)
 
     def add(self, part: UsagePart) -> None:
-        """Marks one part as sealed."""
-        place = (part.daemon_id, part.epoch)
-        points = [*self._ranges.get(place, ()), (part.number, part.number)]
-        self._ranges[place] = _merge(points)
+        """SealedParts one part as sealed."""
+        key = (part.daemon_id, part.epoch)
+        points = [*self._ranges.get(key, ()), (part.number, part.number)]
+        self._ranges[key] = _merge(points)
 
-    def retire(self, kept: int = _KEPT_EPOCHS) -> None:
+    def drop_old_epochs(self, max_epochs: int = _MAX_EPOCHS_PER_DAEMON) -> None:
         """Forgets all but the newest `kept` epochs of each daemon."""
         epochs: dict[str, list[int]] = {}
         for daemon_id, epoch in self._ranges:
             epochs.setdefault(daemon_id, []).append(epoch)
         for daemon_id, found in epochs.items():
-            for epoch in sorted(found)[:-kept]:
+            for epoch in sorted(found)[:-max_epochs]:
                 del self._ranges[(daemon_id, epoch)]
                 self._retired[daemon_id] = epoch
 
-    def as_fields(self) -> dict[str, object]:
+    def to_ledger_fields(self) -> dict[str, object]:
         """Returns the ledger's fields `marks` and `retired`."""
         marks = tuple(
-            EpochMark(daemon_id=daemon_id, epoch=epoch, ranges=tuple(ranges))
+            SealedRanges(daemon_id=daemon_id, epoch=epoch, ranges=tuple(ranges))
             for (daemon_id, epoch), ranges in sorted(self._ranges.items())
         )
         return {"marks": marks, "retired": self._retired}
@@ -143,7 +143,7 @@
     domain: str,
     ledger: Ledger,
     parts: Iterable[UsagePart],
-    ended: int,
+    ended_window: int,
     length_s: float,
     reported: frozenset[int] = frozenset(),
 ) -> Ledger:
@@ -163,66 +163,72 @@
     unreported = tuple(
         report for report in ledger.unreported if report.window not in reported
     )
-    label = _label(ledger, ended, length_s)
-    if label is None or _is_full(unreported):
+    last_window = _last_sealable_window(ledger, ended_window, length_s)
+    if last_window is None or _is_full(unreported):
         return ledger
-    marks = Marks(ledger)
-    ahead = ended + _MOST_WINDOWS_AHEAD * length_s
-    by_window = _assign(ledger, marks, parts, label, ahead)
+    marks = SealedParts(ledger)
+    max_window = ended_window + _MAX_WINDOWS_AHEAD * length_s
+    by_window = _group_by_window(ledger, marks, parts, last_window, max_window)
     if not by_window:
         return ledger
-    for window in sorted(by_window)[:_WINDOWS_PER_WRITE]:
-        unreported += (_stored(domain, window, by_window[window], marks),)
+    for window in sorted(by_window)[:_MAX_WINDOWS_PER_WRITE]:
+        unreported += (_make_report(domain, window, by_window[window], marks),)
         if _is_full(unreported):
             break
-    marks.retire()
+    marks.drop_old_epochs()
     newest = unreported[-1].window
-    return Ledger(window=newest, unreported=unreported, **marks.as_fields())
+    return Ledger(
+        window=newest, unreported=unreported, **marks.to_ledger_fields()
+    )
 
 
 def _is_full(unreported: tuple[StoredReport, ...]) -> bool:
     """Tells whether the object has no room for more windows."""
     size_bytes = sum(len(report.body) for report in unreported)
-    is_large = size_bytes >= _MOST_UNREPORTED_BYTES
-    return is_large or len(unreported) >= _MOST_UNREPORTED
+    is_large = size_bytes >= _MAX_UNREPORTED_BYTES
+    return is_large or len(unreported) >= _MAX_UNREPORTED_WINDOWS
 
 
-def _label(ledger: Ledger, ended: int, length_s: float) -> int | None:
+def _last_sealable_window(
+    ledger: Ledger, ended_window: int, length_s: float
+) -> int | None:
     """Returns the newest window to seal, or None to wait.
 
     After a writer whose clock was far ahead, windows go on from its newest
     one, so that a wrong clock can't stop the reports.
     """
-    if ended > ledger.window:
-        return ended
-    if ledger.window - ended > _MOST_WINDOWS_AHEAD * length_s:
+    if ended_window > ledger.window:
+        return ended_window
+    if ledger.window - ended_window > _MAX_WINDOWS_AHEAD * length_s:
         return int(ledger.window + length_s)
     return None
 
 
-def _assign(
+def _group_by_window(
     ledger: Ledger,
-    marks: Marks,
+    marks: SealedParts,
     parts: Iterable[UsagePart],
-    label: int,
-    ahead: float,
+    last_window: int,
+    max_window: float,
 ) -> dict[int, list[UsagePart]]:
     """Groups unsealed parts by the window that will take them."""
-    new = {part.part_id: part for part in parts if part not in marks}
+    unsealed_parts = {part.part_id: part for part in parts if part not in marks}
     by_window: dict[int, list[UsagePart]] = {}
-    others: list[UsagePart] = []
-    for part in new.values():
-        if ledger.window < part.window <= label:
+    late_or_misdated: list[UsagePart] = []
+    for part in unsealed_parts.values():
+        if ledger.window < part.window <= last_window:
             by_window.setdefault(part.window, []).append(part)
-        elif part.window <= ledger.window or part.window > ahead:
-            others.append(part)
-    if others:
-        by_window.setdefault(min(by_window, default=label), []).extend(others)
+        elif part.window <= ledger.window or part.window > max_window:
+            late_or_misdated.append(part)
+    if late_or_misdated:
+        by_window.setdefault(min(by_window, default=last_window), []).extend(
+            late_or_misdated
+        )
     return by_window
 
 
-def _stored(
-    domain: str, window: int, parts: list[UsagePart], marks: Marks
+def _make_report(
+    domain: str, window: int, parts: list[UsagePart], marks: SealedParts
 ) -> StoredReport:
     for part in parts:
         marks.add(part)
--- a/daisyhub/accounting/_parts.py
+++ b/daisyhub/accounting/_parts.py
@@ -17,7 +17,7 @@
     "UsageCount",
     "UsagePart",
     "sum_counts",
-    "window_of",
+    "window_start",
 ]
 
 PartId = tuple[str, int, int]
@@ -76,7 +76,7 @@
     version: int
 
 
-def window_of(wall_s: float, length_s: float) -> int:
+def window_start(wall_s: float, length_s: float) -> int:
     """Returns the start of the window that a time falls into."""
     return int(wall_s // length_s * length_s)
 
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -13,8 +13,8 @@
 
 __all__ = ["RateShares"]
 
-_SMOOTHING = 0.5
-_FORGET_BELOW_PER_S = 0.01
+_SMOOTHING_FACTOR = 0.5
+_MIN_RATE_PER_S = 0.01
 
 
 class RateShares:
@@ -27,7 +27,7 @@
 
     def __init__(self, core: ShareCore, started_s: float):
         self._core = core
-        self._ticked_s = started_s
+        self._measured_at_s = started_s
         self._arrivals: dict[str, int] = {}
         self._limits: dict[str, float] = {}
         self._rates: dict[str, float] = {}
@@ -50,7 +50,9 @@
     ) -> list[SendLoanRequest | SendLoanGrant]:
         """Returns what to send to peers."""
         self._measure(now_s)
-        wanted = {account: self._wanted(account) for account in self._rates}
+        wanted = {
+            account: self._wanted_quanta(account) for account in self._rates
+        }
         return self._core.handle(ShareTick(wanted, live), now_s)
 
     def handle(self, event: LoanRequested | LoanGranted, now_s: float) -> None:
@@ -58,19 +60,19 @@
         self._core.handle(event, now_s)
 
     def _measure(self, now_s: float) -> None:
-        passed_s = now_s - self._ticked_s
-        if passed_s <= 0:
+        elapsed_s = now_s - self._measured_at_s
+        if elapsed_s <= 0:
             return
         arrivals, self._arrivals = self._arrivals, {}
-        self._ticked_s = now_s
+        self._measured_at_s = now_s
         for account in {**self._rates, **arrivals}:
-            now_rate = arrivals.get(account, 0) / passed_s
-            rate = self._rates.get(account, now_rate)
-            rate += _SMOOTHING * (now_rate - rate)
+            current_rate = arrivals.get(account, 0) / elapsed_s
+            rate = self._rates.get(account, current_rate)
+            rate += _SMOOTHING_FACTOR * (current_rate - rate)
             self._rates[account] = rate
-            if rate < _FORGET_BELOW_PER_S:
+            if rate < _MIN_RATE_PER_S:
                 del self._rates[account], self._limits[account]
 
-    def _wanted(self, account: str) -> int:
+    def _wanted_quanta(self, account: str) -> int:
         used = self._rates[account] / self._limits[account]
         return math.ceil(used * self._core.total)
--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -9,8 +9,8 @@
 
 import dataclasses
 
-from daisyhub.accounting._ledger import Ledger, Marks, seal
-from daisyhub.accounting._parts import ListedStore, window_of
+from daisyhub.accounting._ledger import Ledger, SealedParts, seal
+from daisyhub.accounting._parts import ListedStore, window_start
 from daisyhub.base import Core
 
 __all__ = [
@@ -145,21 +145,21 @@
         self._retry_s = retry_s
         self._fencing = 0
         self._ledger: Ledger | None = None
-        self._pending: Ledger | None = None
+        self._pending_ledger: Ledger | None = None
         self._version = 0
         self._reported: frozenset[int] = frozenset()
-        self._checked = -1
-        self._running: frozenset[str] = frozenset()
-        self._to_empty: list[EmptyStore] = []
-        self._ended = -1
+        self._checked_window = -1
+        self._running_daemons: frozenset[str] = frozenset()
+        self._stores_to_empty: list[EmptyStore] = []
+        self._ended_window = -1
         self._wall_offset_s = 0.0
-        self._is_waiting = False
-        self._next_s = 0.0
+        self._is_call_pending = False
+        self._next_check_s = 0.0
 
     @property
     def next_wakeup_s(self) -> float | None:
         """When to send the next `SealTick`."""
-        return None if self._is_waiting else self._next_s
+        return None if self._is_call_pending else self._next_check_s
 
     @property
     def last_sealed(self) -> int:
@@ -173,48 +173,48 @@
                 return self._on_tick(event, now_s)
             case LedgerRead():
                 self._ledger, self._version = event.ledger, event.version
-                return self._step(now_s)
+                return self._next_action(now_s)
             case PartsListed():
                 return self._on_parts(event, now_s)
             case LedgerWritten():
                 return self._on_written(event, now_s)
             case StoreEmptied():
-                return self._step(now_s)
+                return self._next_action(now_s)
             case ReportAccepted():
                 self._reported |= {event.window}
-                return self._step(now_s)
+                return self._next_action(now_s)
             case LedgerWriteRejected() | CallFailed():
                 return self._on_failed(now_s)
         raise TypeError(f"not a seal event: {event!r}")
 
     def _on_tick(self, event: SealTick, now_s: float) -> list[object]:
-        if self._is_waiting:
+        if self._is_call_pending:
             return []
         if event.fencing != self._fencing:
             self._ledger = None
         self._fencing = event.fencing
-        self._running = event.running
+        self._running_daemons = event.running
         self._wall_offset_s = event.wall_s - now_s
-        if not self._fencing or now_s < self._next_s:
+        if not self._fencing or now_s < self._next_check_s:
             return []
-        return self._step(now_s)
+        return self._next_action(now_s)
 
-    def _step(self, now_s: float) -> list[object]:
+    def _next_action(self, now_s: float) -> list[object]:
         """Returns the next thing to do, most urgent first."""
-        self._is_waiting = True
+        self._is_call_pending = True
         if self._ledger is None:
             return [ReadLedger()]
         for report in self._ledger.unreported:
             if report.window not in self._reported:
                 return [SendReport(report.window, report.body, self._fencing)]
-        if self._to_empty:
-            return [self._to_empty.pop()]
-        over_s = now_s + self._wall_offset_s - self._grace_s - self._window_s
-        self._ended = window_of(over_s, self._window_s)
-        if self._ended != self._checked:
+        if self._stores_to_empty:
+            return [self._stores_to_empty.pop()]
+        cutoff_s = now_s + self._wall_offset_s - self._grace_s - self._window_s
+        self._ended_window = window_start(cutoff_s, self._window_s)
+        if self._ended_window != self._checked_window:
             return [ListParts()]
-        self._is_waiting = False
-        self._next_s = now_s + self._window_s - over_s % self._window_s
+        self._is_call_pending = False
+        self._next_check_s = now_s + self._window_s - cutoff_s % self._window_s
         return []
 
     def _on_parts(self, event: PartsListed, now_s: float) -> list[object]:
@@ -222,15 +222,15 @@
             self._domain,
             self._ledger,
             [part for listed in event.stores for part in listed.store.parts],
-            self._ended,
+            self._ended_window,
             self._window_s,
             self._reported,
         )
         if sealed is self._ledger:
-            self._checked = self._ended
-            self._to_empty = self._sealed_stores(event)
-            return self._step(now_s)
-        self._pending = sealed
+            self._checked_window = self._ended_window
+            self._stores_to_empty = self._sealed_stores(event)
+            return self._next_action(now_s)
+        self._pending_ledger = sealed
         return [WriteLedger(sealed, self._version, self._fencing)]
 
     def _sealed_stores(self, event: PartsListed) -> list[EmptyStore]:
@@ -238,24 +238,24 @@
 
         The API has no delete; emptied, they cost little in each list.
         """
-        marks = Marks(self._ledger)
+        marks = SealedParts(self._ledger)
         return [
             EmptyStore(listed.daemon_id, listed.version)
             for listed in event.stores
-            if listed.daemon_id not in self._running
+            if listed.daemon_id not in self._running_daemons
             and listed.store.parts
             and all(part in marks for part in listed.store.parts)
         ]
 
     def _on_written(self, event: LedgerWritten, now_s: float) -> list[object]:
-        self._ledger, self._version = self._pending, event.version
+        self._ledger, self._version = self._pending_ledger, event.version
         unreported = {report.window for report in self._ledger.unreported}
         self._reported &= unreported
-        return self._step(now_s)
+        return self._next_action(now_s)
 
     def _on_failed(self, now_s: float) -> list[object]:
         self._ledger = None
-        self._to_empty = []
-        self._is_waiting = False
-        self._next_s = now_s + self._retry_s
+        self._stores_to_empty = []
+        self._is_call_pending = False
+        self._next_check_s = now_s + self._retry_s
         return []
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -22,15 +22,15 @@
     "SendLoanGrant",
     "ShareCore",
     "ShareTick",
-    "Wants",
+    "AccountQuanta",
 ]
 
-BASE_QUANTA = 16
-_FLOOR_QUANTA = 2
-_HEADROOM = 1.25
-_ASKS_PER_TERM = 3
+QUANTA_PER_DAEMON = 16
+_MIN_QUANTA = 2
+_HEADROOM_FACTOR = 1.25
+_REQUESTS_PER_TERM = 3
 
-Wants = tuple[tuple[str, int], ...]
+AccountQuanta = tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -54,7 +54,7 @@
     peer: str
     incarnation: int
     stamp_s: float
-    wants: Wants
+    wants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -73,7 +73,7 @@
     lender_incarnation: int
     incarnation: int
     stamp_s: float
-    grants: Wants
+    grants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -83,7 +83,7 @@
     peer: str
     incarnation: int
     stamp_s: float
-    wants: Wants
+    wants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -93,7 +93,7 @@
     peer: str
     incarnation: int
     stamp_s: float
-    grants: Wants
+    grants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -122,18 +122,18 @@
         margin_s: float,
         started_s: float,
     ):
-        self.total = BASE_QUANTA * daemons
+        self.total = QUANTA_PER_DAEMON * daemons
         self._incarnation = incarnation
         self._term_s = term_s
         self._margin_s = margin_s
-        self._held_until_s = started_s + term_s + margin_s
-        self._neighbours = daemons - 1
-        self._confirmed: set[str] = set()
+        self._restricted_until_s = started_s + term_s + margin_s
+        self._peer_count = daemons - 1
+        self._confirmed_peers: set[str] = set()
         self._incarnations: dict[str, int] = {}
         self._lent: dict[str, dict[str, list[_Loan]]] = {}
         self._borrowed: dict[str, dict[str, _Loan]] = {}
-        self._asks: dict[str, LoanRequested] = {}
-        self._next_ask_s = started_s
+        self._pending_requests: dict[str, LoanRequested] = {}
+        self._next_request_s = started_s
 
     @property
     def next_wakeup_s(self) -> float | None:
@@ -142,7 +142,9 @@
 
     def quanta(self, account: str, now_s: float) -> int:
         """Returns how much of an account's limit may be used here now."""
-        return self._own(account, now_s) + self._borrowed_quanta(account, now_s)
+        return self._own_quanta(account, now_s) + self._borrowed_quanta(
+            account, now_s
+        )
 
     def share(self, account: str, now_s: float) -> float:
         """Returns the same as a share of the limit, 0 to 1."""
@@ -154,8 +156,8 @@
             case ShareTick():
                 return self._on_tick(event, now_s)
             case LoanRequested():
-                self._note_incarnation(event.peer, event.incarnation)
-                self._asks[event.peer] = event
+                self._record_incarnation(event.peer, event.incarnation)
+                self._pending_requests[event.peer] = event
                 return []
             case LoanGranted():
                 self._on_grant(event)
@@ -163,93 +165,97 @@
         raise TypeError(f"not a share event: {event!r}")
 
     def _on_tick(self, event: ShareTick, now_s: float) -> list[object]:
-        self._forget_ended(now_s)
-        actions = self._answer_asks(event, now_s)
-        if now_s < self._next_ask_s:
+        self._drop_ended_loans(now_s)
+        actions = self._answer_requests(event, now_s)
+        if now_s < self._next_request_s:
             return actions
-        wants = self._missing(event, now_s)
-        if not wants and not self._is_held_back(now_s):
+        wants = self._missing_quanta(event, now_s)
+        if not wants and not self._is_restricted(now_s):
             return actions
-        if not self._is_held_back(now_s):
-            self._next_ask_s = now_s + self._term_s / _ASKS_PER_TERM
+        if not self._is_restricted(now_s):
+            self._next_request_s = now_s + self._term_s / _REQUESTS_PER_TERM
         for peer in event.live:
             actions.append(
                 SendLoanRequest(peer, self._incarnation, now_s, wants)
             )
         return actions
 
-    def _missing(self, event: ShareTick, now_s: float) -> Wants:
+    def _missing_quanta(self, event: ShareTick, now_s: float) -> AccountQuanta:
         missing = []
         for account, wanted in sorted(event.wanted.items()):
             usable = min(wanted, self.total)
-            lacking = usable - self._own(account, now_s)
+            lacking = usable - self._own_quanta(account, now_s)
             if lacking > 0:
                 missing.append((account, lacking))
         return tuple(missing)
 
-    def _answer_asks(self, event: ShareTick, now_s: float) -> list[object]:
-        asks, self._asks = self._asks, {}
-        asked: dict[str, int] = {}
-        for ask in asks.values():
-            for account, quanta in ask.wants:
-                asked[account] = asked.get(account, 0) + quanta
+    def _answer_requests(self, event: ShareTick, now_s: float) -> list[object]:
+        requests, self._pending_requests = self._pending_requests, {}
+        requested: dict[str, int] = {}
+        for request in requests.values():
+            for account, quanta in request.wants:
+                requested[account] = requested.get(account, 0) + quanta
         spare = {
-            account: self._spare(event.wanted.get(account, 0), now_s)
-            for account in asked
+            account: self._spare_quanta(event.wanted.get(account, 0), now_s)
+            for account in requested
         }
         return [
-            self._grant(ask, asked, spare, now_s)
-            for _, ask in sorted(asks.items())
+            self._grant_loan(request, requested, spare, now_s)
+            for _, request in sorted(requests.items())
         ]
 
-    def _spare(self, wanted: int, now_s: float) -> int:
-        if self._is_held_back(now_s):
+    def _spare_quanta(self, wanted: int, now_s: float) -> int:
+        if self._is_restricted(now_s):
             return 0
-        kept = max(_FLOOR_QUANTA, int(wanted * _HEADROOM))
-        return max(0, BASE_QUANTA - kept)
+        kept = max(_MIN_QUANTA, int(wanted * _HEADROOM_FACTOR))
+        return max(0, QUANTA_PER_DAEMON - kept)
 
-    def _grant(
-        self, ask: LoanRequested, asked, spare, now_s: float
+    def _grant_loan(
+        self, request: LoanRequested, requested, spare, now_s: float
     ) -> SendLoanGrant:
         """Lends a part of the spare quanta in proportion to the asks."""
         grants = []
-        for account, wanted in ask.wants:
-            part = spare[account] * wanted // asked[account]
-            room = BASE_QUANTA - _FLOOR_QUANTA
-            room -= self._lent_quanta(account, now_s, other_than=ask.peer)
-            quanta = max(0, min(wanted, part, room))
+        for account, wanted in request.wants:
+            part = spare[account] * wanted // requested[account]
+            max_loan = QUANTA_PER_DAEMON - _MIN_QUANTA
+            max_loan -= self._lent_quanta(
+                account, now_s, except_peer=request.peer
+            )
+            quanta = max(0, min(wanted, part, max_loan))
             grants.append((account, quanta))
-            self._note_lent(account, ask, quanta, now_s)
+            self._record_loan(account, request, quanta, now_s)
         return SendLoanGrant(
-            ask.peer, ask.incarnation, ask.stamp_s, tuple(grants)
+            request.peer, request.incarnation, request.stamp_s, tuple(grants)
         )
 
-    def _note_lent(self, account, ask: LoanRequested, quanta, now_s) -> None:
+    def _record_loan(
+        self, account, request: LoanRequested, quanta, now_s
+    ) -> None:
         """Notes a loan beside earlier ones, which may still be used."""
         if not quanta:
             return
         until_s = now_s + self._term_s + self._margin_s
-        loans = self._lent.setdefault(account, {}).setdefault(ask.peer, [])
-        loans.append(_Loan(quanta, ask.stamp_s, until_s))
+        loans = self._lent.setdefault(account, {}).setdefault(request.peer, [])
+        loans.append(_Loan(quanta, request.stamp_s, until_s))
 
     def _on_grant(self, event: LoanGranted) -> None:
-        self._note_incarnation(event.peer, event.lender_incarnation)
+        self._record_incarnation(event.peer, event.lender_incarnation)
         is_current = (
             event.incarnation == self._incarnation
             and event.lender_incarnation == self._incarnations[event.peer]
         )
         if not is_current:
             return
-        self._confirmed.add(event.peer)
+        self._confirmed_peers.add(event.peer)
         for account, quanta in event.grants:
             loans = self._borrowed.setdefault(account, {})
-            known = loans.get(event.peer)
-            if known is not None and known.stamp_s >= event.stamp_s:
+            previous = loans.get(event.peer)
+            if previous is not None and previous.stamp_s >= event.stamp_s:
                 continue
             until_s = event.stamp_s + self._term_s
             loans[event.peer] = _Loan(quanta, event.stamp_s, until_s)
 
-    def _note_incarnation(self, peer: str, incarnation: int) -> None:
+    def _record_incarnation(self, peer: str, incarnation: int) -> None:
         """Stops using what an earlier incarnation of a peer lent."""
         if incarnation <= self._incarnations.get(peer, 0):
             return
@@ -257,22 +263,22 @@
         for loans in self._borrowed.values():
             loans.pop(peer, None)
 
-    def _is_held_back(self, now_s: float) -> bool:
+    def _is_restricted(self, now_s: float) -> bool:
         """Tells whether peers may use what an earlier incarnation lent."""
-        is_confirmed = len(self._confirmed) >= self._neighbours
-        return now_s < self._held_until_s and not is_confirmed
+        is_confirmed = len(self._confirmed_peers) >= self._peer_count
+        return now_s < self._restricted_until_s and not is_confirmed
 
-    def _own(self, account: str, now_s: float) -> int:
-        if self._is_held_back(now_s):
-            return _FLOOR_QUANTA
-        return BASE_QUANTA - self._lent_quanta(account, now_s)
+    def _own_quanta(self, account: str, now_s: float) -> int:
+        if self._is_restricted(now_s):
+            return _MIN_QUANTA
+        return QUANTA_PER_DAEMON - self._lent_quanta(account, now_s)
 
-    def _lent_quanta(self, account, now_s: float, other_than: str = "") -> int:
+    def _lent_quanta(self, account, now_s: float, except_peer: str = "") -> int:
         """Returns the most that peers may use of this daemon's share."""
         return sum(
             max((x.quanta for x in loans if now_s < x.until_s), default=0)
             for peer, loans in self._lent.get(account, {}).items()
-            if peer != other_than
+            if peer != except_peer
         )
 
     def _borrowed_quanta(self, account: str, now_s: float) -> int:
@@ -281,7 +287,7 @@
             return 0
         return sum(x.quanta for x in loans.values() if now_s < x.until_s)
 
-    def _forget_ended(self, now_s: float) -> None:
+    def _drop_ended_loans(self, now_s: float) -> None:
         for account, peers in list(self._lent.items()):
             for peer, loans in list(peers.items()):
                 peers[peer] = [x for x in loans if now_s < x.until_s]
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -4,8 +4,8 @@
 
 from daisyhub.accounting import (
     Ledger,
-    Marks,
     PartCount,
+    SealedParts,
     SealedWindow,
     UsageCounters,
     UsagePart,
@@ -74,8 +74,8 @@
             done = frozenset(r.window for r in ledger.unreported)
             ledger = seal("busan", ledger, parts, 60 * epoch, WINDOW_S, done)
         self.assertEqual(len(ledger.marks), 8)
-        self.assertIn(part(1, 60, epoch=1), Marks(ledger))
-        self.assertNotIn(part(2, 60, epoch=19), Marks(ledger))
+        self.assertIn(part(1, 60, epoch=1), SealedParts(ledger))
+        self.assertNotIn(part(2, 60, epoch=19), SealedParts(ledger))
 
 
 class CountersTest(unittest.TestCase):
@@ -83,18 +83,18 @@
         live = {"b": 1, "c": 1, "d": 1}
         a, b = UsageCounters("a", 1, WINDOW_S), UsageCounters("b", 1, WINDOW_S)
         a.add("yard", 5, 61.0)
-        told = a.tick(live)
-        self.assertEqual(list(told), ["b", "c"])
-        b.keep_copies("a", told["b"].parts)
-        back = b.tick({"a": 1})["a"]
-        a.on_copies_acknowledged("b", 1, back.acked_epoch, back.acked_number)
+        usage = a.tick(live)
+        self.assertEqual(list(usage), ["b", "c"])
+        b.keep_copies("a", usage["b"].parts)
+        reply = b.tick({"a": 1})["a"]
+        a.on_copies_acknowledged("b", 1, reply.acked_epoch, reply.acked_number)
         self.assertEqual(a.unkept_requests, 0)
         self.assertEqual(list(a.tick(live)), ["c"])
-        self.assertFalse(b.orphans({"a": 1}))
-        self.assertEqual(b.orphans({"a": 2}), list(told["b"].parts))
-        ledger = seal("busan", Ledger(), told["b"].parts, 60, WINDOW_S)
+        self.assertFalse(b.orphaned_parts({"a": 1}))
+        self.assertEqual(b.orphaned_parts({"a": 2}), list(usage["b"].parts))
+        ledger = seal("busan", Ledger(), usage["b"].parts, 60, WINDOW_S)
         for counters in (a, b):
-            counters.forget(Marks(ledger))
+            counters.drop_sealed(SealedParts(ledger))
         self.assertEqual((a.unsealed_count, b.copy_count), (0, 0))
 
     def test_a_long_backlog_is_cut_more_rarely(self):
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -37,9 +37,9 @@
     @initialize()
     def start(self):
         self.now_s = 100.0
-        self.starts = 0
-        self.mail = []
-        self.cores, self.started = {}, {}
+        self.start_count = 0
+        self.in_flight = []
+        self.cores, self.incarnations = {}, {}
         for name in DAEMONS:
             self.restart(name)
         self.now_s += TERM_S + MARGIN_S
@@ -52,19 +52,25 @@
         live = tuple(n for n in DAEMONS if n != name)
         event = ShareTick({ACCOUNT: wanted}, live)
         for action in self.cores[name].handle(event, self.now_s):
-            self.mail.append((name, self.started[name], action))
+            self.in_flight.append((name, self.incarnations[name], action))
 
-    @rule(how=st.sampled_from(["all", "all", "first", "last", "twice", "drop"]))
-    def deliver(self, how):
-        count = len(self.mail) if how == "all" else min(1, len(self.mail))
+    @rule(
+        mode=st.sampled_from(["all", "all", "first", "last", "twice", "drop"])
+    )
+    def deliver(self, mode):
+        count = (
+            len(self.in_flight)
+            if mode == "all"
+            else min(1, len(self.in_flight))
+        )
         for _ in range(count):
-            item = self.mail.pop(-1 if how == "last" else 0)
-            if how == "twice":
-                self.mail.append(item)
-            if how != "drop":
-                self.hear(*item)
+            item = self.in_flight.pop(-1 if mode == "last" else 0)
+            if mode == "twice":
+                self.in_flight.append(item)
+            if mode != "drop":
+                self.receive(*item)
 
-    def hear(self, sender, incarnation, action):
+    def receive(self, sender, incarnation, action):
         stamp = (action.incarnation, action.stamp_s)
         if isinstance(action, SendLoanRequest):
             event = LoanRequested(sender, *stamp, action.wants)
@@ -75,14 +81,14 @@
     @rule(
         wants=st.permutations([0, 4, 48]),
         later=st.permutations([0, 4, 48]),
-        is_heard=st.booleans(),
+        is_delivered=st.booleans(),
     )
-    def take_round(self, wants, later, is_heard):
+    def exchange_loans(self, wants, later, is_delivered):
         """Asks go out and are answered, perhaps with other wants by then."""
         self.tick_all(wants)
         self.deliver("all")
         self.tick_all(later)
-        if is_heard:
+        if is_delivered:
             self.deliver("all")
         self.now_s += 1.4
 
@@ -96,14 +102,14 @@
 
     @rule(name=st.sampled_from(DAEMONS))
     def restart(self, name):
-        self.starts += 1
-        self.started[name] = self.starts
+        self.start_count += 1
+        self.incarnations[name] = self.start_count
         self.cores[name] = self.core_class(
-            self.starts, len(DAEMONS), TERM_S, MARGIN_S, self.now_s
+            self.start_count, len(DAEMONS), TERM_S, MARGIN_S, self.now_s
         )
 
     @invariant()
-    def all_together_stay_within_the_limit(self):
+    def sum_stays_within_limit(self):
         quanta = [
             core.quanta(ACCOUNT, self.now_s)
             for core in getattr(self, "cores", {}).values()
@@ -113,28 +119,28 @@
         assert all(quanta) or not quanta, "a daemon has nothing left"
 
 
-class CountsFromAnswer(ShareCore):
+class CountsFromGrant(ShareCore):
     """Broken: a loan counts at the borrower from hearing the answer."""
 
     def handle(self, event, now_s):
-        self._heard_s = now_s
+        self._received_s = now_s
         return super().handle(event, now_s)
 
     def _on_grant(self, event):
-        super()._on_grant(dataclasses.replace(event, stamp_s=self._heard_s))
+        super()._on_grant(dataclasses.replace(event, stamp_s=self._received_s))
 
 
-class UsesAllAfterStart(ShareCore):
+class IgnoresRestart(ShareCore):
     """Broken: a restarted daemon uses what its last incarnation lent."""
 
-    def _is_held_back(self, now_s):
+    def _is_restricted(self, now_s):
         return False
 
 
-class ConfirmsAndUses(ShareCore):
+class KeepsLoansOfRestartedLender(ShareCore):
     """Broken: a borrower confirms a restart and goes on using its loans."""
 
-    def _note_incarnation(self, peer, incarnation):
+    def _record_incarnation(self, peer, incarnation):
         known = self._incarnations.get(peer, 0)
         self._incarnations[peer] = max(known, incarnation)
 
@@ -142,15 +148,15 @@
 class ReplacesLoans(ShareCore):
     """Broken: a smaller loan replaces one that the borrower still uses."""
 
-    def _note_lent(self, account, ask, quanta, now_s):
-        self._lent.setdefault(account, {})[ask.peer] = []
-        super()._note_lent(account, ask, quanta, now_s)
+    def _record_loan(self, account, request, quanta, now_s):
+        self._lent.setdefault(account, {})[request.peer] = []
+        super()._record_loan(account, request, quanta, now_s)
 
 
 BROKEN = (
-    CountsFromAnswer,
-    UsesAllAfterStart,
-    ConfirmsAndUses,
+    CountsFromGrant,
+    IgnoresRestart,
+    KeepsLoansOfRestartedLender,
     ReplacesLoans,
 )
 
@@ -170,10 +176,10 @@
     def test_shares_follow_demand_and_come_back(self):
         machine = ShareMachine()
         machine.start()
-        self.shares_after(machine, [48, 0, 0], rounds=2)
-        self.assertEqual(self.shares_after(machine, [48, 0, 0]), [44, 2, 2])
-        self.assertEqual(self.shares_after(machine, [0, 48, 0]), [2, 44, 2])
-        self.assertEqual(self.shares_after(machine, [48, 48, 0]), [23, 23, 2])
+        self.quanta_after(machine, [48, 0, 0], rounds=2)
+        self.assertEqual(self.quanta_after(machine, [48, 0, 0]), [44, 2, 2])
+        self.assertEqual(self.quanta_after(machine, [0, 48, 0]), [2, 44, 2])
+        self.assertEqual(self.quanta_after(machine, [48, 48, 0]), [23, 23, 2])
         machine.now_s += TERM_S + MARGIN_S
         quanta = [c.quanta(ACCOUNT, machine.now_s) for c in self.cores(machine)]
         self.assertEqual(quanta, [16, 16, 16])
@@ -184,13 +190,13 @@
         machine.restart("d0")
         core = machine.cores["d0"]
         self.assertEqual(core.quanta(ACCOUNT, machine.now_s), 2)
-        machine.take_round([0, 0, 0], [0, 0, 0], True)
+        machine.exchange_loans([0, 0, 0], [0, 0, 0], True)
         self.assertEqual(core.quanta(ACCOUNT, machine.now_s), 16)
 
     def cores(self, machine):
         return [machine.cores[name] for name in DAEMONS]
 
-    def shares_after(self, machine, wants, rounds=8):
+    def quanta_after(self, machine, wants, rounds=8):
         for _ in range(rounds):
-            machine.take_round(wants, wants, True)
+            machine.exchange_loans(wants, wants, True)
         return [c.quanta(ACCOUNT, machine.now_s) for c in self.cores(machine)]
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -24,13 +24,13 @@
     LedgerWritten,
     ListedStore,
     ListParts,
-    Marks,
     PartsListed,
     PartStore,
     ReadLedger,
     ReadStore,
     ReportAccepted,
     SealCore,
+    SealedParts,
     SealedWindow,
     SealTick,
     SendReport,
@@ -47,9 +47,9 @@
 WINDOW_S = 10.0
 GRACE_S = 2.0
 DAEMONS = ("d0", "d1", "d2")
-MOST_STARTS = 6
-HEAL_TURNS = 12
-TARGETS = (
+MAX_STARTS = 6
+RECOVERY_TURNS = 12
+FAULTY_CALLS = (
     WriteLedger,
     WriteStore,
     SendReport,
@@ -75,9 +75,11 @@
             assert known in (None, report.body), "a window was sealed twice"
             if known is None:
                 self.sealed[report.window] = report.body
-                self.take(msgspec.json.decode(report.body, type=SealedWindow))
+                self.add_window(
+                    msgspec.json.decode(report.body, type=SealedWindow)
+                )
 
-    def take(self, window):
+    def add_window(self, window):
         for count in window.counts:
             add(self.sums, count.account, count.requests, count.tokens)
             sealed = self.sums[count.account]
@@ -116,8 +118,8 @@
         self.ledger, self.ledger_version = Ledger(), 0
         self.stores = {name: (PartStore(), 0) for name in DAEMONS}
         self.oracle = Oracle()
-        self.mail, self.late_writes, self.stalled = [], [], {}
-        self.fencing, self.blind = 0, set()
+        self.in_flight, self.late_writes, self.pending_actions = [], [], {}
+        self.fencing, self.cut_off = 0, set()
         self.starts = dict.fromkeys(DAEMONS, 0)
         self.daemons = {}
         for name in DAEMONS:
@@ -137,11 +139,11 @@
     def live(self, name):
         """Returns the incarnations of the peers that `name` sees."""
         seen = {n: self.starts[n] for n in DAEMONS if n != name}
-        return {} if name in self.blind else seen
+        return {} if name in self.cut_off else seen
 
     @rule(name=st.sampled_from(DAEMONS))
-    def cut_off_or_join(self, name):
-        self.blind ^= {name}
+    def toggle_connection(self, name):
+        self.cut_off ^= {name}
 
     @rule(
         name=st.sampled_from(DAEMONS),
@@ -159,22 +161,22 @@
     def send_copies(self, name):
         counters = self.daemons[name].counters
         for peer, usage in counters.tick(self.live(name)).items():
-            self.mail.append((peer, name, self.starts[name], usage))
-
-    @rule(how=st.sampled_from(["once", "once", "twice", "all", "drop"]))
-    def deliver(self, how):
-        if how == "drop" and self.mail:
-            self.mail.pop(0)
-            self.note_lost()
-        while self.mail and how != "drop":
-            item = self.mail.pop(0)
-            self.hear(*item)
-            if how == "twice":
-                self.mail.append(item)
-            if how != "all":
+            self.in_flight.append((peer, name, self.starts[name], usage))
+
+    @rule(mode=st.sampled_from(["once", "once", "twice", "all", "drop"]))
+    def deliver(self, mode):
+        if mode == "drop" and self.in_flight:
+            self.in_flight.pop(0)
+            self.record_lost()
+        while self.in_flight and mode != "drop":
+            item = self.in_flight.pop(0)
+            self.receive(*item)
+            if mode == "twice":
+                self.in_flight.append(item)
+            if mode != "all":
                 break
 
-    def hear(self, peer, sender, incarnation, usage):
+    def receive(self, peer, sender, incarnation, usage):
         counters = self.daemons[peer].counters
         if usage.parts:
             counters.keep_copies(sender, usage.parts)
@@ -191,7 +193,7 @@
         name=st.sampled_from(DAEMONS),
         kind=st.sampled_from(["flush", "both", "both"]),
         fault=st.sampled_from(["none", "lose", "outage", "late", "stall"]),
-        call=st.sampled_from(TARGETS),
+        call=st.sampled_from(FAULTY_CALLS),
     )
     def take_turn(self, name, kind, fault, call):
         """A window goes by; a daemon acts, its call `call` at fault."""
@@ -211,7 +213,7 @@
         self.serve(other, "archive", "kept")
         if call is EmptyStore:
             self.run_core(other, "flush")
-            self.blind |= {frozen}
+            self.cut_off |= {frozen}
         self.take_turn(frozen, "both", "stall", call)
         self.serve(other, "yard", "kept")
         kind = "flush" if call is EmptyStore else "both"
@@ -225,7 +227,7 @@
             self.daemons[name].fencing = self.fencing
 
     def run_core(self, name, kind, fault="none", call=None):
-        if (name, kind) in self.stalled:
+        if (name, kind) in self.pending_actions:
             return
         daemon = self.daemons[name]
         wall_s = self.now_s + daemon.offset_s
@@ -239,13 +241,13 @@
         core = getattr(self.daemons[name], kind)
         actions = core.handle(event, self.now_s)
         while actions:
-            at_fault = "none"
+            call_fault = "none"
             if type(actions[0]) is call:
-                at_fault, call = fault, None
-            if at_fault == "stall":
-                self.stalled[name, kind] = actions[0]
+                call_fault, call = fault, None
+            if call_fault == "stall":
+                self.pending_actions[name, kind] = actions[0]
                 return
-            event = self.perform(name, actions[0], at_fault)
+            event = self.execute(name, actions[0], call_fault)
             actions = core.handle(event, self.now_s)
 
     @rule(
@@ -253,21 +255,21 @@
     )
     def wake(self, name, kind):
         """A frozen daemon carries out what it had decided."""
-        action = self.stalled.pop((name, kind), None)
+        action = self.pending_actions.pop((name, kind), None)
         if action is not None:
-            event = self.perform(name, action, "none")
+            event = self.execute(name, action, "none")
             self.feed(name, kind, event)
 
-    def perform(self, name, action, fault):
+    def execute(self, name, action, fault):
         writes = WriteStore | WriteLedger | EmptyStore
         if fault == "late" and isinstance(action, writes):
             self.late_writes.append((name, action))
         if fault in ("late", "outage"):
             return CallFailed()
-        event = self.take_effect(name, action)
+        event = self.apply(name, action)
         return CallFailed() if fault == "lose" else event
 
-    def take_effect(self, name, action):
+    def apply(self, name, action):
         match action:
             case ReadLedger():
                 return LedgerRead(self.ledger, self.ledger_version)
@@ -314,8 +316,8 @@
     @rule()
     def late_write_arrives(self):
         if self.late_writes:
-            self.take_effect(*self.late_writes.pop(0))
-            self.note_lost()
+            self.apply(*self.late_writes.pop(0))
+            self.record_lost()
 
     @rule(name=st.sampled_from(DAEMONS), at=st.sampled_from(["any", "flush"]))
     def kill(self, name, at):
@@ -330,15 +332,15 @@
         self.take_turn(name, "flush", "none", None)
 
     def restart(self, name):
-        if self.starts[name] >= MOST_STARTS:
+        if self.starts[name] >= MAX_STARTS:
             return
         counters = self.daemons[name].counters
         counters.cut_parts()
-        gone = counters.own_parts() + counters.orphans({})
-        self.stalled.pop((name, "flush"), None)
-        self.stalled.pop((name, "seal"), None)
+        gone = counters.own_parts() + counters.orphaned_parts({})
+        self.pending_actions.pop((name, "flush"), None)
+        self.pending_actions.pop((name, "seal"), None)
         self.start_daemon(name)
-        self.note_lost(gone)
+        self.record_lost(gone)
 
     @rule(
         name=st.sampled_from(DAEMONS),
@@ -347,31 +349,36 @@
     def jump_clock(self, name, offset_s):
         self.daemons[name].offset_s = offset_s
 
-    def note_lost(self, gone=()):
+    def record_lost(self, gone=()):
         """Counts parts as lost that were at a killed daemon only."""
         self.gone = {
             **getattr(self, "gone", {}),
             **{part.part_id: part for part in gone},
         }
-        marks, places = Marks(self.ledger), self.places()
+        marks, stored_part_ids = (
+            SealedParts(self.ledger),
+            self.stored_part_ids(),
+        )
         for part_id, part in self.gone.items():
-            if part_id not in places and part not in marks:
+            if part_id not in stored_part_ids and part not in marks:
                 for c in part.counts:
                     key = (part_id, c.account)
                     self.oracle.lost[key] = (c.requests, c.tokens, c.account)
 
-    def places(self):
+    def stored_part_ids(self):
         """Returns the ids of parts that still are somewhere."""
         found = []
         for daemon in self.daemons.values():
-            found += daemon.counters.own_parts() + daemon.counters.orphans({})
+            found += (
+                daemon.counters.own_parts() + daemon.counters.orphaned_parts({})
+            )
         for store, _ in self.stores.values():
             found += store.parts
-        for _, _, _, usage in self.mail:
+        for _, _, _, usage in self.in_flight:
             found += usage.parts
         for _, action in self.late_writes:
             found += getattr(action, "store", PartStore()).parts
-        for action in self.stalled.values():
+        for action in self.pending_actions.values():
             found += getattr(action, "store", PartStore()).parts
         return {part.part_id for part in found}
 
@@ -381,14 +388,14 @@
             return
         while self.late_writes:
             self.late_write_arrives()
-        for name, kind in list(self.stalled):
+        for name, kind in list(self.pending_actions):
             self.wake(name, kind)
         self.deliver("all")
-        self.blind.clear()
+        self.cut_off.clear()
         self.take_lease("d0")
         for daemon in self.daemons.values():
             daemon.offset_s = 0.0
-        for _ in range(HEAL_TURNS):
+        for _ in range(RECOVERY_TURNS):
             self.now_s += WINDOW_S
             for name in DAEMONS:
                 self.run_core(name, "flush")
@@ -397,7 +404,7 @@
         self.oracle.check_end()
 
 
-class SealsAgain(SealCore):
+class ResealsParts(SealCore):
     """Broken: sealing doesn't look at what was sealed before."""
 
     def _on_parts(self, event, now_s):
@@ -405,7 +412,7 @@
         return super()._on_parts(event, now_s)
 
 
-class WritesBlindly(SealCore):
+class IgnoresLedgerVersion(SealCore):
     """Broken: the ledger is written whatever version it has."""
 
     def _on_parts(self, event, now_s):
@@ -421,12 +428,12 @@
     """Broken: reports what it meant to seal though the write is in doubt."""
 
     def _on_failed(self, now_s):
-        self._is_waiting = False
-        self._ledger, self._pending = self._pending, None
+        self._is_call_pending = False
+        self._ledger, self._pending_ledger = self._pending_ledger, None
         return []
 
 
-class ForgetsEarlierEpoch(FlushCore):
+class OverwritesEarlierEpoch(FlushCore):
     """Broken: a restarted daemon overwrites its object unread."""
 
     def handle(self, event, now_s):
@@ -442,15 +449,15 @@
         return [
             EmptyStore(listed.daemon_id, None)
             for listed in event.stores
-            if listed.daemon_id not in self._running
+            if listed.daemon_id not in self._running_daemons
         ]
 
 
-class LeavesOrphans(FlushCore):
+class IgnoresOrphans(FlushCore):
     """Broken: counts of dead daemons aren't flushed by their peers."""
 
     def handle(self, event, now_s):
-        self._orphans = []
+        self._orphaned_parts = []
         return super().handle(event, now_s)
 
 
@@ -461,12 +468,12 @@
     def test_the_machine_catches_broken_cores(self):
         broken_cores = {
             "seal_class": (
-                SealsAgain,
-                WritesBlindly,
+                ResealsParts,
+                IgnoresLedgerVersion,
                 ReportsUnconfirmed,
                 EmptiesUnsealed,
             ),
-            "flush_class": (ForgetsEarlierEpoch, LeavesOrphans),
+            "flush_class": (OverwritesEarlierEpoch, IgnoresOrphans),
         }
         for part, classes in broken_cores.items():
             for broken in classes:
--- a/daisyhub/rollouts/_group_choice.py
+++ b/daisyhub/rollouts/_group_choice.py
@@ -5,18 +5,18 @@
 from daisyhub.rollouts._lot_events import CountUsage, PullRequested
 from daisyhub.rollouts._slot_table import SlotTable
 
-__all__ = ["choose_groups", "usage_of"]
+__all__ = ["choose_groups", "chosen_usage"]
 
-Chosen = dict[str, tuple[int, ...]]
+ChosenGroups = dict[str, tuple[int, ...]]
 
 
 def choose_groups(
     pulls: Iterable[PullRequested],
     slots: SlotTable,
-    owned: set[int],
+    committed: set[int],
     max_staleness: int,
     now_s: float,
-) -> Chosen:
+) -> ChosenGroups:
     """Returns whole, fresh groups for each pull id that has none yet.
 
     Args:
@@ -29,33 +29,41 @@
     """
     waiting: dict[str, PullRequested] = {}
     for call in pulls:
-        known = waiting.get(call.pull_id)
-        if known is None or known.version < call.version:
+        previous = waiting.get(call.pull_id)
+        if previous is None or previous.version < call.version:
             waiting[call.pull_id] = call
-    free = [group for group in slots.whole_groups if group not in owned]
+    unassigned = [
+        group for group in slots.complete_groups if group not in committed
+    ]
     chosen = {}
     for pull_id, call in waiting.items():
         oldest = call.version - max_staleness
-        groups = _fresh_groups(call.max_groups, free, slots, oldest, now_s)
+        groups = _fresh_groups(
+            call.max_groups, unassigned, slots, oldest, now_s
+        )
         if groups:
             chosen[pull_id] = groups
-            free = [group for group in free if group not in groups]
+            unassigned = [group for group in unassigned if group not in groups]
     return chosen
 
 
 def _fresh_groups(
-    most: int, free: list[int], slots: SlotTable, oldest: int, now_s: float
+    max_groups: int,
+    unassigned: list[int],
+    slots: SlotTable,
+    oldest: int,
+    now_s: float,
 ) -> tuple[int, ...]:
     fresh = []
-    for group in free:
-        if len(fresh) == most:
+    for group in unassigned:
+        if len(fresh) == max_groups:
             break
-        if slots.is_fresh(group, oldest, now_s):
+        if slots.discard_stale_samples(group, oldest, now_s):
             fresh.append(group)
     return tuple(fresh)
 
 
-def usage_of(chosen: Chosen, slots: SlotTable) -> CountUsage:
+def chosen_usage(chosen: ChosenGroups, slots: SlotTable) -> CountUsage:
     """Returns what to bill once the chosen groups are known to be stored."""
     groups = tuple(group for part in chosen.values() for group in part)
     tokens = tuple(
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from daisyhub.base import Core
-from daisyhub.rollouts._group_choice import choose_groups, usage_of
+from daisyhub.rollouts._group_choice import choose_groups, chosen_usage
 from daisyhub.rollouts._lot_events import (
     AckRequested,
     CloseRequested,
@@ -47,8 +47,8 @@
 
 __all__ = ["LotCore"]
 
-_STORE_PAUSE_S = 0.2
-_IDLE_S = 900.0
+_STORE_RETRY_DELAY_S = 0.2
+_IDLE_TIMEOUT_S = 900.0
 
 LotCall = PullRequested | OpenRequested | AckRequested | CloseRequested
 
@@ -68,26 +68,26 @@
         self._slots = SlotTable(spec)
         self._state: LotState | None = None
         self._version = 0
-        self._owned: set[int] = set()
+        self._committed_groups: set[int] = set()
         self._calls: dict[int, LotCall] = {}
         self._acks: set[str] = set()
-        self._wants_close = False
-        self._must_read = True
-        self._unread: set[int] = set()
-        self._read_for: set[int] = set()
-        self._write: WriteState | None = None
-        self._writes = 0
-        self._unbilled: dict[str, CountUsage] = {}
-        self._is_waiting = False
-        self._store_at_s = 0.0
-        self._touched_s: float | None = None
+        self._is_close_requested = False
+        self._is_read_needed = True
+        self._calls_awaiting_read: set[int] = set()
+        self._calls_covered_by_read: set[int] = set()
+        self._pending_write: WriteState | None = None
+        self._write_count = 0
+        self._unbilled_usage: dict[str, CountUsage] = {}
+        self._is_store_call_pending = False
+        self._next_store_call_s = 0.0
+        self._last_call_s: float | None = None
         self._is_released = False
-        self.is_over = False
+        self.is_finished = False
 
     @property
     def remaining(self) -> int:
         """Groups that no committed pull names."""
-        return len(self.spec.prompts) - len(self._owned)
+        return len(self.spec.prompts) - len(self._committed_groups)
 
     @property
     def dropped_samples(self) -> int:
@@ -105,15 +105,17 @@
     @property
     def next_wakeup_s(self) -> float | None:
         """When a wait ends, or something may be tried again."""
-        if self.is_over:
+        if self.is_finished:
             return None
         times = [call.until_s for call in self._calls.values()]
         if self._slots.next_retry_s is not None:
             times.append(self._slots.next_retry_s)
-        if not self._is_waiting and (self._write or self._must_read):
-            times.append(self._store_at_s)
-        if self._touched_s is not None:
-            times.append(self._touched_s + _IDLE_S)
+        if not self._is_store_call_pending and (
+            self._pending_write or self._is_read_needed
+        ):
+            times.append(self._next_store_call_s)
+        if self._last_call_s is not None:
+            times.append(self._last_call_s + _IDLE_TIMEOUT_S)
         return min(times, default=None)
 
     def handle(self, event: object, now_s: float) -> list[object]:
@@ -123,9 +125,9 @@
             case LotTick():
                 pass
             case SampleReceived():
-                actions += self._on_ready(event, now_s)
+                actions += self._on_sample(event, now_s)
             case SampleFailed():
-                self._slots.fail(event.attempt, now_s)
+                self._slots.fail_attempt(event.attempt, now_s)
             case (
                 PullRequested()
                 | OpenRequested()
@@ -140,152 +142,158 @@
             case (
                 StateReadFailed() | StateWriteRejected() | StateWriteUncertain()
             ):
-                self._on_store_trouble(event, now_s)
+                self._on_store_failure(event, now_s)
             case LotReleased():
                 self._is_released = True
             case _:
                 raise TypeError(f"not a lot event: {event!r}")
-        return actions + self._go_on(now_s)
+        return actions + self._advance(now_s)
 
-    def _go_on(self, now_s: float) -> list[object]:
+    def _advance(self, now_s: float) -> list[object]:
         """Does what is possible now."""
-        if self.is_over:
+        if self.is_finished:
             return self._refuse_all(RefusalReason.RELEASED)
         if self._is_idle(now_s) or self._is_released:
-            return self._wind_up(now_s)
+            return self._shut_down(now_s)
         actions = self._serve_calls(now_s)
-        actions += self._talk_to_store(now_s)
-        if self._state is not None and not self._wants_close:
-            actions += self._slots.start(now_s)
+        actions += self._next_store_action(now_s)
+        if self._state is not None and not self._is_close_requested:
+            actions += self._slots.start_attempts(now_s)
         return actions
 
     def _is_idle(self, now_s: float) -> bool:
-        if self._touched_s is None:
-            self._touched_s = now_s
-        return not self._calls and now_s - self._touched_s >= _IDLE_S
+        if self._last_call_s is None:
+            self._last_call_s = now_s
+        return not self._calls and now_s - self._last_call_s >= _IDLE_TIMEOUT_S
 
-    def _wind_up(self, now_s: float) -> list[object]:
+    def _shut_down(self, now_s: float) -> list[object]:
         """Refuses calls at once; waits only for a write in flight."""
         self._is_released = True
         actions = self._refuse_all(RefusalReason.RELEASED)
-        actions += self._slots.forget(range(len(self.spec.prompts)))
-        if self._is_waiting or self._write is not None or self._unbilled:
-            return actions + self._talk_to_store(now_s)
-        self.is_over = True
+        actions += self._slots.drop_groups(range(len(self.spec.prompts)))
+        if (
+            self._is_store_call_pending
+            or self._pending_write is not None
+            or self._unbilled_usage
+        ):
+            return actions + self._next_store_action(now_s)
+        self.is_finished = True
         return [*actions, StopServing()]
 
     def _refuse_all(self, reason: RefusalReason) -> list[object]:
         refused = [RefuseCall(number, reason) for number in self._calls]
         self._calls.clear()
-        self._unread.clear()
+        self._calls_awaiting_read.clear()
         return refused
 
     def _on_call(self, call: LotCall, now_s: float) -> None:
-        self._touched_s = now_s
+        self._last_call_s = now_s
         self._calls[call.call] = call
         match call:
             case PullRequested():
                 self._acks.update(call.acks)
             case OpenRequested():
-                self._read_first(call)
+                self._require_read(call)
             case AckRequested():
                 self._acks.add(call.pull_id)
                 if self._state and call.pull_id not in self._state.pulls:
-                    self._read_first(call)
+                    self._require_read(call)
             case CloseRequested():
-                self._wants_close = True
+                self._is_close_requested = True
 
-    def _read_first(self, call: LotCall) -> None:
+    def _require_read(self, call: LotCall) -> None:
         """Lets a call wait for a read that starts after it.
 
         An earlier holder's last write may have come after the read here.
         """
-        self._unread.add(call.call)
-        self._must_read = True
+        self._calls_awaiting_read.add(call.call)
+        self._is_read_needed = True
 
-    def _on_ready(self, event: SampleReceived, now_s: float) -> list[object]:
-        place = self._slots.place_of(event.attempt)
-        if place is None:
+    def _on_sample(self, event: SampleReceived, now_s: float) -> list[object]:
+        slot = self._slots.slot_of(event.attempt)
+        if slot is None:
             return []
         if not check_spans(event.answer):
             self.invalid_answers += 1
-            self._slots.fail(event.attempt, now_s)
+            self._slots.fail_attempt(event.attempt, now_s)
             return []
         answer = event.answer
-        sample = Sample(
-            index=place[1], tokens=answer.tokens, spans=answer.spans
-        )
-        return self._slots.finish(event.attempt, sample)
+        sample = Sample(index=slot[1], tokens=answer.tokens, spans=answer.spans)
+        return self._slots.complete_attempt(event.attempt, sample)
 
     def _on_read(self, event: StateRead) -> list[object]:
-        self._is_waiting = False
-        self._unread -= self._read_for
-        self._must_read = bool(self._unread)
-        return self._adopt(event.state, event.version)
+        self._is_store_call_pending = False
+        self._calls_awaiting_read -= self._calls_covered_by_read
+        self._is_read_needed = bool(self._calls_awaiting_read)
+        return self._apply_state(event.state, event.version)
 
     def _on_written(self, event: StateWritten) -> list[object]:
-        write = self._write
+        write = self._pending_write
         if write is None or event.write_id != write.write_id:
             return []
-        self._is_waiting = False
-        self._write = None
-        return self._adopt(write.state, event.version)
+        self._is_store_call_pending = False
+        self._pending_write = None
+        return self._apply_state(write.state, event.version)
 
-    def _on_store_trouble(self, event: object, now_s: float) -> None:
+    def _on_store_failure(self, event: object, now_s: float) -> None:
         """Reads again after a refusal; sends a write in doubt again.
 
         The same id and expected version make a repeated write harmless: at
         most one of the copies takes effect.
         """
-        write_id = self._write.write_id if self._write else ""
+        write_id = self._pending_write.write_id if self._pending_write else ""
         if getattr(event, "write_id", write_id) != write_id:
             return
-        self._is_waiting = False
-        self._store_at_s = now_s + _STORE_PAUSE_S
+        self._is_store_call_pending = False
+        self._next_store_call_s = now_s + _STORE_RETRY_DELAY_S
         if isinstance(event, StateWriteRejected):
-            self._write = None
-            self._must_read = True
-            self._store_at_s = now_s
+            self._pending_write = None
+            self._is_read_needed = True
+            self._next_store_call_s = now_s
 
-    def _adopt(self, state: LotState, version: int) -> list[object]:
+    def _apply_state(self, state: LotState, version: int) -> list[object]:
         """Takes over what is stored; it goes before anything kept here."""
         if self._state is not None and version < self._version:
             return []
         is_first = self._state is None
         self._state = state
         self._version = version
-        actions = self._bill()
+        actions = self._confirmed_usage()
         done = []
         for record in state.pulls.values():
             is_own = record.commit_id.startswith(f"{self.holder}.")
-            is_new = not self._owned.issuperset(record.groups)
-            self._owned.update(record.groups)
+            is_new = not self._committed_groups.issuperset(record.groups)
+            self._committed_groups.update(record.groups)
             if record.is_acked or (is_new and not is_own):
                 done += record.groups
-        actions += self._slots.forget(done)
+        actions += self._slots.drop_groups(done)
         if is_first:
-            every = range(len(self.spec.prompts))
-            self._slots.want(g for g in every if g not in self._owned)
+            all_groups = range(len(self.spec.prompts))
+            self._slots.add_groups(
+                g for g in all_groups if g not in self._committed_groups
+            )
         if state.is_closed:
             actions += self._on_closed()
         return actions
 
-    def _bill(self) -> list[object]:
+    def _confirmed_usage(self) -> list[object]:
         """Counts each of the own commits that took effect, once."""
         stored = {r.commit_id for r in self._state.pulls.values()}
-        counted = [u for key, u in self._unbilled.items() if key in stored]
-        self._unbilled.clear()
+        counted = [
+            u for key, u in self._unbilled_usage.items() if key in stored
+        ]
+        self._unbilled_usage.clear()
         return counted
 
     def _on_closed(self) -> list[object]:
         actions = []
         for call in list(self._calls.values()):
             if isinstance(call, CloseRequested | AckRequested):
-                actions.append(self._tell(call))
+                actions.append(self._send_progress(call))
         self._is_released = True
         return actions + self._refuse_all(RefusalReason.CLOSED)
 
-    def _tell(self, call: LotCall) -> SendProgress:
+    def _send_progress(self, call: LotCall) -> SendProgress:
         self._drop_call(call)
         return SendProgress(
             call.call, self.remaining, self.open_pulls, self._state.is_closed
@@ -297,7 +305,7 @@
 
     def _drop_call(self, call: LotCall) -> None:
         del self._calls[call.call]
-        self._unread.discard(call.call)
+        self._calls_awaiting_read.discard(call.call)
 
     def _serve_calls(self, now_s: float) -> list[object]:
         actions = []
@@ -305,15 +313,15 @@
             if self._state is not None:
                 actions += self._serve(call, now_s)
             if call.call in self._calls and now_s >= call.until_s:
-                actions.append(self._end_wait(call))
+                actions.append(self._expire_call(call))
         return actions
 
     def _serve(self, call: LotCall, now_s: float) -> list[object]:
-        if call.call in self._unread:
+        if call.call in self._calls_awaiting_read:
             return []
         match call:
             case OpenRequested():
-                return [self._tell(call)]
+                return [self._send_progress(call)]
             case PullRequested():
                 return self._serve_pull(call, now_s)
             case AckRequested():
@@ -324,7 +332,7 @@
         record = self._state.pulls.get(call.pull_id)
         if record is None:
             return [self._refuse(call, RefusalReason.UNKNOWN_PULL)]
-        return [self._tell(call)] if record.is_acked else []
+        return [self._send_progress(call)] if record.is_acked else []
 
     def _serve_pull(self, call: PullRequested, now_s: float) -> list[object]:
         record = self._state.pulls.get(call.pull_id)
@@ -332,18 +340,18 @@
             return []
         if record.is_acked:
             return [self._refuse(call, RefusalReason.ACKED)]
-        self._slots.want(record.groups, is_repeat=True)
+        self._slots.add_groups(record.groups, is_repeat=True)
         oldest = call.version - self.spec.max_staleness
         # Checks every group, so that all stale samples are replaced at once.
         fresh = [
-            self._slots.is_fresh(group, oldest, now_s)
+            self._slots.discard_stale_samples(group, oldest, now_s)
             for group in record.groups
         ]
         if not all(fresh):
             return []
-        return [self._hand_over(call, record.groups)]
+        return [self._deliver(call, record.groups)]
 
-    def _hand_over(
+    def _deliver(
         self, call: PullRequested, groups: tuple[int, ...]
     ) -> DeliverGroups:
         self._drop_call(call)
@@ -354,24 +362,28 @@
             self.remaining,
         )
 
-    def _end_wait(self, call: LotCall) -> object:
+    def _expire_call(self, call: LotCall) -> object:
         """Ends a call whose time is over with a true answer."""
         is_pull = isinstance(call, PullRequested)
-        if not is_pull or self._state is None or self._write is not None:
+        if (
+            not is_pull
+            or self._state is None
+            or self._pending_write is not None
+        ):
             return self._refuse(call, RefusalReason.PLATFORM)
-        return self._hand_over(call, ())
+        return self._deliver(call, ())
 
-    def _talk_to_store(self, now_s: float) -> list[object]:
-        if self._is_waiting or now_s < self._store_at_s:
+    def _next_store_action(self, now_s: float) -> list[object]:
+        if self._is_store_call_pending or now_s < self._next_store_call_s:
             return []
-        if self._write is None and not self._must_read:
-            self._write = self._next_write(now_s)
-        if self._write is None and not self._must_read:
+        if self._pending_write is None and not self._is_read_needed:
+            self._pending_write = self._next_write(now_s)
+        if self._pending_write is None and not self._is_read_needed:
             return []
-        self._is_waiting = True
-        if self._write is not None:
-            return [self._write]
-        self._read_for = set(self._unread)
+        self._is_store_call_pending = True
+        if self._pending_write is not None:
+            return [self._pending_write]
+        self._calls_covered_by_read = set(self._calls_awaiting_read)
         return [ReadState()]
 
     def _next_write(self, now_s: float) -> WriteState | None:
@@ -382,24 +394,24 @@
         chosen = choose_groups(
             self._unstored_pulls(),
             self._slots,
-            self._owned,
+            self._committed_groups,
             self.spec.max_staleness,
             now_s,
         )
-        is_closing = self._wants_close and not self._state.is_closed
+        is_closing = self._is_close_requested and not self._state.is_closed
         if not (acked or chosen or is_closing):
             return None
-        self._writes += 1
-        write_id = f"{self.holder}.{self._writes}"
+        self._write_count += 1
+        write_id = f"{self.holder}.{self._write_count}"
         if chosen:
-            self._unbilled[write_id] = usage_of(chosen, self._slots)
+            self._unbilled_usage[write_id] = chosen_usage(chosen, self._slots)
         added = {
             pull_id: PullRecord(groups=groups, commit_id=write_id)
             for pull_id, groups in chosen.items()
         }
         state = LotState(
             pulls={**self._state.pulls, **acked, **added},
-            is_closed=self._wants_close,
+            is_closed=self._is_close_requested,
         )
         return WriteState(write_id, state, self._version)
 
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -9,10 +9,10 @@
 
 __all__ = ["SlotTable"]
 
-_RETRY_PAUSE_S = 0.2
-_ATTEMPTS_AT_ONCE = 2
-_RANK_REPEAT = 0
-_RANK_FIRST = 1
+_RETRY_DELAY_S = 0.2
+_MAX_ATTEMPTS_PER_SAMPLE = 2
+_PRIORITY_REPEAT = 0
+_PRIORITY_FIRST = 1
 
 
 @dataclasses.dataclass(slots=True)
@@ -35,54 +35,58 @@
         self.spec = spec
         self.dropped_samples = 0
         self._groups: dict[int, list[_Slot]] = {}
-        self._missing: dict[int, int] = {}
-        self._running: dict[int, tuple[int, int]] = {}
+        self._missing_samples: dict[int, int] = {}
+        self._running_attempts: dict[int, tuple[int, int]] = {}
         self._queue: list[tuple[int, int, int]] = []
-        self._later: list[tuple[float, int, int, int]] = []
+        self._delayed: list[tuple[float, int, int, int]] = []
         self._last_attempt = 0
 
     @property
     def next_retry_s(self) -> float | None:
         """When a failed sample may be tried again."""
-        if not self._later or self._is_full:
+        if not self._delayed or self._is_full:
             return None
-        return self._later[0][0]
+        return self._delayed[0][0]
 
     @property
     def _is_full(self) -> bool:
-        return len(self._running) >= self.spec.concurrency
+        return len(self._running_attempts) >= self.spec.concurrency
 
     @property
-    def whole_groups(self) -> list[int]:
+    def complete_groups(self) -> list[int]:
         """Groups that have all samples, oldest first."""
-        return sorted(g for g, missing in self._missing.items() if not missing)
+        return sorted(
+            g for g, missing in self._missing_samples.items() if not missing
+        )
 
-    def want(self, groups: Iterable[int], *, is_repeat: bool = False) -> None:
+    def add_groups(
+        self, groups: Iterable[int], *, is_repeat: bool = False
+    ) -> None:
         """Generates what these groups miss; repeats go first."""
-        rank = _RANK_REPEAT if is_repeat else _RANK_FIRST
+        priority = _PRIORITY_REPEAT if is_repeat else _PRIORITY_FIRST
         size = self.spec.group_size
         for group in groups:
             if group in self._groups:
                 continue
             self._groups[group] = [_Slot() for _ in range(size)]
-            self._missing[group] = size
+            self._missing_samples[group] = size
             for index in range(size):
-                self._push(rank, group, index)
+                self._push(priority, group, index)
 
-    def forget(self, groups: Iterable[int]) -> list[CancelSample]:
+    def drop_groups(self, groups: Iterable[int]) -> list[CancelSample]:
         """Drops groups with their samples and attempts."""
         cancelled = []
         for group in groups:
-            self._missing.pop(group, None)
+            self._missing_samples.pop(group, None)
             for slot in self._groups.pop(group, ()):
                 cancelled += self._cancel_attempts(slot)
         return cancelled
 
-    def start(self, now_s: float) -> list[Generate]:
+    def start_attempts(self, now_s: float) -> list[Generate]:
         """Starts attempts while the lot's concurrency allows it."""
-        while self._later and self._later[0][0] <= now_s:
-            _, rank, group, index = heapq.heappop(self._later)
-            self._push(rank, group, index)
+        while self._delayed and self._delayed[0][0] <= now_s:
+            _, priority, group, index = heapq.heappop(self._delayed)
+            self._push(priority, group, index)
         started = []
         while self._queue and not self._is_full:
             _, group, index = heapq.heappop(self._queue)
@@ -90,48 +94,52 @@
             if slot is None or not slot.is_queued:
                 continue
             slot.is_queued = False
-            started.append(self._attempt(slot, group, index))
+            started.append(self._start_attempt(slot, group, index))
         if not self._queue and self.spec.spare_samples:
             started += self._start_spares()
         return started
 
-    def finish(self, attempt: int, sample: Sample) -> list[CancelSample]:
+    def complete_attempt(
+        self, attempt: int, sample: Sample
+    ) -> list[CancelSample]:
         """Keeps the first whole sample of a slot; cancels other attempts."""
-        place = self._running.pop(attempt, None)
-        slot = self._slot(*place) if place else None
+        slot_key = self._running_attempts.pop(attempt, None)
+        slot = self._slot(*slot_key) if slot_key else None
         if slot is None or attempt not in slot.attempts:
             return []
         slot.attempts.discard(attempt)
         slot.sample = sample
         slot.is_queued = False
-        self._missing[place[0]] -= 1
+        self._missing_samples[slot_key[0]] -= 1
         return self._cancel_attempts(slot)
 
-    def place_of(self, attempt: int) -> tuple[int, int] | None:
+    def slot_of(self, attempt: int) -> tuple[int, int] | None:
         """Returns the group and index of a running attempt."""
-        return self._running.get(attempt)
+        return self._running_attempts.get(attempt)
 
-    def fail(self, attempt: int, now_s: float) -> None:
+    def fail_attempt(self, attempt: int, now_s: float) -> None:
         """Ends an attempt without a sample; tries again after a pause."""
-        place = self._running.pop(attempt, None)
-        slot = self._slot(*place) if place else None
+        slot_key = self._running_attempts.pop(attempt, None)
+        slot = self._slot(*slot_key) if slot_key else None
         if slot is None:
             return
         slot.attempts.discard(attempt)
         if slot.sample is None and not slot.attempts:
-            self._try_later(*place, now_s)
+            self._schedule_retry(*slot_key, now_s)
 
-    def is_fresh(self, group: int, oldest_version: int, now_s: float) -> bool:
+    def discard_stale_samples(
+        self, group: int, oldest_version: int, now_s: float
+    ) -> bool:
         """Whether a group is whole; drops its samples that are too old."""
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
                 continue
             if slot.sample.oldest_version < oldest_version:
                 slot.sample = None
-                self._missing[group] += 1
+                self._missing_samples[group] += 1
                 self.dropped_samples += 1
-                self._try_later(group, index, now_s)
-        return self._missing.get(group) == 0
+                self._schedule_retry(group, index, now_s)
+        return self._missing_samples.get(group) == 0
 
     def group(self, group: int) -> Group:
         """Returns a whole group."""
@@ -142,40 +150,40 @@
         slots = self._groups.get(group)
         return slots[index] if slots else None
 
-    def _push(self, rank: int, group: int, index: int) -> None:
+    def _push(self, priority: int, group: int, index: int) -> None:
         slot = self._slot(group, index)
         if slot is None or slot.sample is not None or slot.attempts:
             return
         slot.is_queued = True
-        heapq.heappush(self._queue, (rank, group, index))
+        heapq.heappush(self._queue, (priority, group, index))
 
-    def _try_later(self, group: int, index: int, now_s: float) -> None:
-        entry = (now_s + _RETRY_PAUSE_S, _RANK_REPEAT, group, index)
-        heapq.heappush(self._later, entry)
+    def _schedule_retry(self, group: int, index: int, now_s: float) -> None:
+        entry = (now_s + _RETRY_DELAY_S, _PRIORITY_REPEAT, group, index)
+        heapq.heappush(self._delayed, entry)
 
-    def _attempt(self, slot: _Slot, group: int, index: int) -> Generate:
+    def _start_attempt(self, slot: _Slot, group: int, index: int) -> Generate:
         others = tuple(sorted(slot.attempts))
         self._last_attempt += 1
         slot.attempts.add(self._last_attempt)
-        self._running[self._last_attempt] = (group, index)
+        self._running_attempts[self._last_attempt] = (group, index)
         return Generate(self._last_attempt, group, index, others)
 
     def _start_spares(self) -> list[Generate]:
         """Starts second attempts for groups that miss only a few samples."""
         started = []
-        for group, missing in sorted(self._missing.items()):
+        for group, missing in sorted(self._missing_samples.items()):
             if not 0 < missing <= self.spec.spare_samples:
                 continue
             for index, slot in enumerate(self._groups[group]):
                 if self._is_full:
                     return started
-                if 0 < len(slot.attempts) < _ATTEMPTS_AT_ONCE:
-                    started.append(self._attempt(slot, group, index))
+                if 0 < len(slot.attempts) < _MAX_ATTEMPTS_PER_SAMPLE:
+                    started.append(self._start_attempt(slot, group, index))
         return started
 
     def _cancel_attempts(self, slot: _Slot) -> list[CancelSample]:
         cancelled = [CancelSample(number) for number in sorted(slot.attempts)]
         for number in slot.attempts:
-            self._running.pop(number, None)
+            self._running_attempts.pop(number, None)
         slot.attempts.clear()
         return cancelled
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -23,9 +23,9 @@
     "WeightTick",
 ]
 
-_RETRY_S = 0.5
-_LONGEST_RETRY_S = 8.0
-_MOST_DOUBLINGS = 4
+_MIN_RETRY_DELAY_S = 0.5
+_MAX_RETRY_DELAY_S = 8.0
+_MAX_DOUBLINGS = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -53,9 +53,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightTick:
-    """Time has passed; `is_in_charge` while the lease is held."""
+    """Time has passed; `has_lease` while the lease is held."""
 
-    is_in_charge: bool
+    has_lease: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -71,7 +71,7 @@
     """All usable engines, and the rules of their pools."""
 
     engines: tuple[EngineView, ...]
-    rules: dict[str, RolloutPolicy]
+    policies: dict[str, RolloutPolicy]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -115,7 +115,7 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Trouble:
+class _RetryState:
     """Failures of an engine in a row, and when to try it again."""
 
     failures: int
@@ -134,14 +134,14 @@
         self.extra_margin_s = extra_margin_s
         self._wanted: dict[str, int] = {}
         self._engines: dict[str, EngineView] = {}
-        self._rules: dict[str, RolloutPolicy] = {}
+        self._policies: dict[str, RolloutPolicy] = {}
         self._running: dict[int, SendOrder] = {}
         self._loaded: dict[tuple[str, int], int] = {}
-        self._troubles: dict[str, _Trouble] = {}
+        self._retries: dict[str, _RetryState] = {}
         self._loading: dict[str, set[str]] = {}
-        self._due: dict[str, list[str]] = {}
-        self._attempts = 0
-        self._is_in_charge = False
+        self._due_engines: dict[str, list[str]] = {}
+        self._attempt_count = 0
+        self._has_lease = False
         self._now_s = float("-inf")
 
     @property
@@ -157,9 +157,9 @@
     @property
     def next_wakeup_s(self) -> float | None:
         """When an engine that failed may be tried again."""
-        if not self._is_in_charge:
+        if not self._has_lease:
             return None
-        times = [trouble.retry_at_s for trouble in self._troubles.values()]
+        times = [retry.retry_at_s for retry in self._retries.values()]
         return min((t for t in times if t > self._now_s), default=None)
 
     def handle(self, event: object, now_s: float) -> list[object]:
@@ -167,103 +167,107 @@
         self._now_s = now_s
         match event:
             case WeightTick():
-                self._is_in_charge = event.is_in_charge
+                self._has_lease = event.has_lease
                 self._queue_due(now_s)
             case VersionPublished():
                 known = self._wanted.get(event.pool, 0)
                 self._wanted[event.pool] = max(known, event.version)
                 self._queue_due(now_s)
             case EnginesListed():
-                self._on_seen(event)
+                self._on_engines(event)
                 self._queue_due(now_s)
             case OrderCompleted():
-                self._on_done(event)
+                self._on_completed(event)
             case OrderFailed():
                 self._on_failed(event, now_s)
             case OrderNotSent():
-                self._end(event.attempt)
-                self._is_in_charge = False
+                self._finish_order(event.attempt)
+                self._has_lease = False
             case _:
                 raise TypeError(f"not a weight event: {event!r}")
-        return self._start() if self._is_in_charge else []
+        return self._start_orders() if self._has_lease else []
 
-    def _on_seen(self, event: EnginesListed) -> None:
+    def _on_engines(self, event: EnginesListed) -> None:
         self._engines = {e.endpoint_id: e for e in event.engines}
-        self._rules = event.rules
+        self._policies = event.policies
         present = {(e.endpoint_id, e.incarnation) for e in event.engines}
-        for place in self._loaded.keys() - present:
-            del self._loaded[place]
-        for endpoint_id in self._troubles.keys() - self._engines.keys():
-            del self._troubles[endpoint_id]
+        for key in self._loaded.keys() - present:
+            del self._loaded[key]
+        for endpoint_id in self._retries.keys() - self._engines.keys():
+            del self._retries[endpoint_id]
 
-    def _on_done(self, event: OrderCompleted) -> None:
-        order = self._end(event.attempt)
+    def _on_completed(self, event: OrderCompleted) -> None:
+        order = self._finish_order(event.attempt)
         engine = self._engines.get(order.endpoint_id) if order else None
         if engine is None:
             return
         self._loaded[(engine.endpoint_id, engine.incarnation)] = order.version
-        self._troubles.pop(engine.endpoint_id, None)
+        self._retries.pop(engine.endpoint_id, None)
 
     def _on_failed(self, event: OrderFailed, now_s: float) -> None:
-        order = self._end(event.attempt)
+        order = self._finish_order(event.attempt)
         if order is None or order.endpoint_id not in self._engines:
             return
-        trouble = self._troubles.get(order.endpoint_id)
-        failures = trouble.failures + 1 if trouble else 1
-        doublings = min(failures - 1, _MOST_DOUBLINGS)
-        pause_s = min(_LONGEST_RETRY_S, _RETRY_S * 2**doublings)
-        self._troubles[order.endpoint_id] = _Trouble(failures, now_s + pause_s)
+        retry = self._retries.get(order.endpoint_id)
+        failures = retry.failures + 1 if retry else 1
+        doublings = min(failures - 1, _MAX_DOUBLINGS)
+        delay_s = min(_MAX_RETRY_DELAY_S, _MIN_RETRY_DELAY_S * 2**doublings)
+        self._retries[order.endpoint_id] = _RetryState(
+            failures, now_s + delay_s
+        )
 
-    def _end(self, attempt: int) -> SendOrder | None:
+    def _finish_order(self, attempt: int) -> SendOrder | None:
         order = self._running.pop(attempt, None)
         if order is not None:
             self._loading[order.pool].discard(order.endpoint_id)
         return order
 
     def _is_behind(self, engine: EngineView) -> bool:
-        place = (engine.endpoint_id, engine.incarnation)
-        known = max(engine.weight_version, self._loaded.get(place, 0))
+        key = (engine.endpoint_id, engine.incarnation)
+        known = max(engine.weight_version, self._loaded.get(key, 0))
         return known < self._wanted.get(engine.pool, 0)
 
     def _queue_due(self, now_s: float) -> None:
         """Queues engines that are behind, those without failures first."""
         due: dict[str, list[tuple[int, str]]] = {
-            pool: [] for pool in self._rules
+            pool: [] for pool in self._policies
         }
         for engine in self._engines.values():
-            trouble = self._troubles.get(engine.endpoint_id)
-            is_early = trouble is not None and now_s < trouble.retry_at_s
+            retry = self._retries.get(engine.endpoint_id)
+            is_early = retry is not None and now_s < retry.retry_at_s
             if engine.pool in due and not is_early and self._is_behind(engine):
-                failures = trouble.failures if trouble else 0
+                failures = retry.failures if retry else 0
                 due[engine.pool].append((failures, engine.endpoint_id))
-        self._due = {
+        self._due_engines = {
             pool: [
                 endpoint_id for _, endpoint_id in sorted(found, reverse=True)
             ]
             for pool, found in due.items()
         }
 
-    def _start(self) -> list[object]:
+    def _start_orders(self) -> list[object]:
         """Fills each pool's stage; a failed engine waits for a later tick."""
         orders = []
-        for pool, due in self._due.items():
-            rule = self._rules[pool]
+        for pool, due in self._due_engines.items():
+            policy = self._policies[pool]
             loading = self._loading.setdefault(pool, set())
-            while due and len(loading) < rule.max_concurrent_loads:
+            while due and len(loading) < policy.max_concurrent_loads:
                 engine = self._engines[due.pop()]
                 if engine.endpoint_id not in loading:
                     loading.add(engine.endpoint_id)
-                    orders.append(self._order(engine, rule))
+                    orders.append(self._make_order(engine, policy))
         return orders
 
-    def _order(self, engine: EngineView, rule: RolloutPolicy) -> SendOrder:
-        self._attempts += 1
+    def _make_order(
+        self, engine: EngineView, policy: RolloutPolicy
+    ) -> SendOrder:
+        self._attempt_count += 1
         order = SendOrder(
-            self._attempts,
+            self._attempt_count,
             engine.endpoint_id,
             engine.pool,
             self._wanted[engine.pool],
-            0.0 if rule.checks_fencing else self.extra_margin_s,
+            0.0 if policy.checks_fencing else self.extra_margin_s,
         )
         self._running[order.attempt] = order
         return order
--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -16,7 +16,7 @@
 GROUP_SIZE = 4
 STALENESS = 2
 DOMAIN = "busan"
-PAST_A_TERM_S = 2.5
+OUTAGE_S = 2.5
 
 
 class LotProcessTest(unittest.IsolatedAsyncioTestCase):
@@ -42,7 +42,7 @@
             lambda status: len(status["endpoints"]) == 2
         )
 
-    async def train(self, harm):
+    async def train(self, inject_fault):
         """Trains one lot while `harm(holder)` happens in its middle."""
         key = DemoKeys.text(self.keys.trainer)
         daemons = self.deployment.daemons()
@@ -65,7 +65,7 @@
 
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(pull_all)
-            await harm(await self.wait_for_holder())
+            await inject_fault(await self.wait_for_holder())
         for caller in callers:
             await caller.aclose()
         self.check(results[0])
@@ -95,30 +95,30 @@
             self.assertEqual(indexes, list(range(GROUP_SIZE)))
 
     async def test_a_killed_holder_costs_no_group(self):
-        async def harm(holder):
+        async def inject_fault(holder):
             holder.send_signal(signal.SIGKILL)
 
-        result = await self.train(harm)
+        result = await self.train(inject_fault)
         self.assertGreater(result.repeats, 0)
 
     async def test_a_frozen_holder_that_wakes_up_doubles_no_group(self):
-        async def harm(holder):
+        async def inject_fault(holder):
             holder.send_signal(signal.SIGSTOP)
             await self.wait_for_holder(skip=holder)
             holder.send_signal(signal.SIGCONT)
 
-        await self.train(harm)
+        await self.train(inject_fault)
 
     async def test_a_killed_engine_costs_no_group(self):
-        async def harm(_):
+        async def inject_fault(_):
             self.deployment.engines()[0].send_signal(signal.SIGKILL)
 
-        await self.train(harm)
+        await self.train(inject_fault)
 
     async def test_a_platform_that_stops_for_a_term_costs_no_group(self):
-        async def harm(_):
+        async def inject_fault(_):
             self.deployment.platform.send_signal(signal.SIGSTOP)
-            await anyio.sleep(PAST_A_TERM_S)
+            await anyio.sleep(OUTAGE_S)
             self.deployment.platform.send_signal(signal.SIGCONT)
 
-        await self.train(harm)
+        await self.train(inject_fault)
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -61,7 +61,7 @@
     spare_samples=1,
 )
 WAIT_S = 1.0
-HEAL_ROUNDS = 60
+RECOVERY_ROUNDS = 60
 STORE_FAULTS = ("lose", "fail", "delay")
 ENGINE_FAULTS = ("swap", "fail", "missing", "gap", "short", "twice")
 
@@ -69,12 +69,12 @@
 def engine_answer(versions, lie=""):
     """Returns an answer whose tokens are the versions that made them."""
     spans = []
-    for place, version in enumerate(versions):
+    for position, version in enumerate(versions):
         if spans and spans[-1].version == version:
             start = spans.pop().start
         else:
-            start = place
-        spans.append(Span(version=version, start=start, end=place + 1))
+            start = position
+        spans.append(Span(version=version, start=start, end=position + 1))
     if lie == "missing":
         spans = []
     elif lie == "gap":
@@ -97,16 +97,16 @@
         self.delayed = []
         self.starts = 0
         self.cores = {}
-        self.out = {}
+        self.actions = {}
         self.frozen = set()
         for holder in HOLDERS:
             self.crash(holder)
-        self.trainer = self.engines = 1
+        self.trainer_version = self.engine_version = 1
         self.calls = 0
         self.pulls = dict.fromkeys(RANKS, 1)
         self.waiting = {}
         self.old_calls = []
-        self.taken = {}
+        self.delivered = {}
         self.billed = set()
         self.has_failed = False
 
@@ -118,13 +118,13 @@
     def crash(self, holder):
         self.starts += 1
         self.cores[holder] = self.core_class(SPEC, f"h{self.starts}")
-        self.out[holder] = []
+        self.actions[holder] = []
         self.frozen.discard(holder)
 
     def feed(self, holder, event):
-        if self.cores[holder].is_over:
+        if self.cores[holder].is_finished:
             self.crash(holder)
-        self.out[holder] += self.cores[holder].handle(event, self.now_s)
+        self.actions[holder] += self.cores[holder].handle(event, self.now_s)
 
     # What the trainer and its ranks do.
 
@@ -133,9 +133,11 @@
         holder=st.sampled_from(HOLDERS),
         fault=st.sampled_from([""] * 5 + ["idle", "freeze", *STORE_FAULTS]),
         kind=st.sampled_from([""] * 5 + [*ENGINE_FAULTS]),
-        is_heard=st.sampled_from([True, True, True, False]),
+        is_answer_delivered=st.sampled_from([True, True, True, False]),
     )
-    def ask(self, rank, holder, fault="", kind="", is_heard=True):
+    def request_groups(
+        self, rank, holder, fault="", kind="", is_answer_delivered=True
+    ):
         """A rank gives up its call, if any, and asks again.
 
         Most often the holder works on it: engines answer, one of them with
@@ -145,7 +147,7 @@
         call = PullRequested(
             call=self.calls,
             pull_id=f"{rank}-{self.pulls[rank]}",
-            version=self.trainer,
+            version=self.trainer_version,
             max_groups=2,
             until_s=self.now_s + WAIT_S,
         )
@@ -156,11 +158,11 @@
         self.feed(holder, call)
         if fault != "idle":
             self.work(holder, fault, kind)
-        if is_heard:
+        if is_answer_delivered:
             self.answer_trainer(holder)
 
     @rule(pick=st.integers(0, 50))
-    def hear_duplicate(self, pick):
+    def receive_duplicate(self, pick):
         """A call that the network held back arrives (again)."""
         if self.old_calls:
             holder, call = self.old_calls[pick % len(self.old_calls)]
@@ -169,7 +171,7 @@
 
     @rule(holder=st.sampled_from(HOLDERS), pick=st.integers(0, 20))
     def ack(self, holder, pick):
-        done = sorted(set(self.taken.values()))
+        done = sorted(set(self.delivered.values()))
         if done and holder not in self.frozen:
             self.calls += 1
             pull_id = done[pick % len(done)]
@@ -181,10 +183,12 @@
 
     @rule(who=st.sampled_from(["trainer", "engines", "both"]))
     def advance(self, who):
-        self.trainer += who != "engines"
-        self.engines = max(self.trainer, self.engines + (who != "trainer"))
+        self.trainer_version += who != "engines"
+        self.engine_version = max(
+            self.trainer_version, self.engine_version + (who != "trainer")
+        )
 
-    def take(self, answer):
+    def accept_answer(self, answer):
         """The oracle: what a rank takes from the call it waits for."""
         for rank, call in list(self.waiting.items()):
             if call.call != answer.call:
@@ -196,9 +200,9 @@
                 self.check_group(group, call)
 
     def check_group(self, group, call):
-        is_new = group.group not in self.taken
-        self.check(is_new, ("doubled", group, self.taken))
-        self.taken[group.group] = call.pull_id
+        is_new = group.group not in self.delivered
+        self.check(is_new, ("doubled", group, self.delivered))
+        self.delivered[group.group] = call.pull_id
         indexes = [sample.index for sample in group.samples]
         self.check(indexes == list(range(SPEC.group_size)), "not whole")
         for sample in group.samples:
@@ -234,9 +238,9 @@
         elif step == "release":
             self.feed(holder, LotReleased())
         elif step == "engine":
-            self.reach_engine(holder, kind)
+            self.run_generation(holder, kind)
         else:
-            self.reach_store(holder, step)
+            self.run_store_call(holder, step)
 
     @rule(seconds=st.sampled_from([0.25, 1.1]))
     def pass_time(self, seconds):
@@ -245,7 +249,7 @@
             self.feed(holder, LotTick())
 
     @rule()
-    def hear_late_write(self):
+    def apply_late_write(self):
         """A write whose sender gave up on the answer reaches the store."""
         if self.delayed:
             self.apply(self.delayed.pop(0))
@@ -253,38 +257,40 @@
     def work(self, holder, fault="", kind=""):
         """A holder works until it waits; its next write meets the fault."""
         for _ in range(12):
-            while self.reach_engine(holder, kind):
+            while self.run_generation(holder, kind):
                 kind = ""
             is_write = isinstance(self.next_store_action(holder), WriteState)
             if is_write and fault == "freeze":
                 self.frozen.add(holder)
                 return
-            if not self.reach_store(holder, fault if is_write else "store"):
+            if not self.run_store_call(holder, fault if is_write else "store"):
                 return
             if is_write and fault:
                 return
 
     def next_store_action(self, holder):
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, ReadState | WriteState):
                 return action
         return None
 
     def pop(self, holder, *kinds):
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, kinds):
-                self.out[holder].remove(action)
+                self.actions[holder].remove(action)
                 return action
         return None
 
     def answer_trainer(self, holder):
         cancelled = {
-            a.attempt for a in self.out[holder] if isinstance(a, CancelSample)
+            a.attempt
+            for a in self.actions[holder]
+            if isinstance(a, CancelSample)
         }
         rest = []
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, DeliverGroups):
-                self.take(action)
+                self.accept_answer(action)
             elif isinstance(action, RefuseCall):
                 # Only pulls that were taken are acknowledged here.
                 is_known = action.reason is not RefusalReason.UNKNOWN_PULL
@@ -297,18 +303,18 @@
                 isinstance(action, Generate) and action.attempt not in cancelled
             ):
                 rest.append(action)
-        self.out[holder] = rest
+        self.actions[holder] = rest
 
-    def reach_engine(self, holder, kind):
+    def run_generation(self, holder, kind):
         action = self.pop(holder, Generate)
         if action is None:
             return False
         if kind == "fail":
             self.feed(holder, SampleFailed(action.attempt))
             return True
-        versions = (self.engines,) * 2
+        versions = (self.engine_version,) * 2
         if kind == "swap":
-            versions = (self.engines - 1, self.engines)
+            versions = (self.engine_version - 1, self.engine_version)
         answer = engine_answer(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
             self.feed(holder, SampleReceived(action.attempt, answer))
@@ -324,11 +330,11 @@
         self.write_ids[self.version] = write.write_id
         return True
 
-    def reach_store(self, holder, fault):
+    def run_store_call(self, holder, fault):
         action = self.next_store_action(holder)
         if action is None:
             return False
-        self.out[holder].remove(action)
+        self.actions[holder].remove(action)
         if isinstance(action, ReadState):
             event = StateReadFailed()
             if fault in ("", "store"):
@@ -351,30 +357,30 @@
         if getattr(self, "has_failed", True):
             return
         self.frozen.clear()
-        self.engines = max(self.engines, self.trainer)
-        for number in range(HEAL_ROUNDS):
-            if len(self.taken) == GROUPS:
+        self.engine_version = max(self.engine_version, self.trainer_version)
+        for number in range(RECOVERY_ROUNDS):
+            if len(self.delivered) == GROUPS:
                 return
             for rank in RANKS:
                 if rank not in self.waiting or not number % 8:
-                    self.ask(rank, 0)
+                    self.request_groups(rank, 0)
             self.pass_time(0.25)
             for holder in HOLDERS:
                 self.work(holder)
                 self.answer_trainer(holder)
-        raise AssertionError(f"only {sorted(self.taken)} arrived")
+        raise AssertionError(f"only {sorted(self.delivered)} arrived")
 
 
-class HandsOverUncommitted(LotCore):
+class DeliversUncommitted(LotCore):
     """Broken: takes a write for done before its effect is known."""
 
-    def _on_store_trouble(self, event, now_s):
-        if isinstance(event, StateWriteUncertain) and self._write:
-            self._adopt(self._write.state, self._version)
-        super()._on_store_trouble(event, now_s)
+    def _on_store_failure(self, event, now_s):
+        if isinstance(event, StateWriteUncertain) and self._pending_write:
+            self._apply_state(self._pending_write.state, self._version)
+        super()._on_store_failure(event, now_s)
 
 
-class KeepsOwnMap(LotCore):
+class OverwritesStoredMap(LotCore):
     """Broken: after a refused write it puts its own map over the stored."""
 
     def _on_read(self, event):
@@ -387,62 +393,64 @@
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
-        whole = self._slots.whole_groups
+        whole = self._slots.complete_groups
         if record and not record.is_acked and set(record.groups) - set(whole):
             pulls = dict(self._state.pulls)
             del pulls[call.pull_id]
             self._state = LotState(pulls=pulls)
-            self._owned -= set(record.groups)
-            self._slots.want(record.groups)
+            self._committed_groups -= set(record.groups)
+            self._slots.add_groups(record.groups)
             return []
         return super()._serve_pull(call, now_s)
 
 
-class RepeatsStaleSamples(LotCore):
+class DeliversStaleRepeats(LotCore):
     """Broken: a repeat isn't checked against its own version."""
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
-        if record and set(record.groups) <= set(self._slots.whole_groups):
-            return [self._hand_over(call, record.groups)]
+        if record and set(record.groups) <= set(self._slots.complete_groups):
+            return [self._deliver(call, record.groups)]
         return super()._serve_pull(call, now_s)
 
 
-class TrustsSpans(LotCore):
+class AcceptsInvalidSpans(LotCore):
     """Broken: takes whatever spans an engine names."""
 
-    def _on_ready(self, event, now_s):
-        place = self._slots.place_of(event.attempt)
+    def _on_sample(self, event, now_s):
+        position = self._slots.slot_of(event.attempt)
         spans = event.answer.spans or (Span(version=99, start=0, end=1),)
-        if place is None:
+        if position is None:
             return []
-        sample = Sample(index=place[1], tokens=event.answer.tokens, spans=spans)
-        return self._slots.finish(event.attempt, sample)
+        sample = Sample(
+            index=position[1], tokens=event.answer.tokens, spans=spans
+        )
+        return self._slots.complete_attempt(event.attempt, sample)
 
 
-class RefusesUnread(LotCore):
+class RefusesWithoutRead(LotCore):
     """Broken: refuses an acknowledgement by what was read before it."""
 
-    def _read_first(self, call):
+    def _require_read(self, call):
         pass
 
 
 class BillsEveryWrite(LotCore):
     """Broken: bills a commit that another holder's write prevented."""
 
-    def _bill(self):
-        counted = list(self._unbilled.values())
-        self._unbilled.clear()
+    def _confirmed_usage(self):
+        counted = list(self._unbilled_usage.values())
+        self._unbilled_usage.clear()
         return counted
 
 
 BROKEN = (
-    HandsOverUncommitted,
-    KeepsOwnMap,
+    DeliversUncommitted,
+    OverwritesStoredMap,
     FreesRepeatedGroups,
-    RepeatsStaleSamples,
-    TrustsSpans,
-    RefusesUnread,
+    DeliversStaleRepeats,
+    AcceptsInvalidSpans,
+    RefusesWithoutRead,
     BillsEveryWrite,
 )
 
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -27,58 +27,63 @@
 HOLDERS = (0, 1)
 TERM_S = 6.0
 MARGIN_S = 1.0
-AT_ONCE = 2
+MAX_CONCURRENT_LOADS = 2
 # Pool "b" ignores fencing numbers.
 ENGINES = ("a0", "a1", "a2", "b0", "b1")
-RULES = {"a": RolloutPolicy(AT_ONCE, True), "b": RolloutPolicy(AT_ONCE, False)}
+POLICIES = {
+    "a": RolloutPolicy(MAX_CONCURRENT_LOADS, True),
+    "b": RolloutPolicy(MAX_CONCURRENT_LOADS, False),
+}
 
 
 class WeightMachine(RuleBasedStateMachine):
     """Two holders, five engines in two pools."""
 
     core_class = WeightCore
-    checks_last = True
+    rechecks_lease = True
 
     @initialize()
     def start(self):
         self.now_s = 0.0
         self.cores = [self.core_class(MARGIN_S) for _ in HOLDERS]
-        self.out = {holder: [] for holder in HOLDERS}
-        self.fence = dict.fromkeys(HOLDERS, (0, 0.0))
+        self.actions = {holder: [] for holder in HOLDERS}
+        self.leases = dict.fromkeys(HOLDERS, (0, 0.0))
         self.granted, self.granted_until_s = 0, 0.0
         self.engines = {name: [0, 0, 1] for name in ENGINES}
         self.newest = 1
 
     def fencing(self, holder, extra_s=0.0):
-        number, until_s = self.fence[holder]
+        number, until_s = self.leases[holder]
         return number if self.now_s + extra_s < until_s else 0
 
     def feed(self, holder, event):
-        sent_at = self.fencing(holder)
+        decided_fencing = self.fencing(holder)
         for order in self.cores[holder].handle(event, self.now_s):
-            self.out[holder].append((order, sent_at))
-        for pool in RULES:
-            mine = [o for o, _ in self.out[holder] if o.endpoint_id[0] == pool]
-            assert len(mine) <= AT_ONCE, mine
-
-    def see(self, holder):
+            self.actions[holder].append((order, decided_fencing))
+        for pool in POLICIES:
+            loading = [
+                o for o, _ in self.actions[holder] if o.endpoint_id[0] == pool
+            ]
+            assert len(loading) <= MAX_CONCURRENT_LOADS, loading
+
+    def list_engines(self, holder):
         views = tuple(
             EngineView(name, name[0], engine[2], engine[0])
             for name, engine in self.engines.items()
         )
-        self.feed(holder, EnginesListed(views, RULES))
+        self.feed(holder, EnginesListed(views, POLICIES))
         self.feed(holder, VersionPublished("a", self.newest))
         self.feed(holder, VersionPublished("b", self.newest))
 
     @rule(holder=st.sampled_from(HOLDERS))
     def take_turn(self, holder):
         """Renews or takes the lease if that is allowed, then works."""
-        is_own = self.fence[holder][0] == self.granted
+        is_own = self.leases[holder][0] == self.granted
         if is_own or self.now_s >= self.granted_until_s + MARGIN_S:
             self.granted += not is_own or not self.granted
             self.granted_until_s = self.now_s + TERM_S - MARGIN_S
-            self.fence[holder] = (self.granted, self.granted_until_s)
-        self.see(holder)
+            self.leases[holder] = (self.granted, self.granted_until_s)
+        self.list_engines(holder)
         self.feed(holder, WeightTick(bool(self.fencing(holder))))
 
     @rule(seconds=st.sampled_from([0.5, 3.0, 6.5]))
@@ -98,17 +103,17 @@
         freeze_s=st.sampled_from([0.0, 0.0, 1.8, 9.0]),
         outcome=st.sampled_from(["done", "done", "lost", "failed"]),
         wait_s=st.sampled_from([0.0, 0.0, 4.6]),
-        pick=st.integers(0, 3),
+        index=st.integers(0, 3),
     )
-    def send(self, holder, freeze_s, outcome, wait_s=0.0, pick=0):
+    def send(self, holder, freeze_s, outcome, wait_s=0.0, index=0):
         """Waits, checks, is frozen, sends; others work in the meantime."""
-        if not self.out[holder]:
+        if not self.actions[holder]:
             return
         self.now_s += wait_s
-        pick %= len(self.out[holder])
-        order, sent_at = self.out[holder].pop(pick)
-        number = sent_at
-        if self.checks_last:
+        index %= len(self.actions[holder])
+        order, decided_fencing = self.actions[holder].pop(index)
+        number = decided_fencing
+        if self.rechecks_lease:
             number = self.fencing(holder, order.extra_margin_s)
         if not number:
             self.feed(holder, OrderNotSent(order.attempt))
@@ -116,13 +121,15 @@
         if freeze_s:
             self.now_s += freeze_s
             self.take_turn(1 - holder)
-        is_done = self.reach(order, number, freeze_s, outcome != "failed")
+        is_done = self.execute_order(
+            order, number, freeze_s, outcome != "failed"
+        )
         if is_done and outcome == "done":
             self.feed(holder, OrderCompleted(order.attempt))
         else:
             self.feed(holder, OrderFailed(order.attempt))
 
-    def reach(self, order, number, freeze_s, is_sound):
+    def execute_order(self, order, number, freeze_s, should_load):
         """The engine takes an order; the oracle checks who sent it."""
         version, highest, incarnation = self.engines[order.endpoint_id]
         checks_fencing = order.endpoint_id[0] == "a"
@@ -132,11 +139,11 @@
         is_covered = freeze_s < 2 * MARGIN_S and not checks_fencing
         if is_covered or not freeze_s:
             assert number == self.granted, ("deposed holder", order, number)
-        if is_sound:
+        if should_load:
             highest = max(highest, number)
             version = max(version, order.version)
             self.engines[order.endpoint_id] = [version, highest, incarnation]
-        return is_sound
+        return should_load
 
     def teardown(self):
         """All faults end; then every engine gets the newest version."""
@@ -146,13 +153,13 @@
         for _ in range(40):
             self.now_s += 1.0
             self.take_turn(0)
-            while self.out[0]:
+            while self.actions[0]:
                 self.send(0, 0.0, "done")
         versions = {engine[0] for engine in self.engines.values()}
         assert versions == {self.newest}, versions
 
 
-class KeepsNoMargin(WeightCore):
+class IgnoresExtraMargin(WeightCore):
     """Broken: no extra margin for engines that ignore fencing numbers."""
 
     def __init__(self, extra_margin_s):
@@ -171,9 +178,12 @@
         run_proof(WeightMachine, examples=300)
 
     def test_the_machine_catches_broken_rollouts(self):
-        broken = [{"core_class": KeepsNoMargin}, {"core_class": NeverRetries}]
+        broken = [
+            {"core_class": IgnoresExtraMargin},
+            {"core_class": NeverRetries},
+        ]
         # Fencing numbers read when the order was decided, not at the send.
-        for change in [*broken, {"checks_last": False}]:
+        for change in [*broken, {"rechecks_lease": False}]:
             with self.subTest(str(change)):
                 machine = type("Machine", (WeightMachine,), change)
                 self.assertIsInstance(find_failure(machine), AssertionError)
