--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -12,7 +12,11 @@
     processor_us,
 )
 from daisyhub.filters import AdmissionCore
-from daisyhub.filters._admission_core import Admit, Arrive, Depart
+from daisyhub.filters._admission_core import (
+    AdmitRequest,
+    RequestArrived,
+    RequestDeparted,
+)
 from daisyhub.hosting import (
     LeaseCore,
     LeaseRead,
@@ -177,8 +181,8 @@
     return memory_bytes(lambda: _decode(data))
 
 
-def _arrive(number: int, accounts: int) -> Arrive:
-    return Arrive(
+def _arrive(number: int, accounts: int) -> RequestArrived:
+    return RequestArrived(
         request_id=str(number),
         account=f"account-{number % accounts}",
         weight=1,
@@ -196,10 +200,14 @@
     started_s = time.process_time()
     for number in range(count):
         actions = core.handle(_arrive(number, accounts), 0.0)
-        admitted += [a.request_id for a in actions if isinstance(a, Admit)]
-        if len(admitted) >= 1 and core.waiting > 100:
-            actions = core.handle(Depart(admitted.pop(0), 0.01), 0.0)
-            admitted += [a.request_id for a in actions if isinstance(a, Admit)]
+        admitted += [
+            a.request_id for a in actions if isinstance(a, AdmitRequest)
+        ]
+        if len(admitted) >= 1 and core.waiting_count > 100:
+            actions = core.handle(RequestDeparted(admitted.pop(0), 0.01), 0.0)
+            admitted += [
+                a.request_id for a in actions if isinstance(a, AdmitRequest)
+            ]
     return (time.process_time() - started_s) / count * _US_PER_S
 
 
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -87,7 +87,7 @@
     suspect_until_s: float = 0.0
     is_leaving: bool = False
     absent_since_s: float | None = None
-    heard_s: float = float("-inf")
+    last_received_at_s: float = float("-inf")
 
     @property
     def load(self) -> float:
@@ -251,7 +251,7 @@
             if now_s < self._endpoints[endpoint_id].suspect_until_s
         }
 
-    def told_capacity(self, pools: Iterable[str]) -> int | None:
+    def reported_capacity(self, pools: Iterable[str]) -> int | None:
         """Returns what usable endpoints serve at one time, all together.
 
         None if there are none, or one of them doesn't tell.
@@ -274,7 +274,7 @@
             return
         state.own_requests = max(0, state.own_requests - 1)
         if not failed:
-            state.heard_s = now_s
+            state.last_received_at_s = now_s
             state.failures = 0
             state.suspect_until_s = 0.0
             self._suspects.discard(endpoint_id)
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -2,13 +2,13 @@
 
 import msgspec
 
-from daisyhub.billing import DeskOutcome, OrderDesk
+from daisyhub.billing import OrderDeskClient, OrderDeskOutcome
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 
-__all__ = ["PlatformDesk"]
+__all__ = ["PlatformOrderDeskClient"]
 
 _OK = 200
 _CONFLICT = 409
@@ -16,7 +16,7 @@
 _TIMEOUT_S = 1.0
 
 
-class PlatformDesk(OrderDesk):
+class PlatformOrderDeskClient(OrderDeskClient):
     """Calls the platform's `cloud-api`.
 
     Args:
@@ -36,23 +36,27 @@
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
-    ) -> DeskOutcome:
-        """Reports a window; see `OrderDesk.report_usage`."""
+    ) -> OrderDeskOutcome:
+        """Reports a window; see `OrderDeskClient.report_usage`."""
         body = {"window-id": window, "counts": counts}
-        return await self._call("/usage", body, fencing, DeskOutcome.DEPOSED)
+        return await self._call(
+            "/usage", body, fencing, OrderDeskOutcome.STALE_FENCING
+        )
 
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
-    ) -> DeskOutcome:
+    ) -> OrderDeskOutcome:
         """Orders endpoints; a conflict here means that none are to be had."""
         body = {"service": pool, "zone": domain, "desired-count": count}
         if cheap:
             body["spot"] = True
-        return await self._call("/scale", body, fencing, DeskOutcome.REFUSED)
+        return await self._call(
+            "/scale", body, fencing, OrderDeskOutcome.REFUSED
+        )
 
     async def _call(
-        self, path: str, body: dict, fencing: int, on_conflict: DeskOutcome
-    ) -> DeskOutcome:
+        self, path: str, body: dict, fencing: int, on_conflict: OrderDeskOutcome
+    ) -> OrderDeskOutcome:
         headers = (
             (b"content-type", b"application/json"),
             (b"daisyhub-duty-holder", self._holder.encode()),
@@ -70,7 +74,15 @@
         except RequestFailedError as exc:
             self._log.note("desk_call_failed", path=path, reason=str(exc))
             is_sent = exc.ran is not Ran.NOT_RUN
-            return DeskOutcome.UNKNOWN if is_sent else DeskOutcome.REFUSED
+            return (
+                OrderDeskOutcome.UNKNOWN
+                if is_sent
+                else OrderDeskOutcome.REFUSED
+            )
         if answer.status == _CONFLICT:
             return on_conflict
-        return DeskOutcome.DONE if answer.status == _OK else DeskOutcome.REFUSED
+        return (
+            OrderDeskOutcome.DONE
+            if answer.status == _OK
+            else OrderDeskOutcome.REFUSED
+        )
