--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -1,4 +1,9 @@
-"""Usage: counts of each daemon, windows sealed once, reports."""
+"""Usage accounting and rate limits of client accounts.
+
+Each daemon counts the requests it serves, copies the counts to peers and
+flushes them to the platform. One daemon of a failure domain seals the windows
+and reports them. Daemons also share the accounts' rate limits.
+"""
 
 from daisyhub.accounting._counters import PeerUsage, UsageCounters
 from daisyhub.accounting._flush_core import (
--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -1,4 +1,4 @@
-"""Counts of one daemon, and copies of its peers' counts."""
+"""Usage counters of one daemon and copies of its peers' usage parts."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -20,12 +20,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerUsage:
-    """What one peer is told at a tick.
+    """Usage parts and acknowledgement to send to one peer at a tick.
 
     Attributes:
-        parts: Parts for it to keep until they are sealed.
-        acked_epoch: Its epoch that `acked_number` belongs to.
-        acked_number: Newest of its parts kept here; 0 for nothing to tell.
+        parts: Parts of this daemon that the peer keeps until they are sealed.
+        acked_epoch: The peer's epoch that `acked_number` belongs to.
+        acked_number: Number of the newest part of the peer that is copied
+            here; 0 for no acknowledgement.
     """
 
     parts: tuple[UsagePart, ...] = ()
@@ -34,12 +35,12 @@
 
 
 class UsageCounters:
-    """Counts served requests, cuts parts, and keeps parts until sealed.
+    """Counts served requests and keeps usage parts until they are sealed.
 
     Args:
-        daemon_id: This daemon.
-        epoch: Its incarnation.
-        window_s: Length of a usage window.
+        daemon_id: Id of this daemon.
+        epoch: Incarnation of this daemon.
+        window_s: Length of a usage window in seconds.
     """
 
     def __init__(self, daemon_id: str, epoch: int, window_s: float):
@@ -56,14 +57,20 @@
         self._pending_acks: dict[str, tuple[int, int]] = {}
 
     def add(self, account: str, tokens: int, wall_s: float) -> None:
-        """Counts one served request."""
+        """Counts one served request.
+
+        Args:
+            account: Client account that is billed.
+            tokens: Tokens of the response.
+            wall_s: Wall-clock time; selects the window.
+        """
         key = (window_start(wall_s, self.window_s), account)
         sums = self._uncut_sums.setdefault(key, [0, 0])
         sums[0] += 1
         sums[1] += tokens
 
     def cut_parts(self) -> None:
-        """Makes parts of all that was counted since the last cut."""
+        """Creates one part per window from the counts since the last call."""
         by_window: dict[int, list[PartCount]] = {}
         for (window, account), (requests, tokens) in sorted(
             self._uncut_sums.items()
@@ -83,13 +90,13 @@
             )
 
     def tick(self, live: Mapping[str, int]) -> dict[str, PeerUsage]:
-        """Cuts if it is time, and tells what each peer should be sent.
+        """Cuts parts if due and returns what to send to each peer.
 
-        The longer a backlog, the rarer the cuts, so that an outage of the
-        platform costs memory with the square root of its length.
+        Cuts become rarer as the number of unflushed parts grows, so that
+        memory grows with the square root of the length of a platform outage.
 
         Args:
-            live: Incarnations of the live peers of the domain.
+            live: Incarnations of the live peers in the failure domain, by id.
         """
         self._ticks_since_cut += 1
         unflushed = len(self._own_parts) - len(self._flushed_numbers)
@@ -113,7 +120,7 @@
         return usage
 
     def keep_copies(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
-        """Keeps a peer's parts until they are sealed."""
+        """Stores copies of a peer's parts until they are sealed."""
         for part in parts:
             self._copies[part.part_id] = part
             if part.daemon_id == sender:
@@ -125,7 +132,7 @@
     def on_copies_acknowledged(
         self, peer: str, incarnation: int, epoch: int, number: int
     ):
-        """Notes that a peer keeps this daemon's parts up to `number`."""
+        """Records that a peer has copies of own parts up to `number`."""
         if epoch != self.epoch:
             return
         key = (peer, incarnation)
@@ -133,11 +140,11 @@
         self._acked_numbers[key] = max(known, number)
 
     def own_parts(self) -> list[UsagePart]:
-        """Returns this epoch's parts that aren't known to be sealed."""
+        """Returns the parts of this epoch that aren't known to be sealed."""
         return list(self._own_parts.values())
 
     def orphaned_parts(self, live: Mapping[str, int]) -> list[UsagePart]:
-        """Returns the held parts of epochs that no longer run."""
+        """Returns the copied parts of incarnations that aren't live."""
         return [
             part
             for part in self._copies.values()
@@ -145,7 +152,7 @@
         ]
 
     def record_flushed(self, parts: tuple[UsagePart, ...]) -> None:
-        """Notes that the platform has these parts."""
+        """Records that these parts are stored at the platform."""
         for part in parts:
             if (
                 part.number in self._own_parts
@@ -153,42 +160,42 @@
             ):
                 self._flushed_numbers.add(part.number)
 
-    def drop_sealed(self, marks: SealedParts) -> None:
-        """Forgets parts that are sealed."""
+    def drop_sealed(self, sealed_parts: SealedParts) -> None:
+        """Drops own parts and copies that are sealed."""
         self._own_parts = {
             number: part
             for number, part in self._own_parts.items()
-            if part not in marks
+            if part not in sealed_parts
         }
         self._flushed_numbers.intersection_update(self._own_parts)
         self._copies = {
             part_id: part
             for part_id, part in self._copies.items()
-            if part not in marks
+            if part not in sealed_parts
         }
 
     @property
     def unsealed_count(self) -> int:
-        """How many own parts aren't known to be sealed."""
+        """Own parts that aren't known to be sealed; uncut counts add one."""
         return len(self._own_parts) + bool(self._uncut_sums)
 
     @property
     def unkept_requests(self) -> int:
-        """How many requests neither the platform nor a peer knows of."""
-        kept = max(self._acked_numbers.values(), default=0)
+        """Counted requests that neither the platform nor a peer stores."""
+        acked = max(self._acked_numbers.values(), default=0)
         unkept = sum(requests for requests, _ in self._uncut_sums.values())
         for number, part in self._own_parts.items():
-            if number > kept and number not in self._flushed_numbers:
+            if number > acked and number not in self._flushed_numbers:
                 unkept += sum(count.requests for count in part.counts)
         return unkept
 
     @property
     def copy_count(self) -> int:
-        """How many parts of peers are kept here."""
+        """Copies of peers' parts at this daemon."""
         return len(self._copies)
 
     def _copy_targets(self, live: Mapping[str, int]) -> list[str]:
-        """Returns the next live peers in the order of their ids."""
+        """Returns the peers that follow this daemon in the ring of live ids."""
         ring = sorted(live)
         after = [peer for peer in ring if peer > self.daemon_id]
         return (after + ring)[: min(_COPIES_PER_PART, len(ring))]
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -1,9 +1,10 @@
-"""Decides when a daemon writes its parts to the platform.
+"""Decides when a daemon writes its usage parts to the platform.
 
-Each daemon has one object with its parts that aren't sealed yet, and those
-of dead peers. The object is read before it is first written, so that parts
-of an earlier epoch stay. Wake-ups are on CLOCK_BOOTTIME; windows follow the
-wall clock, which may jump.
+Each daemon owns one object at the platform. It contains the daemon's unsealed
+parts and the copied parts of incarnations that are no longer live. The object
+is read before the first write, so that parts of an earlier epoch are kept.
+Wake-up times are on CLOCK_BOOTTIME; windows follow the wall clock, which may
+jump.
 """
 
 import dataclasses
@@ -38,9 +39,9 @@
     """Time has passed.
 
     Attributes:
-        wall_s: The wall clock.
-        live: Incarnations of the live peers of the domain.
-        is_closing: Whether to flush now, with whatever was counted.
+        wall_s: Wall-clock time.
+        live: Incarnations of the live peers in the failure domain, by id.
+        is_closing: Whether to flush now, before the window ends.
     """
 
     wall_s: float
@@ -50,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreRead:
-    """This daemon's object; version 0 if there is none."""
+    """This daemon's object was read; version 0 if there is none."""
 
     store: PartStore
     version: int
@@ -58,14 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreWritten:
-    """The write took effect as `version`."""
+    """The object was written and has this version now."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreWriteRejected:
-    """The object is at another version."""
+    """The write was rejected: the object has another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -75,18 +76,18 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteStore:
-    """Action: write this daemon's object at `expected_version`."""
+    """Action: write this daemon's object if it has `expected_version`."""
 
     store: PartStore
     expected_version: int
 
 
 class FlushCore(Core):
-    """Flushes at the end of each window.
+    """Flushes usage parts at the end of each window.
 
     Args:
-        counters: The parts.
-        retry_s: Pause after a failed call.
+        counters: Provides the parts.
+        retry_s: Delay in seconds after a failed call.
     """
 
     def __init__(self, counters: UsageCounters, retry_s: float):
@@ -104,16 +105,16 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to send the next `FlushTick`."""
+        """When to send the next `FlushTick`; None while a call is pending."""
         return None if self._is_call_pending else self._next_flush_s
 
     @property
     def is_done(self) -> bool:
-        """Whether the last flush has ended well."""
+        """Whether the last flush that was started has succeeded."""
         return self._is_done
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns reads and writes."""
+        """Handles one event and returns the next read or write."""
         match event:
             case FlushTick():
                 return self._on_tick(event, now_s)
@@ -187,7 +188,7 @@
 
 
 def _oldest(parts: list[UsagePart]) -> tuple[UsagePart, ...]:
-    """Returns the oldest parts that fit into an object."""
+    """Returns the oldest parts that fit into one object, at least one."""
     chosen = []
     remaining_counts = _MAX_COUNTS_PER_STORE
     for part in sorted(parts, key=lambda p: (p.window, p.part_id)):
--- a/daisyhub/accounting/_ledger.py
+++ b/daisyhub/accounting/_ledger.py
@@ -1,8 +1,8 @@
-"""The ledger of a failure domain: what was sealed, and what to report.
+"""The ledger of a failure domain: sealed parts and reports to send.
 
-It is one object, changed by conditional update only. A change seals windows
-and marks the parts that they took in the same write, so that no part is
-taken twice and no window is sealed twice, whoever writes.
+The ledger is one object that is only changed by conditional writes. One write
+seals windows and marks the parts that they include. Therefore no part is
+counted twice and no window is sealed twice, even with several writers.
 """
 
 from collections.abc import Iterable
@@ -34,14 +34,14 @@
 
 
 class SealedWindow(msgspec.Struct, frozen=True, kw_only=True):
-    """Figures of a window that never change again: the body of a report.
+    """Final figures of a window; the body of a usage report.
 
     Attributes:
-        failure_domain: Where the usage was counted.
+        failure_domain: Failure domain that counted the usage.
         window: Start of the window, whole seconds since the epoch.
         counts: Sums by account, late usage included.
-        late: The share of `counts` that was counted in other windows, whose
-            own figures were sealed before it came.
+        late: The part of `counts` that belongs to other windows: they were
+            sealed before it arrived, or lie too far in the future.
     """
 
     failure_domain: str
@@ -51,12 +51,12 @@
 
 
 class SealedRanges(msgspec.Struct, frozen=True, kw_only=True):
-    """Which parts of one daemon epoch are sealed.
+    """Numbers of the sealed parts of one daemon epoch.
 
     Attributes:
-        daemon_id: Whose parts.
+        daemon_id: Daemon that counted the parts.
         epoch: Incarnation of that daemon.
-        ranges: First and last numbers, both included, in rising order.
+        ranges: First and last part numbers, inclusive, in ascending order.
     """
 
     daemon_id: str
@@ -65,21 +65,21 @@
 
 
 class StoredReport(msgspec.Struct, frozen=True, kw_only=True):
-    """The bytes to report for one window, as text."""
+    """The report of one window, as JSON text."""
 
     window: int
     body: str
 
 
 class Ledger(msgspec.Struct, frozen=True, kw_only=True):
-    """Value of the ledger object.
+    """Value of the ledger object at the platform.
 
     Attributes:
         window: The newest sealed window; -1 for none.
         unreported: Sealed windows that may not be reported yet, oldest first.
-        marks: Sealed parts.
-        retired: By daemon, the newest epoch whose marks were forgotten; its
-            parts and those of older epochs are never taken again.
+        marks: Sealed parts of recent epochs.
+        retired: By daemon, the newest epoch whose marks were dropped. All
+            parts of this and older epochs count as sealed.
     """
 
     window: int = -1
@@ -89,7 +89,7 @@
 
 
 class SealedParts:
-    """Tells which parts a ledger has sealed, and adds to them."""
+    """The set of parts that a ledger has sealed."""
 
     def __init__(self, ledger: Ledger):
         self._ranges = {
@@ -105,13 +105,13 @@
         return any(first <= part.number <= last for first, last in ranges)
 
     def add(self, part: UsagePart) -> None:
-        """SealedParts one part as sealed."""
+        """Marks one part as sealed."""
         key = (part.daemon_id, part.epoch)
-        points = [*self._ranges.get(key, ()), (part.number, part.number)]
-        self._ranges[key] = _merge(points)
+        ranges = [*self._ranges.get(key, ()), (part.number, part.number)]
+        self._ranges[key] = _merge(ranges)
 
     def drop_old_epochs(self, max_epochs: int = _MAX_EPOCHS_PER_DAEMON) -> None:
-        """Forgets all but the newest `kept` epochs of each daemon."""
+        """Drops the ranges of all but the newest epochs of each daemon."""
         epochs: dict[str, list[int]] = {}
         for daemon_id, epoch in self._ranges:
             epochs.setdefault(daemon_id, []).append(epoch)
@@ -121,7 +121,7 @@
                 self._retired[daemon_id] = epoch
 
     def to_ledger_fields(self) -> dict[str, object]:
-        """Returns the ledger's fields `marks` and `retired`."""
+        """Returns the fields `marks` and `retired` of a `Ledger`."""
         marks = tuple(
             SealedRanges(daemon_id=daemon_id, epoch=epoch, ranges=tuple(ranges))
             for (daemon_id, epoch), ranges in sorted(self._ranges.items())
@@ -147,18 +147,19 @@
     length_s: float,
     reported: frozenset[int] = frozenset(),
 ) -> Ledger:
-    """Seals what is known of all windows up to `ended`.
+    """Seals the windows up to `ended_window` that have unsealed parts.
 
     Args:
         domain: The failure domain.
         ledger: The ledger as stored.
-        parts: Parts known, in any order, any number of times.
-        ended: The newest window that is over on the caller's clock.
-        length_s: Length of a window.
-        reported: Windows that have been reported.
+        parts: All known parts, in any order; duplicates are ignored.
+        ended_window: The newest window that has ended on the caller's clock.
+        length_s: Length of a window in seconds.
+        reported: Windows whose reports were accepted; they are removed from
+            the unreported ones.
 
     Returns:
-        The ledger to store; the same object if there is nothing to seal.
+        The ledger to store, or the given object if there is nothing to seal.
     """
     unreported = tuple(
         report for report in ledger.unreported if report.window not in reported
@@ -166,24 +167,28 @@
     last_window = _last_sealable_window(ledger, ended_window, length_s)
     if last_window is None or _is_full(unreported):
         return ledger
-    marks = SealedParts(ledger)
+    sealed_parts = SealedParts(ledger)
     max_window = ended_window + _MAX_WINDOWS_AHEAD * length_s
-    by_window = _group_by_window(ledger, marks, parts, last_window, max_window)
+    by_window = _group_by_window(
+        ledger, sealed_parts, parts, last_window, max_window
+    )
     if not by_window:
         return ledger
     for window in sorted(by_window)[:_MAX_WINDOWS_PER_WRITE]:
-        unreported += (_make_report(domain, window, by_window[window], marks),)
+        unreported += (
+            _make_report(domain, window, by_window[window], sealed_parts),
+        )
         if _is_full(unreported):
             break
-    marks.drop_old_epochs()
+    sealed_parts.drop_old_epochs()
     newest = unreported[-1].window
     return Ledger(
-        window=newest, unreported=unreported, **marks.to_ledger_fields()
+        window=newest, unreported=unreported, **sealed_parts.to_ledger_fields()
     )
 
 
 def _is_full(unreported: tuple[StoredReport, ...]) -> bool:
-    """Tells whether the object has no room for more windows."""
+    """Returns whether no more windows fit into the ledger object."""
     size_bytes = sum(len(report.body) for report in unreported)
     is_large = size_bytes >= _MAX_UNREPORTED_BYTES
     return is_large or len(unreported) >= _MAX_UNREPORTED_WINDOWS
@@ -192,10 +197,11 @@
 def _last_sealable_window(
     ledger: Ledger, ended_window: int, length_s: float
 ) -> int | None:
-    """Returns the newest window to seal, or None to wait.
+    """Returns the newest window that may be sealed now, or None.
 
-    After a writer whose clock was far ahead, windows go on from its newest
-    one, so that a wrong clock can't stop the reports.
+    If the ledger's newest window is far ahead of the clock, the clock of an
+    earlier writer was wrong. Sealing then continues with the window after the
+    newest one, since waiting for the clock would stop the reports.
     """
     if ended_window > ledger.window:
         return ended_window
@@ -206,13 +212,19 @@
 
 def _group_by_window(
     ledger: Ledger,
-    marks: SealedParts,
+    sealed_parts: SealedParts,
     parts: Iterable[UsagePart],
     last_window: int,
     max_window: float,
 ) -> dict[int, list[UsagePart]]:
-    """Groups unsealed parts by the window that will take them."""
-    unsealed_parts = {part.part_id: part for part in parts if part not in marks}
+    """Groups unsealed parts by the window to seal them in.
+
+    Parts of windows that are already sealed, or that start after
+    `max_window`, go into the oldest window to be sealed.
+    """
+    unsealed_parts = {
+        part.part_id: part for part in parts if part not in sealed_parts
+    }
     by_window: dict[int, list[UsagePart]] = {}
     late_or_misdated: list[UsagePart] = []
     for part in unsealed_parts.values():
@@ -228,10 +240,10 @@
 
 
 def _make_report(
-    domain: str, window: int, parts: list[UsagePart], marks: SealedParts
+    domain: str, window: int, parts: list[UsagePart], sealed_parts: SealedParts
 ) -> StoredReport:
     for part in parts:
-        marks.add(part)
+        sealed_parts.add(part)
     late = [part for part in parts if part.window != window]
     sealed = SealedWindow(
         failure_domain=domain,
--- a/daisyhub/accounting/_parts.py
+++ b/daisyhub/accounting/_parts.py
@@ -1,8 +1,8 @@
-"""Parts: numbered pieces of one daemon's usage that never change.
+"""Usage parts: immutable, numbered portions of one daemon's usage.
 
-A daemon epoch cuts what it counted into parts numbered from 1. A part is
-copied, flushed and sealed as a whole, so that sealing can name what it took
-by number and nothing is taken twice, in whatever order copies come.
+Each daemon epoch splits its counts into parts numbered from 1. A part is
+copied, flushed and sealed as a whole. The ledger identifies sealed parts by
+their numbers, so that each is counted once, whatever the order of copies.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 
 
 class UsageCount(msgspec.Struct, frozen=True, kw_only=True):
-    """Sums for one client account, as reported."""
+    """Sums for one client account in a report."""
 
     account: str
     requests: int = 0
@@ -32,7 +32,7 @@
 
 
 class PartCount(msgspec.Struct, frozen=True, array_like=True):
-    """Sums for one client account in one part; short on the wire."""
+    """Sums for one client account in one part; encoded as an array."""
 
     account: str
     requests: int = 0
@@ -40,14 +40,14 @@
 
 
 class UsagePart(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A piece of what one daemon epoch counted in one window.
+    """Counts of one daemon epoch in one window since the previous part.
 
     Attributes:
-        daemon_id: Whose counts.
+        daemon_id: Daemon that counted.
         epoch: Incarnation of that daemon.
-        number: Of the part, from 1, within the epoch.
-        window: Start of the window, whole seconds since the epoch.
-        counts: By account; what was counted since the part before.
+        number: Number of the part within the daemon's epoch, from 1.
+        window: Start of the window, whole seconds since the Unix epoch.
+        counts: Sums by account.
     """
 
     daemon_id: str
@@ -58,18 +58,18 @@
 
     @property
     def part_id(self) -> PartId:
-        """Names the part; two parts with one id are the same."""
+        """Identifies the part: copies with the same id are equal."""
         return (self.daemon_id, self.epoch, self.number)
 
 
 class PartStore(msgspec.Struct, frozen=True, kw_only=True):
-    """Value of a daemon's object at the platform: parts not yet sealed."""
+    """Value of a daemon's object at the platform: its unsealed parts."""
 
     parts: tuple[UsagePart, ...] = ()
 
 
 class ListedStore(msgspec.Struct, frozen=True, kw_only=True):
-    """One daemon's object as it was listed."""
+    """One daemon's object in a listing."""
 
     daemon_id: str
     store: PartStore
@@ -77,12 +77,12 @@
 
 
 def window_start(wall_s: float, length_s: float) -> int:
-    """Returns the start of the window that a time falls into."""
+    """Returns the start of the window that contains `wall_s`."""
     return int(wall_s // length_s * length_s)
 
 
 def sum_counts(counts: Iterable[PartCount]) -> tuple[UsageCount, ...]:
-    """Adds counts up by account, sorted by account."""
+    """Returns the sums by account, sorted by account."""
     requests: dict[str, int] = {}
     tokens: dict[str, int] = {}
     for count in counts:
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -1,4 +1,4 @@
-"""This daemon's shares of the accounts' limits, from measured demand."""
+"""This daemon's shares of the accounts' rate limits."""
 
 import math
 
@@ -18,11 +18,11 @@
 
 
 class RateShares:
-    """Measures demand, and asks and lends through a `ShareCore`.
+    """Measures demand per account and exchanges loans by a `ShareCore`.
 
     Args:
-        core: The core.
-        started_s: When measuring starts, on the core's clock.
+        core: Decides which quanta to borrow and lend.
+        started_s: Start of the first measurement, on the core's clock.
     """
 
     def __init__(self, core: ShareCore, started_s: float):
@@ -33,13 +33,13 @@
         self._rates: dict[str, float] = {}
 
     def share(self, account: str, limit_per_s: float, now_s: float) -> float:
-        """Counts an arrival and returns the usable share of the limit."""
+        """Counts a request and returns the usable share of the limit (0-1)."""
         self._arrivals[account] = self._arrivals.get(account, 0) + 1
         self._limits[account] = limit_per_s
         return self._core.share(account, now_s)
 
     def active_shares(self, now_s: float) -> dict[str, float]:
-        """Returns the shares of accounts that were seen lately."""
+        """Returns the shares of the accounts with recent requests."""
         return {
             account: self._core.share(account, now_s)
             for account in sorted(self._rates)
@@ -48,7 +48,7 @@
     def tick(
         self, live: tuple[str, ...], now_s: float
     ) -> list[SendLoanRequest | SendLoanGrant]:
-        """Returns what to send to peers."""
+        """Updates the measured rates and returns the messages to peers."""
         self._measure(now_s)
         wanted = {
             account: self._wanted_quanta(account) for account in self._rates
@@ -56,7 +56,7 @@
         return self._core.handle(ShareTick(wanted, live), now_s)
 
     def handle(self, event: LoanRequested | LoanGranted, now_s: float) -> None:
-        """Takes a peer's ask or grant."""
+        """Handles a peer's loan request or grant."""
         self._core.handle(event, now_s)
 
     def _measure(self, now_s: float) -> None:
--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -1,10 +1,10 @@
-"""Decides what the holder of a domain's usage lease seals and reports.
+"""Decides what the holder of a failure domain's usage lease seals and reports.
 
-Safety rests on the ledger's version alone: a window is sealed by the write
-that took effect, and only windows read from, or known to be in, the stored
-ledger are reported, with its bytes. The lease keeps two processes from doing
-the same work. Wake-ups are on CLOCK_BOOTTIME; windows follow the wall clock,
-which may jump and may differ from those of other daemons.
+Correctness depends only on the conditional writes of the ledger. A window is
+sealed by the write that took effect. Only windows that are known to be in the
+stored ledger are reported, with the stored bytes. The lease only avoids
+duplicate work. Wake-up times are on CLOCK_BOOTTIME; windows follow the wall
+clock, which may jump and may differ between daemons.
 """
 
 import dataclasses
@@ -36,9 +36,10 @@
     """Time has passed.
 
     Attributes:
-        wall_s: The wall clock.
-        fencing: Of the lease; 0 unless it is surely held.
-        running: Daemons of the domain that run, this one included.
+        wall_s: Wall-clock time.
+        fencing: Fencing number of the lease; 0 unless it is certainly held.
+        running: Ids of the live daemons of the failure domain, this one
+            included.
     """
 
     wall_s: float
@@ -48,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerRead:
-    """The ledger; version 0 if there is none."""
+    """The ledger was read; version 0 if there is none."""
 
     ledger: Ledger
     version: int
@@ -56,33 +57,33 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PartsListed:
-    """The objects of all daemons of the domain."""
+    """The objects of all daemons of the failure domain were read."""
 
     stores: tuple[ListedStore, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerWritten:
-    """The write took effect as `version`."""
+    """The ledger was written and has this version now."""
 
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LedgerWriteRejected:
-    """The ledger is at another version."""
+    """The write was rejected: the ledger has another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportAccepted:
-    """The platform took the report of a window."""
+    """The platform accepted the report of a window."""
 
     window: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreEmptied:
-    """A daemon's object was emptied, or had changed meanwhile."""
+    """A daemon's object was emptied, or was kept because it had changed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -97,7 +98,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListParts:
-    """Action: read the objects of all daemons of the domain."""
+    """Action: read the objects of all daemons of the failure domain."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -120,20 +121,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EmptyStore:
-    """Action: empty a daemon's object if it is at `expected_version`."""
+    """Action: empty a daemon's object if it has `expected_version`."""
 
     daemon_id: str
     expected_version: int
 
 
 class SealCore(Core):
-    """Seals windows that are over, and reports what the ledger says.
+    """Seals windows that have ended and reports the sealed windows.
 
     Args:
         domain: The failure domain.
-        window_s: Length of a window.
-        grace_s: Wait after a window's end.
-        retry_s: Pause after a failed call.
+        window_s: Length of a window in seconds.
+        grace_s: Seconds from the end of a window until it may be sealed.
+        retry_s: Delay in seconds after a failed call.
     """
 
     def __init__(
@@ -158,16 +159,16 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to send the next `SealTick`."""
+        """When to send the next `SealTick`; None while a call is pending."""
         return None if self._is_call_pending else self._next_check_s
 
     @property
     def last_sealed(self) -> int:
-        """The newest sealed window known here; -1 for none."""
+        """Start of the newest sealed window known here; -1 for none."""
         return self._ledger.window if self._ledger else -1
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns at most one action."""
+        """Handles one event and returns at most one action."""
         match event:
             case SealTick():
                 return self._on_tick(event, now_s)
@@ -200,7 +201,7 @@
         return self._next_action(now_s)
 
     def _next_action(self, now_s: float) -> list[object]:
-        """Returns the next thing to do, most urgent first."""
+        """Returns the next action: report, then empty objects, then seal."""
         self._is_call_pending = True
         if self._ledger is None:
             return [ReadLedger()]
@@ -234,17 +235,17 @@
         return [WriteLedger(sealed, self._version, self._fencing)]
 
     def _sealed_stores(self, event: PartsListed) -> list[EmptyStore]:
-        """Finds objects of vanished daemons that have nothing left to seal.
+        """Returns the objects of stopped daemons whose parts are all sealed.
 
-        The API has no delete; emptied, they cost little in each list.
+        The platform API has no delete; empty objects keep listings small.
         """
-        marks = SealedParts(self._ledger)
+        sealed_parts = SealedParts(self._ledger)
         return [
             EmptyStore(listed.daemon_id, listed.version)
             for listed in event.stores
             if listed.daemon_id not in self._running_daemons
             and listed.store.parts
-            and all(part in marks for part in listed.store.parts)
+            and all(part in sealed_parts for part in listed.store.parts)
         ]
 
     def _on_written(self, event: LedgerWritten, now_s: float) -> list[object]:
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -1,13 +1,13 @@
-"""Shares of the accounts' limits, lent between the daemons of a domain.
-
-Each daemon owns an even share of every account's limit. One that needs more
-asks its peers, and those that need less lend for a term. A loan counts at
-the borrower from the moment before it asked, and at the lender from its
-answer, so that no part of a limit is used at two daemons at one time. Cut off
-from its peers, a daemon has its own share again after a term. A restarted
-one uses little until all peers have told that they use nothing lent by its
-earlier incarnation, or until every such loan has ended. Shares are whole
-quanta; times are seconds on CLOCK_BOOTTIME.
+"""Lends shares of the accounts' rate limits between daemons of a domain.
+
+Each daemon owns an equal share of every account's limit. A daemon that needs
+more requests a loan from its peers; those that need less lend for a term. The
+borrower counts the term from the time of its request, the lender from its
+later answer plus a margin, so that no quantum is used at two daemons at once.
+A daemon that is cut off from its peers has its own share back after a term. A
+restarted daemon uses a minimum until all peers have answered, which shows that
+they use no loan of its earlier incarnation, or until all such loans have
+ended. Shares are whole quanta; times are seconds on CLOCK_BOOTTIME.
 """
 
 import dataclasses
@@ -38,9 +38,9 @@
     """Time has passed.
 
     Attributes:
-        wanted: Quanta that each account could use here; only for accounts
-            that were seen lately.
-        live: Peers of the domain.
+        wanted: Demand at this daemon in quanta, for each account with recent
+            requests.
+        live: Ids of the live peers in the failure domain.
     """
 
     wanted: Mapping[str, int]
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanRequested:
-    """A peer asks for quanta; `stamp_s` and `incarnation` are its own."""
+    """A peer requested quanta; `stamp_s` and `incarnation` are the peer's."""
 
     peer: str
     incarnation: int
@@ -59,13 +59,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanGranted:
-    """A peer lends quanta in answer to the ask of `stamp_s`.
+    """A peer granted quanta in answer to a request of this daemon.
 
     Attributes:
         peer: The lender.
-        lender_incarnation: Start of the lender.
-        incarnation: Of the asker, as in the ask.
-        stamp_s: As in the ask.
+        lender_incarnation: Incarnation of the lender.
+        incarnation: Incarnation of the borrower, copied from the request.
+        stamp_s: Time of the request, copied from it.
         grants: Accounts and quanta.
     """
 
@@ -78,7 +78,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendLoanRequest:
-    """Action: ask a peer."""
+    """Action: send a loan request to a peer."""
 
     peer: str
     incarnation: int
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendLoanGrant:
-    """Action: answer a peer's ask; `incarnation` is that of the ask."""
+    """Action: answer a loan request; repeats its incarnation and stamp."""
 
     peer: str
     incarnation: int
@@ -104,14 +104,18 @@
 
 
 class ShareCore(Core):
-    """Decides what to ask for and what to lend.
+    """Decides which quanta to borrow and which to lend.
 
     Args:
-        incarnation: Start of this process.
-        daemons: Configured daemons of the domain, this one included.
-        term_s: Term of a loan.
-        margin_s: How much longer the lender waits.
+        incarnation: Incarnation of this daemon.
+        daemons: Number of configured daemons of the failure domain, this one
+            included.
+        term_s: Term of a loan in seconds.
+        margin_s: Seconds that the lender waits beyond the term.
         started_s: When this process started.
+
+    Attributes:
+        total: Quanta that make up an account's whole limit.
     """
 
     def __init__(
@@ -137,21 +141,21 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """None: the peers' tick drives the core."""
+        """None: the tick of the peer controller drives the core."""
         return None
 
     def quanta(self, account: str, now_s: float) -> int:
-        """Returns how much of an account's limit may be used here now."""
+        """Returns the quanta of an account's limit that are usable here now."""
         return self._own_quanta(account, now_s) + self._borrowed_quanta(
             account, now_s
         )
 
     def share(self, account: str, now_s: float) -> float:
-        """Returns the same as a share of the limit, 0 to 1."""
+        """Returns the usable share of an account's limit, 0 to 1."""
         return self.quanta(account, now_s) / self.total
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendLoanRequest` and `SendLoanGrant` actions."""
+        """Handles one event and returns the messages to send to peers."""
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
@@ -213,7 +217,7 @@
     def _grant_loan(
         self, request: LoanRequested, requested, spare, now_s: float
     ) -> SendLoanGrant:
-        """Lends a part of the spare quanta in proportion to the asks."""
+        """Lends spare quanta in proportion to the requested quanta."""
         grants = []
         for account, wanted in request.wants:
             part = spare[account] * wanted // requested[account]
@@ -231,7 +235,7 @@
     def _record_loan(
         self, account, request: LoanRequested, quanta, now_s
     ) -> None:
-        """Notes a loan beside earlier ones, which may still be used."""
+        """Records a loan; the borrower may still use earlier ones."""
         if not quanta:
             return
         until_s = now_s + self._term_s + self._margin_s
@@ -256,7 +260,7 @@
             loans[event.peer] = _Loan(quanta, event.stamp_s, until_s)
 
     def _record_incarnation(self, peer: str, incarnation: int) -> None:
-        """Stops using what an earlier incarnation of a peer lent."""
+        """Drops loans from an earlier incarnation of a peer."""
         if incarnation <= self._incarnations.get(peer, 0):
             return
         self._incarnations[peer] = incarnation
@@ -264,7 +268,7 @@
             loans.pop(peer, None)
 
     def _is_restricted(self, now_s: float) -> bool:
-        """Tells whether peers may use what an earlier incarnation lent."""
+        """Returns whether peers may use loans of an earlier incarnation."""
         is_confirmed = len(self._confirmed_peers) >= self._peer_count
         return now_s < self._restricted_until_s and not is_confirmed
 
@@ -274,7 +278,11 @@
         return QUANTA_PER_DAEMON - self._lent_quanta(account, now_s)
 
     def _lent_quanta(self, account, now_s: float, except_peer: str = "") -> int:
-        """Returns the most that peers may use of this daemon's share."""
+        """Returns the quanta of this daemon's share that peers may use.
+
+        Of several loans to one peer the largest counts, since the peer uses
+        one of them at a time.
+        """
         return sum(
             max((x.quanta for x in loans if now_s < x.until_s), default=0)
             for peer, loans in self._lent.get(account, {}).items()
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -27,7 +27,7 @@
 
 
 def figures(ledger):
-    """Returns window to (requests, late requests) of unreported windows."""
+    """Returns (requests, late requests) by unreported window."""
     found = {}
     for report in ledger.unreported:
         sealed = msgspec.json.decode(report.body, type=SealedWindow)
@@ -42,21 +42,21 @@
         ledger = seal("busan", Ledger(), parts, 180, WINDOW_S)
         self.assertEqual(figures(ledger), {60: (1, 0), 120: (2, 0)})
 
-    def test_late_parts_go_into_the_next_window_as_such(self):
+    def test_late_parts_count_as_late_in_the_next_window(self):
         ledger = seal("busan", Ledger(), [part(2, 60)], 60, WINDOW_S)
         parts = [part(1, 60), part(2, 60), part(3, 120)]
         ledger = seal("busan", ledger, parts, 120, WINDOW_S, frozenset([60]))
         self.assertEqual(figures(ledger), {120: (2, 1)})
         self.assertIs(seal("busan", ledger, parts, 180, WINDOW_S), ledger)
 
-    def test_a_clock_far_ahead_holds_nothing_back(self):
+    def test_a_clock_far_ahead_does_not_delay_sealing(self):
         ledger = seal("busan", Ledger(), [part(1, 86400)], 60, WINDOW_S)
         self.assertEqual(figures(ledger), {60: (1, 1)})
         ahead = seal("busan", ledger, [part(2, 60)], 86400, WINDOW_S)
         after = seal("busan", ahead, [part(3, 120)], 120, WINDOW_S)
         self.assertEqual(after.window, 86460)
 
-    def test_sealing_waits_while_reports_are_not_taken(self):
+    def test_sealing_stops_at_the_limit_of_unreported_windows(self):
         ledger = Ledger()
         parts = [part(number, 60 * number) for number in range(1, 100)]
         for _ in range(20):
@@ -67,7 +67,7 @@
         ledger = seal("busan", Ledger(), parts, 6000, WINDOW_S)
         self.assertLess(len(msgspec.json.encode(ledger)), 1_000_000)
 
-    def test_parts_of_forgotten_epochs_are_not_taken_again(self):
+    def test_parts_of_dropped_epochs_count_as_sealed(self):
         ledger = Ledger()
         for epoch in range(1, 20):
             parts = [part(1, 60 * epoch, epoch=epoch)]
@@ -79,7 +79,7 @@
 
 
 class CountersTest(unittest.TestCase):
-    def test_peers_keep_copies_until_they_are_sealed(self):
+    def test_peers_keep_copies_until_parts_are_sealed(self):
         live = {"b": 1, "c": 1, "d": 1}
         a, b = UsageCounters("a", 1, WINDOW_S), UsageCounters("b", 1, WINDOW_S)
         a.add("yard", 5, 61.0)
@@ -97,7 +97,7 @@
             counters.drop_sealed(SealedParts(ledger))
         self.assertEqual((a.unsealed_count, b.copy_count), (0, 0))
 
-    def test_a_long_backlog_is_cut_more_rarely(self):
+    def test_parts_are_cut_less_often_as_the_backlog_grows(self):
         counters = UsageCounters("a", 1, WINDOW_S)
         for second in range(3600):
             counters.add("yard", 5, float(second))
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -1,7 +1,7 @@
-"""Proof: daemons of a domain together never use more than a limit.
+"""Stateful test: daemons of a failure domain never exceed a limit together.
 
-Faults: messages that are lost, late or doubled, restarts, cuts, and daemons
-that freeze between hearing and using.
+Faults: lost, late and duplicate messages, restarts, network partitions, and
+daemons that freeze between receiving a grant and using it.
 """
 
 import dataclasses
@@ -30,7 +30,7 @@
 
 
 class ShareMachine(RuleBasedStateMachine):
-    """Three daemons that lend each other parts of one account's limit."""
+    """Three daemons that lend each other quanta of one account's limit."""
 
     core_class = ShareCore
 
@@ -84,7 +84,7 @@
         is_delivered=st.booleans(),
     )
     def exchange_loans(self, wants, later, is_delivered):
-        """Asks go out and are answered, perhaps with other wants by then."""
+        """Sends loan requests and grants; demand may change in between."""
         self.tick_all(wants)
         self.deliver("all")
         self.tick_all(later)
@@ -116,11 +116,11 @@
         ]
         total = ShareCore(0, len(DAEMONS), 1, 1, 0).total
         assert sum(quanta) <= total, quanta
-        assert all(quanta) or not quanta, "a daemon has nothing left"
+        assert all(quanta) or not quanta, "a daemon has no quanta left"
 
 
 class CountsFromGrant(ShareCore):
-    """Broken: a loan counts at the borrower from hearing the answer."""
+    """Broken: the borrower counts the term from the arrival of the grant."""
 
     def handle(self, event, now_s):
         self._received_s = now_s
@@ -131,14 +131,14 @@
 
 
 class IgnoresRestart(ShareCore):
-    """Broken: a restarted daemon uses what its last incarnation lent."""
+    """Broken: a restarted daemon uses quanta its last incarnation lent."""
 
     def _is_restricted(self, now_s):
         return False
 
 
 class KeepsLoansOfRestartedLender(ShareCore):
-    """Broken: a borrower confirms a restart and goes on using its loans."""
+    """Broken: a borrower keeps loans from a lender that restarted."""
 
     def _record_incarnation(self, peer, incarnation):
         known = self._incarnations.get(peer, 0)
@@ -146,7 +146,7 @@
 
 
 class ReplacesLoans(ShareCore):
-    """Broken: a smaller loan replaces one that the borrower still uses."""
+    """Broken: a new loan replaces one that the borrower may still use."""
 
     def _record_loan(self, account, request, quanta, now_s):
         self._lent.setdefault(account, {})[request.peer] = []
@@ -162,10 +162,10 @@
 
 
 class ShareProof(unittest.TestCase):
-    def test_the_sum_stays_within_the_limit(self):
+    def test_total_usage_stays_within_the_limit(self):
         run_proof(ShareMachine, examples=300)
 
-    def test_the_machine_catches_broken_shares(self):
+    def test_broken_share_cores_are_detected(self):
         for broken in BROKEN:
             with self.subTest(broken.__name__):
                 machine = type(
@@ -173,7 +173,7 @@
                 )
                 self.assertIsInstance(find_failure(machine), AssertionError)
 
-    def test_shares_follow_demand_and_come_back(self):
+    def test_shares_follow_demand_and_return_after_the_term(self):
         machine = ShareMachine()
         machine.start()
         self.quanta_after(machine, [48, 0, 0], rounds=2)
@@ -184,7 +184,7 @@
         quanta = [c.quanta(ACCOUNT, machine.now_s) for c in self.cores(machine)]
         self.assertEqual(quanta, [16, 16, 16])
 
-    def test_a_restarted_daemon_has_its_share_once_all_peers_confirm(self):
+    def test_a_restarted_daemon_gets_its_share_once_all_peers_confirm(self):
         machine = ShareMachine()
         machine.start()
         machine.restart("d0")
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -1,9 +1,8 @@
-"""Proof: usage is reported once, with one set of figures, and none is lost.
+"""Stateful test: usage is reported once, with final figures, and none is lost.
 
-Faults: kills, two holders at once, actions that are carried out long after
-they were decided, lost answers, writes that take effect late, outages, copies
-that are lost, late or doubled, peers that don't see each other, and wall
-clocks that jump.
+Faults: kills, two lease holders at once, actions that are executed long after
+the decision, lost responses, writes that take effect late, platform outages,
+lost, late and duplicate copies, network partitions, and wall clocks that jump.
 """
 
 import types
@@ -60,7 +59,7 @@
 
 
 class Oracle:
-    """What was served and reported, in plain sums."""
+    """Plain sums of served, lost, sealed and reported usage."""
 
     def __init__(self):
         self.served = {}
@@ -89,9 +88,11 @@
 
     def on_report(self, action):
         known = self.reported.setdefault(action.window, action.body)
-        assert known == action.body, "a window has two figures"
+        assert known == action.body, (
+            "a window was reported with different figures"
+        )
         sealed = self.sealed.get(action.window)
-        assert sealed == action.body, "reported, not sealed"
+        assert sealed == action.body, "reported without being sealed"
 
     def check_end(self):
         assert self.reported == self.sealed, "a sealed window isn't reported"
@@ -107,7 +108,7 @@
 
 
 class UsageMachine(RuleBasedStateMachine):
-    """Three daemons of one failure domain and the platform."""
+    """Three daemons of one failure domain, and the platform."""
 
     flush_class = FlushCore
     seal_class = SealCore
@@ -137,7 +138,7 @@
         )
 
     def live(self, name):
-        """Returns the incarnations of the peers that `name` sees."""
+        """Returns the incarnations of the live peers known to `name`."""
         seen = {n: self.starts[n] for n in DAEMONS if n != name}
         return {} if name in self.cut_off else seen
 
@@ -196,7 +197,7 @@
         call=st.sampled_from(FAULTY_CALLS),
     )
     def take_turn(self, name, kind, fault, call):
-        """A window goes by; a daemon acts, its call `call` at fault."""
+        """Lets a window end and a daemon act; its call `call` has the fault."""
         self.now_s += WINDOW_S + GRACE_S
         self.run_core(name, "flush", fault, call)
         if kind == "both":
@@ -208,7 +209,7 @@
         call=st.sampled_from([WriteLedger, SendReport, EmptyStore]),
     )
     def freeze_holder(self, names, call):
-        """A holder freezes before a call, another acts, the first wakes."""
+        """A holder freezes before a call, another acts, the first resumes."""
         frozen, other = names[:2]
         self.serve(other, "archive", "kept")
         if call is EmptyStore:
@@ -221,7 +222,7 @@
         self.wake(frozen, "seal")
 
     def take_lease(self, name):
-        """The holder before is not told: both may act."""
+        """Takes the lease; the previous holder isn't notified and may act."""
         if self.daemons[name].fencing != self.fencing or not self.fencing:
             self.fencing += 1
             self.daemons[name].fencing = self.fencing
@@ -254,7 +255,7 @@
         name=st.sampled_from(DAEMONS), kind=st.sampled_from(["flush", "seal"])
     )
     def wake(self, name, kind):
-        """A frozen daemon carries out what it had decided."""
+        """A frozen daemon resumes and executes its pending action."""
         action = self.pending_actions.pop((name, kind), None)
         if action is not None:
             event = self.execute(name, action, "none")
@@ -321,7 +322,7 @@
 
     @rule(name=st.sampled_from(DAEMONS), at=st.sampled_from(["any", "flush"]))
     def kill(self, name, at):
-        """Kills and restarts a daemon; perhaps around its flushes."""
+        """Kills and restarts a daemon at any time or between two flushes."""
         if at == "any":
             self.restart(name)
             return
@@ -350,23 +351,23 @@
         self.daemons[name].offset_s = offset_s
 
     def record_lost(self, gone=()):
-        """Counts parts as lost that were at a killed daemon only."""
+        """Records parts as lost that only a killed daemon had."""
         self.gone = {
             **getattr(self, "gone", {}),
             **{part.part_id: part for part in gone},
         }
-        marks, stored_part_ids = (
+        sealed_parts, existing_part_ids = (
             SealedParts(self.ledger),
-            self.stored_part_ids(),
+            self.existing_part_ids(),
         )
         for part_id, part in self.gone.items():
-            if part_id not in stored_part_ids and part not in marks:
+            if part_id not in existing_part_ids and part not in sealed_parts:
                 for c in part.counts:
                     key = (part_id, c.account)
                     self.oracle.lost[key] = (c.requests, c.tokens, c.account)
 
-    def stored_part_ids(self):
-        """Returns the ids of parts that still are somewhere."""
+    def existing_part_ids(self):
+        """Returns the ids of all parts that still exist."""
         found = []
         for daemon in self.daemons.values():
             found += (
@@ -383,7 +384,7 @@
         return {part.part_id for part in found}
 
     def teardown(self):
-        """All faults end; then everything that was kept is reported."""
+        """Ends all faults and checks that all remaining usage is reported."""
         if not hasattr(self, "oracle"):
             return
         while self.late_writes:
@@ -405,7 +406,7 @@
 
 
 class ResealsParts(SealCore):
-    """Broken: sealing doesn't look at what was sealed before."""
+    """Broken: sealing ignores which parts are sealed."""
 
     def _on_parts(self, event, now_s):
         self._ledger = msgspec.structs.replace(self._ledger, marks=())
@@ -413,7 +414,7 @@
 
 
 class IgnoresLedgerVersion(SealCore):
-    """Broken: the ledger is written whatever version it has."""
+    """Broken: the ledger is written without checking its version."""
 
     def _on_parts(self, event, now_s):
         return [
@@ -425,7 +426,7 @@
 
 
 class ReportsUnconfirmed(SealCore):
-    """Broken: reports what it meant to seal though the write is in doubt."""
+    """Broken: reports windows whose ledger write may have failed."""
 
     def _on_failed(self, now_s):
         self._is_call_pending = False
@@ -434,7 +435,7 @@
 
 
 class OverwritesEarlierEpoch(FlushCore):
-    """Broken: a restarted daemon overwrites its object unread."""
+    """Broken: a restarted daemon ignores the stored parts of its object."""
 
     def handle(self, event, now_s):
         if isinstance(event, StoreRead):
@@ -443,7 +444,7 @@
 
 
 class EmptiesUnsealed(SealCore):
-    """Broken: an object of a daemon that isn't seen is emptied unsealed."""
+    """Broken: empties the objects of stopped daemons before sealing."""
 
     def _sealed_stores(self, event):
         return [
@@ -454,7 +455,7 @@
 
 
 class IgnoresOrphans(FlushCore):
-    """Broken: counts of dead daemons aren't flushed by their peers."""
+    """Broken: parts of dead daemons aren't flushed by their peers."""
 
     def handle(self, event, now_s):
         self._orphaned_parts = []
@@ -462,10 +463,10 @@
 
 
 class UsageProof(unittest.TestCase):
-    def test_windows_are_reported_once_and_no_count_is_lost(self):
+    def test_windows_are_reported_once_and_no_usage_is_lost(self):
         run_proof(UsageMachine, examples=150)
 
-    def test_the_machine_catches_broken_cores(self):
+    def test_broken_cores_are_detected(self):
         broken_cores = {
             "seal_class": (
                 ResealsParts,
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -1,4 +1,8 @@
-"""Trainer lots: groups of samples, their versions, delivery once."""
+"""Trainer lots and weight rollouts.
+
+A lot generates groups of samples and delivers each group once, with the weight
+versions that produced it. A rollout orders engines to load new weights.
+"""
 
 from daisyhub.rollouts._lot_core import LotCore
 from daisyhub.rollouts._lot_events import (
--- a/daisyhub/rollouts/_group_choice.py
+++ b/daisyhub/rollouts/_group_choice.py
@@ -1,4 +1,4 @@
-"""Chooses which groups a lot commits to the pulls that wait."""
+"""Selects the groups that a lot commits to waiting pulls."""
 
 from collections.abc import Iterable
 
@@ -17,14 +17,15 @@
     max_staleness: int,
     now_s: float,
 ) -> ChosenGroups:
-    """Returns whole, fresh groups for each pull id that has none yet.
+    """Returns complete, fresh groups by pull id, without empty entries.
 
     Args:
-        pulls: Calls whose pull ids aren't stored. Of two with the same id the
-            one with the newer version counts.
-        slots: The samples; those found too old are dropped.
-        owned: Groups that a stored pull names.
-        max_staleness: Largest distance from the version in the call.
+        pulls: Calls whose pull ids aren't stored. Of several calls with the
+            same id the one with the newest version is used.
+        slots: The samples; stale ones are discarded.
+        committed: Groups that are committed to a stored pull.
+        max_staleness: How many versions a sample may be older than the version
+            in the call.
         now_s: Monotonic time in seconds.
     """
     waiting: dict[str, PullRequested] = {}
@@ -64,7 +65,7 @@
 
 
 def chosen_usage(chosen: ChosenGroups, slots: SlotTable) -> CountUsage:
-    """Returns what to bill once the chosen groups are known to be stored."""
+    """Returns the usage to bill once the chosen groups are stored."""
     groups = tuple(group for part in chosen.values() for group in part)
     tokens = tuple(
         len(sample.tokens)
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -1,12 +1,12 @@
-"""One lot decided by a deterministic core.
-
-A slot is (group, index). The lot's object in the store maps pull ids to
-groups; the map only grows, each version is written on top of the one before,
-and a group stands under one pull for good. Samples are handed over only
-after the map that names them is known to be stored. So any number of holders
-may serve a lot at any time without delivering a group under two pulls; the
-lease only saves work. A repeat of a pull gets its own groups again, generated
-anew if the samples are gone or stale.
+"""Deterministic core that serves one lot.
+
+A slot is a pair (group, index). The lot's object in the store maps pull ids to
+groups. Entries are only added, by conditional writes, and a group is committed
+to one pull permanently. Samples are delivered only after the map that commits
+them is known to be stored. Several holders may therefore serve a lot at once
+without delivering a group under two pulls; the lease only avoids duplicate
+work. A repeated pull gets the same groups again, which are regenerated if the
+samples are lost or stale.
 """
 
 import msgspec
@@ -54,11 +54,16 @@
 
 
 class LotCore(Core):
-    """Decides about one lot at one holder.
+    """Serves one lot at one holder.
 
     Args:
-        spec: What the lot consists of.
-        holder: Unique for each time that a holder takes the lot.
+        spec: Specification of the lot.
+        holder: Id that is unique for each time a holder acquires the lot;
+            prefix of its write ids.
+
+    Attributes:
+        invalid_answers: Number of engine answers with invalid spans.
+        is_finished: Whether the lot isn't served here any more.
     """
 
     def __init__(self, spec: LotSpec, holder: str):
@@ -86,17 +91,17 @@
 
     @property
     def remaining(self) -> int:
-        """Groups that no committed pull names."""
+        """Number of groups that aren't committed to a pull."""
         return len(self.spec.prompts) - len(self._committed_groups)
 
     @property
     def dropped_samples(self) -> int:
-        """Samples dropped because they were too old."""
+        """Number of samples that were discarded as stale."""
         return self._slots.dropped_samples
 
     @property
     def open_pulls(self) -> tuple[str, ...]:
-        """Pulls that aren't acknowledged."""
+        """Ids of committed pulls that aren't acknowledged."""
         if self._state is None:
             return ()
         pulls = self._state.pulls.items()
@@ -104,7 +109,7 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When a wait ends, or something may be tried again."""
+        """When a call expires, a retry is due, or the lot becomes idle."""
         if self.is_finished:
             return None
         times = [call.until_s for call in self._calls.values()]
@@ -119,7 +124,7 @@
         return min(times, default=None)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one lot event; returns lot actions."""
+        """Handles one event and returns the actions to take."""
         actions = []
         match event:
             case LotTick():
@@ -150,7 +155,7 @@
         return actions + self._advance(now_s)
 
     def _advance(self, now_s: float) -> list[object]:
-        """Does what is possible now."""
+        """Returns all actions that are possible now."""
         if self.is_finished:
             return self._refuse_all(RefusalReason.RELEASED)
         if self._is_idle(now_s) or self._is_released:
@@ -167,7 +172,7 @@
         return not self._calls and now_s - self._last_call_s >= _IDLE_TIMEOUT_S
 
     def _shut_down(self, now_s: float) -> list[object]:
-        """Refuses calls at once; waits only for a write in flight."""
+        """Refuses all calls and waits only for pending store calls."""
         self._is_released = True
         actions = self._refuse_all(RefusalReason.RELEASED)
         actions += self._slots.drop_groups(range(len(self.spec.prompts)))
@@ -202,9 +207,10 @@
                 self._is_close_requested = True
 
     def _require_read(self, call: LotCall) -> None:
-        """Lets a call wait for a read that starts after it.
+        """Defers a call until a read that starts after its arrival.
 
-        An earlier holder's last write may have come after the read here.
+        An earlier holder's last write may have taken effect after the last
+        read by this holder.
         """
         self._calls_awaiting_read.add(call.call)
         self._is_read_needed = True
@@ -236,10 +242,11 @@
         return self._apply_state(write.state, event.version)
 
     def _on_store_failure(self, event: object, now_s: float) -> None:
-        """Reads again after a refusal; sends a write in doubt again.
+        """Schedules the next store call after a failure.
 
-        The same id and expected version make a repeated write harmless: at
-        most one of the copies takes effect.
+        A rejected write is dropped and the state is read again. A write with
+        an uncertain outcome is repeated with the same id and expected version,
+        so that at most one of the copies takes effect.
         """
         write_id = self._pending_write.write_id if self._pending_write else ""
         if getattr(event, "write_id", write_id) != write_id:
@@ -252,7 +259,7 @@
             self._next_store_call_s = now_s
 
     def _apply_state(self, state: LotState, version: int) -> list[object]:
-        """Takes over what is stored; it goes before anything kept here."""
+        """Adopts the stored state, which takes precedence over local state."""
         if self._state is not None and version < self._version:
             return []
         is_first = self._state is None
@@ -277,7 +284,7 @@
         return actions
 
     def _confirmed_usage(self) -> list[object]:
-        """Counts each of the own commits that took effect, once."""
+        """Returns the usage of own commits that took effect, each once."""
         stored = {r.commit_id for r in self._state.pulls.values()}
         counted = [
             u for key, u in self._unbilled_usage.items() if key in stored
@@ -363,7 +370,12 @@
         )
 
     def _expire_call(self, call: LotCall) -> object:
-        """Ends a call whose time is over with a true answer."""
+        """Answers a call that has reached its time limit.
+
+        An empty delivery means that no group was ready. It is only sent if
+        the state is known and no write is pending; otherwise the call is
+        refused.
+        """
         is_pull = isinstance(call, PullRequested)
         if (
             not is_pull
@@ -387,7 +399,7 @@
         return [ReadState()]
 
     def _next_write(self, now_s: float) -> WriteState | None:
-        """Puts all that waits to be stored into one write."""
+        """Combines all pending changes of the state into one write."""
         if self._is_released:
             return None
         acked = self._newly_acked()
@@ -424,9 +436,10 @@
         ]
 
     def _newly_acked(self) -> dict[str, PullRecord]:
-        """Returns the records that acknowledgements change.
+        """Returns the pull records that pending acknowledgements change.
 
-        They are kept until the store has them; unknown ones are dropped.
+        Acknowledgements stay pending until they are stored; those of unknown
+        pulls are dropped.
         """
         pulls = self._state.pulls
         self._acks = {
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -1,4 +1,4 @@
-"""Events and actions of a lot's core."""
+"""Events and actions of `LotCore`."""
 
 import dataclasses
 import enum
@@ -33,7 +33,7 @@
 
 
 class RefusalReason(enum.Enum):
-    """Why a call ends without what it asked for."""
+    """Why a call was refused."""
 
     RELEASED = "the lot moves to another daemon"
     CLOSED = "the lot is closed"
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SampleReceived:
-    """An engine answered attempt `attempt`; the core checks the answer."""
+    """An engine answered an attempt; the answer isn't validated yet."""
 
     attempt: int
     answer: EngineAnswer
@@ -57,22 +57,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SampleFailed:
-    """Attempt `attempt` produced nothing."""
+    """An attempt failed without a sample."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PullRequested:
-    """The trainer asks for groups.
+    """The trainer requested groups.
 
     Attributes:
-        call: Unique number of the call at this holder.
+        call: Number of the call, unique at this holder.
         pull_id: Id of the pull.
         version: The trainer's weight version.
-        max_groups: At most this many groups.
-        until_s: End of the trainer's wait.
-        acks: Earlier pulls that the trainer has taken.
+        max_groups: Maximum number of groups.
+        until_s: Monotonic time at which the trainer's wait ends.
+        acks: Ids of earlier pulls that the trainer acknowledges.
     """
 
     call: int
@@ -85,7 +85,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class OpenRequested:
-    """The trainer opens the lot, again or for the first time."""
+    """The trainer requested to open the lot, perhaps repeatedly."""
 
     call: int
     until_s: float
@@ -93,7 +93,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class AckRequested:
-    """The trainer has taken the samples of a pull."""
+    """The trainer acknowledged the samples of a pull."""
 
     call: int
     pull_id: str
@@ -102,7 +102,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class CloseRequested:
-    """The trainer closes the lot."""
+    """The trainer requested to close the lot."""
 
     call: int
     until_s: float
@@ -110,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LotReleased:
-    """This daemon stops serving the lot."""
+    """This daemon has to stop serving the lot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateRead:
-    """The store's state; version 0 if there is none."""
+    """The lot's object was read; version 0 if there is none."""
 
     state: LotState
     version: int
@@ -123,12 +123,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateReadFailed:
-    """The store didn't answer a read."""
+    """A read of the lot's object failed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateWritten:
-    """The write with this id took effect as `version`."""
+    """The write with this id took effect; the object has this version."""
 
     write_id: str
     version: int
@@ -136,14 +136,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateWriteRejected:
-    """The object is at another version than this write expected."""
+    """The write was rejected: the object has another version."""
 
     write_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateWriteUncertain:
-    """Whether the write with this id took effect is unknown."""
+    """It is unknown whether the write with this id took effect."""
 
     write_id: str
 
@@ -155,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteState:
-    """Action: write the lot's object if it is at `expected_version`."""
+    """Action: write the lot's object if it has `expected_version`."""
 
     write_id: str
     state: LotState
@@ -164,13 +164,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generate:
-    """Action: ask an engine for one sample of a group's prompt.
+    """Action: request one sample of a group's prompt from an engine.
 
     Attributes:
-        attempt: Names this attempt in the answer.
-        group: The group.
-        index: The sample's place in the group.
-        others: Attempts for the same sample; use another engine.
+        attempt: Number of the attempt; repeated in its outcome.
+        group: Index of the group.
+        index: Index of the sample in the group.
+        others: Running attempts for the same sample; use another engine.
     """
 
     attempt: int
@@ -181,14 +181,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelSample:
-    """Action: give an attempt up; its answer isn't needed any more."""
+    """Action: cancel an attempt whose answer isn't needed any more."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliverGroups:
-    """Action: answer the pull; without groups nothing was ready."""
+    """Action: answer a pull; no groups if none was ready in time."""
 
     call: int
     pull_id: str
@@ -198,7 +198,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendProgress:
-    """Action: answer an open, ack or close."""
+    """Action: answer an open, acknowledge or close call."""
 
     call: int
     remaining: int
@@ -208,7 +208,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Action: end a call with its final answer at once."""
+    """Action: refuse a call."""
 
     call: int
     reason: RefusalReason
@@ -216,7 +216,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CountUsage:
-    """Action: bill these samples, by their token counts."""
+    """Action: bill samples.
+
+    Attributes:
+        groups: The groups of the samples.
+        tokens: Token count of each sample.
+    """
 
     groups: tuple[int, ...]
     tokens: tuple[int, ...]
@@ -224,4 +229,4 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopServing:
-    """Action: stop serving the lot here; nothing is open any more."""
+    """Action: stop serving the lot here; no call or write is pending."""
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -1,4 +1,4 @@
-"""Typed records of lots, on the wire and in the store."""
+"""Types of lots, as sent on the wire and kept in the store."""
 
 from typing import Annotated
 
@@ -23,13 +23,13 @@
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
 PullId = Annotated[str, msgspec.Meta(min_length=1, max_length=128)]
-# With one group a pull, the longest ids and these many groups, the lot's
-# object in the store stays under a megabyte.
+# With 4096 groups, one group per pull and ids of maximum length, the lot's
+# object in the store is smaller than 1 MB.
 MAX_GROUPS = 4096
 
 
 class Span(msgspec.Struct, frozen=True, kw_only=True):
-    """Tokens `start` to `end` (excluded) that one weight version produced."""
+    """Tokens from `start` to `end` (exclusive) produced by one version."""
 
     version: Count
     start: Count
@@ -40,9 +40,9 @@
     """One generated sample.
 
     Attributes:
-        index: Its place in the group.
+        index: Index of the sample in the group.
         tokens: Token ids.
-        spans: The weight versions that produced them, in order.
+        spans: Weight versions that produced the tokens, in token order.
     """
 
     index: int
@@ -70,7 +70,7 @@
 
 
 class OpenBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A trainer opens a lot; repeating it is harmless."""
+    """Body of a trainer's request to open a lot; idempotent."""
 
     lot_class: str
     prompts: Annotated[
@@ -79,15 +79,15 @@
 
 
 class PullBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A trainer asks for whole groups.
+    """Body of a trainer's request for complete groups.
 
     Attributes:
-        pull_id: Its groups never change; the trainer repeats the id until it
-            gets groups.
-        version: The trainer's weight version now.
-        max_groups: At most this many groups.
-        wait_s: How long to wait for the first group.
-        acks: Earlier pulls whose samples the trainer has taken.
+        pull_id: Id of the pull, which the trainer repeats until it receives
+            groups. The groups of a pull never change.
+        version: The trainer's current weight version.
+        max_groups: Maximum number of groups.
+        wait_s: Maximum time in seconds to wait for the first group.
+        acks: Ids of earlier pulls that the trainer acknowledges.
     """
 
     pull_id: PullId
@@ -98,13 +98,13 @@
 
 
 class AckBody(msgspec.Struct, frozen=True, kw_only=True):
-    """A trainer has taken the samples of a pull."""
+    """Body of a trainer's acknowledgement of a pull's samples."""
 
     pull_id: PullId
 
 
 class PullAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Whole groups; `remaining` counts those not handed over yet."""
+    """Complete groups; `remaining` counts those not committed to a pull."""
 
     pull_id: str
     groups: tuple[Group, ...]
@@ -112,12 +112,12 @@
 
 
 class ProgressAnswer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answers open, ack and close.
+    """Answer to an open, acknowledge or close request.
 
     Attributes:
-        remaining: Groups that no pull names yet.
-        open_pulls: Pulls that aren't acknowledged; a trainer that restarted
-            repeats those whose samples it doesn't have.
+        remaining: Number of groups that aren't committed to a pull.
+        open_pulls: Ids of pulls that aren't acknowledged. After a restart the
+            trainer repeats those whose samples it doesn't have.
         closed: Whether the lot is closed.
     """
 
@@ -127,7 +127,7 @@
 
 
 class LotSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """What a lot consists of; never changes once it is open."""
+    """Specification of a lot; immutable once the lot is open."""
 
     lot_id: str
     lot_class: str
@@ -143,12 +143,12 @@
 
 
 class PullRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """Groups that were committed to a pull; they never change.
+    """The groups that are committed to a pull.
 
     Attributes:
-        groups: The groups.
-        commit_id: Id of the write that first named them.
-        is_acked: Whether the trainer has taken the samples.
+        groups: Indexes of the groups; they never change.
+        commit_id: Id of the write that committed them.
+        is_acked: Whether the trainer has acknowledged the samples.
     """
 
     groups: tuple[int, ...]
@@ -160,8 +160,8 @@
     """The lot's object in the store.
 
     Attributes:
-        pulls: Pull id to its record; records are added, never removed.
-        is_closed: Whether the trainer closed the lot.
+        pulls: Records by pull id; records are never removed.
+        is_closed: Whether the trainer has closed the lot.
     """
 
     pulls: dict[str, PullRecord] = {}
@@ -169,7 +169,7 @@
 
 
 def check_spans(answer: EngineAnswer) -> bool:
-    """Whether spans cover the tokens, in order, without gap or overlap."""
+    """Returns whether the spans cover all tokens without gap or overlap."""
     end = 0
     for span in answer.spans:
         if span.start != end or span.end <= span.start:
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _Slot:
-    """One sample's place; `is_queued` while it waits for an attempt."""
+    """State of one sample; `is_queued` while it waits for an attempt."""
 
     sample: Sample | None = None
     attempts: set[int] = dataclasses.field(default_factory=set)
@@ -25,10 +25,13 @@
 
 
 class SlotTable:
-    """Decides which samples to generate, the oldest groups first.
+    """Schedules the generation of samples, lowest group index first.
 
     Args:
-        spec: What the lot consists of.
+        spec: Specification of the lot.
+
+    Attributes:
+        dropped_samples: Number of samples that were discarded as stale.
     """
 
     def __init__(self, spec: LotSpec):
@@ -43,7 +46,7 @@
 
     @property
     def next_retry_s(self) -> float | None:
-        """When a failed sample may be tried again."""
+        """When the next delayed sample may be retried; None while full."""
         if not self._delayed or self._is_full:
             return None
         return self._delayed[0][0]
@@ -54,7 +57,7 @@
 
     @property
     def complete_groups(self) -> list[int]:
-        """Groups that have all samples, oldest first."""
+        """Indexes of the groups that have all samples, in ascending order."""
         return sorted(
             g for g, missing in self._missing_samples.items() if not missing
         )
@@ -62,7 +65,7 @@
     def add_groups(
         self, groups: Iterable[int], *, is_repeat: bool = False
     ) -> None:
-        """Generates what these groups miss; repeats go first."""
+        """Queues the samples of groups that are new here; repeats go first."""
         priority = _PRIORITY_REPEAT if is_repeat else _PRIORITY_FIRST
         size = self.spec.group_size
         for group in groups:
@@ -74,7 +77,7 @@
                 self._push(priority, group, index)
 
     def drop_groups(self, groups: Iterable[int]) -> list[CancelSample]:
-        """Drops groups with their samples and attempts."""
+        """Drops groups with their samples and cancels their attempts."""
         cancelled = []
         for group in groups:
             self._missing_samples.pop(group, None)
@@ -83,7 +86,7 @@
         return cancelled
 
     def start_attempts(self, now_s: float) -> list[Generate]:
-        """Starts attempts while the lot's concurrency allows it."""
+        """Starts attempts up to the lot's concurrency."""
         while self._delayed and self._delayed[0][0] <= now_s:
             _, priority, group, index = heapq.heappop(self._delayed)
             self._push(priority, group, index)
@@ -102,7 +105,7 @@
     def complete_attempt(
         self, attempt: int, sample: Sample
     ) -> list[CancelSample]:
-        """Keeps the first whole sample of a slot; cancels other attempts."""
+        """Stores the first sample of a slot and cancels its other attempts."""
         slot_key = self._running_attempts.pop(attempt, None)
         slot = self._slot(*slot_key) if slot_key else None
         if slot is None or attempt not in slot.attempts:
@@ -114,11 +117,11 @@
         return self._cancel_attempts(slot)
 
     def slot_of(self, attempt: int) -> tuple[int, int] | None:
-        """Returns the group and index of a running attempt."""
+        """Returns the group and index of a running attempt, or None."""
         return self._running_attempts.get(attempt)
 
     def fail_attempt(self, attempt: int, now_s: float) -> None:
-        """Ends an attempt without a sample; tries again after a pause."""
+        """Ends an attempt without a sample and schedules a retry."""
         slot_key = self._running_attempts.pop(attempt, None)
         slot = self._slot(*slot_key) if slot_key else None
         if slot is None:
@@ -130,7 +133,11 @@
     def discard_stale_samples(
         self, group: int, oldest_version: int, now_s: float
     ) -> bool:
-        """Whether a group is whole; drops its samples that are too old."""
+        """Discards stale samples of a group and schedules their retry.
+
+        Returns:
+            Whether the group is still complete.
+        """
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
                 continue
@@ -142,7 +149,7 @@
         return self._missing_samples.get(group) == 0
 
     def group(self, group: int) -> Group:
-        """Returns a whole group."""
+        """Returns a complete group with its samples."""
         slots = self._groups[group]
         return Group(group=group, samples=tuple(s.sample for s in slots))
 
@@ -169,7 +176,7 @@
         return Generate(self._last_attempt, group, index, others)
 
     def _start_spares(self) -> list[Generate]:
-        """Starts second attempts for groups that miss only a few samples."""
+        """Starts second attempts for groups that miss few samples."""
         started = []
         for group, missing in sorted(self._missing_samples.items()):
             if not 0 < missing <= self.spec.spare_samples:
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -1,9 +1,9 @@
-"""Brings the engines of one failure domain to the newest weights.
+"""Rolls out the newest weights to the engines of one failure domain.
 
-The core decides which engine is ordered to load which version, and when. It
-knows no fencing number: the shell reads it from the lease as the last step
-before the send, with the extra margin that the order names, and doesn't send
-without one. Times are seconds on any steady clock.
+The core decides when to order which engine to load which version. It doesn't
+know the fencing number: the caller reads it from the lease immediately before
+sending an order, with the order's extra margin, and doesn't send if there is
+none. Times are seconds on any monotonic clock.
 """
 
 import dataclasses
@@ -30,11 +30,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutPolicy:
-    """How a pool's engines take orders.
+    """How weights are rolled out to a pool's engines.
 
     Attributes:
-        max_concurrent_loads: Engines that may load at the same time.
-        checks_fencing: Whether they refuse old fencing numbers.
+        max_concurrent_loads: Maximum number of engines that load at once.
+        checks_fencing: Whether the engines reject old fencing numbers.
     """
 
     max_concurrent_loads: int
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """What is known of an engine that may take orders."""
+    """Last known state of an engine that may receive orders."""
 
     endpoint_id: str
     pool: str
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightTick:
-    """Time has passed; `has_lease` while the lease is held."""
+    """Time has passed; `has_lease` tells whether the lease is held."""
 
     has_lease: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionPublished:
-    """A trainer published a version for a pool."""
+    """A trainer published a weight version for a pool."""
 
     pool: str
     version: int
@@ -68,7 +68,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesListed:
-    """All usable engines, and the rules of their pools."""
+    """All usable engines, and the rollout policies by pool."""
 
     engines: tuple[EngineView, ...]
     policies: dict[str, RolloutPolicy]
@@ -76,21 +76,21 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderCompleted:
-    """The engine of this attempt has loaded its version."""
+    """The engine of this attempt has loaded the ordered version."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """The load failed, was refused, or its effect is unknown."""
+    """The load failed, was refused, or has an unknown outcome."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderNotSent:
-    """The lease had lapsed at the last check; nothing left."""
+    """The lease had lapsed before the send; nothing was sent."""
 
     attempt: int
 
@@ -100,11 +100,11 @@
     """Action: order an engine to load a version.
 
     Attributes:
-        attempt: Names the order in its outcome.
-        endpoint_id: The engine.
-        pool: Its pool.
+        attempt: Number of the order; repeated in its outcome.
+        endpoint_id: Id of the engine.
+        pool: Pool of the engine.
         version: The version to load.
-        extra_margin_s: How much longer than usual the lease must hold.
+        extra_margin_s: Extra time in seconds that must remain on the lease.
     """
 
     attempt: int
@@ -116,18 +116,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _RetryState:
-    """Failures of an engine in a row, and when to try it again."""
+    """Consecutive failures of an engine and the time of its next retry."""
 
     failures: int
     retry_at_s: float
 
 
 class WeightCore(Core):
-    """Orders loads in stages; engines that failed come last.
+    """Orders loads in stages, engines with failures last.
 
     Args:
-        extra_margin_s: For engines that ignore fencing numbers: how long an
-            order may take from the last check to the engine.
+        extra_margin_s: Extra lease margin in seconds for engines that ignore
+            fencing numbers: the maximum time from the last check of the lease
+            until the engine receives the order.
     """
 
     def __init__(self, extra_margin_s: float):
@@ -135,7 +136,7 @@
         self._wanted: dict[str, int] = {}
         self._engines: dict[str, EngineView] = {}
         self._policies: dict[str, RolloutPolicy] = {}
-        self._running: dict[int, SendOrder] = {}
+        self._pending_orders: dict[int, SendOrder] = {}
         self._loaded: dict[tuple[str, int], int] = {}
         self._retries: dict[str, _RetryState] = {}
         self._loading: dict[str, set[str]] = {}
@@ -146,24 +147,24 @@
 
     @property
     def wanted(self) -> dict[str, int]:
-        """Pool to the newest version published."""
+        """The newest published version by pool."""
         return dict(self._wanted)
 
     @property
     def behind(self) -> int:
-        """Engines that don't have their pool's newest version yet."""
+        """Number of engines without their pool's newest version."""
         return sum(map(self._is_behind, self._engines.values()))
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When an engine that failed may be tried again."""
+        """When the next failed engine is due for a retry."""
         if not self._has_lease:
             return None
         times = [retry.retry_at_s for retry in self._retries.values()]
         return min((t for t in times if t > self._now_s), default=None)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendOrder` actions."""
+        """Handles one event and returns `SendOrder` actions."""
         self._now_s = now_s
         match event:
             case WeightTick():
@@ -217,7 +218,7 @@
         )
 
     def _finish_order(self, attempt: int) -> SendOrder | None:
-        order = self._running.pop(attempt, None)
+        order = self._pending_orders.pop(attempt, None)
         if order is not None:
             self._loading[order.pool].discard(order.endpoint_id)
         return order
@@ -228,7 +229,7 @@
         return known < self._wanted.get(engine.pool, 0)
 
     def _queue_due(self, now_s: float) -> None:
-        """Queues engines that are behind, those without failures first."""
+        """Queues outdated engines, those with the fewest failures first."""
         due: dict[str, list[tuple[int, str]]] = {
             pool: [] for pool in self._policies
         }
@@ -246,7 +247,10 @@
         }
 
     def _start_orders(self) -> list[object]:
-        """Fills each pool's stage; a failed engine waits for a later tick."""
+        """Starts orders up to each pool's limit of concurrent loads.
+
+        A failed engine isn't queued again before a later tick.
+        """
         orders = []
         for pool, due in self._due_engines.items():
             policy = self._policies[pool]
@@ -269,5 +273,5 @@
             self._wanted[engine.pool],
             0.0 if policy.checks_fencing else self.extra_margin_s,
         )
-        self._running[order.attempt] = order
+        self._pending_orders[order.attempt] = order
         return order
--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -1,4 +1,4 @@
-"""Lots on real processes: killed, frozen and cut-off parties."""
+"""Lots on real processes that are killed or frozen."""
 
 import signal
 import unittest
@@ -43,7 +43,7 @@
         )
 
     async def train(self, inject_fault):
-        """Trains one lot while `harm(holder)` happens in its middle."""
+        """Trains one lot and runs `inject_fault(holder)` in the middle."""
         key = DemoKeys.text(self.keys.trainer)
         daemons = self.deployment.daemons()
         callers = [Caller(daemon.address, key) for daemon in daemons]
@@ -72,7 +72,7 @@
         return results[0]
 
     async def wait_for_holder(self, skip=None):
-        """Returns the daemon that holds the lot, once pulls began."""
+        """Returns the lot's holder once groups are committed to pulls."""
         with anyio.fail_after(20):
             while True:
                 for daemon in self.deployment.daemons():
@@ -94,14 +94,14 @@
             indexes = [sample["index"] for sample in samples]
             self.assertEqual(indexes, list(range(GROUP_SIZE)))
 
-    async def test_a_killed_holder_costs_no_group(self):
+    async def test_no_group_is_lost_when_the_holder_is_killed(self):
         async def inject_fault(holder):
             holder.send_signal(signal.SIGKILL)
 
         result = await self.train(inject_fault)
         self.assertGreater(result.repeats, 0)
 
-    async def test_a_frozen_holder_that_wakes_up_doubles_no_group(self):
+    async def test_no_group_is_duplicated_when_a_frozen_holder_resumes(self):
         async def inject_fault(holder):
             holder.send_signal(signal.SIGSTOP)
             await self.wait_for_holder(skip=holder)
@@ -109,13 +109,15 @@
 
         await self.train(inject_fault)
 
-    async def test_a_killed_engine_costs_no_group(self):
+    async def test_no_group_is_lost_when_an_engine_is_killed(self):
         async def inject_fault(_):
             self.deployment.engines()[0].send_signal(signal.SIGKILL)
 
         await self.train(inject_fault)
 
-    async def test_a_platform_that_stops_for_a_term_costs_no_group(self):
+    async def test_no_group_is_lost_when_the_platform_stops_for_a_lease_term(
+        self,
+    ):
         async def inject_fault(_):
             self.deployment.platform.send_signal(signal.SIGSTOP)
             await anyio.sleep(OUTAGE_S)
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -1,9 +1,10 @@
-"""Proof: groups are delivered once, fresh, and with their true versions.
+"""Stateful test: groups are delivered once, fresh, with correct versions.
 
-Faults: holders that crash, freeze and wake up, several at a time; writes that
-are lost, late or unanswered; engines that fail, lie, answer twice or late and
-swap weights in a sample; a trainer that gives up waiting, asks elsewhere and
-advances; duplicates of old calls and lost acknowledgements.
+Faults: several holders that crash, freeze and resume; writes that are lost,
+late or unanswered; engines that fail, return invalid spans, answer twice or
+late, and swap weights within a sample; a trainer that stops waiting, calls
+another holder and advances its version; duplicates of old calls; lost
+acknowledgements.
 """
 
 import unittest
@@ -66,8 +67,8 @@
 ENGINE_FAULTS = ("swap", "fail", "missing", "gap", "short", "twice")
 
 
-def engine_answer(versions, lie=""):
-    """Returns an answer whose tokens are the versions that made them."""
+def engine_answer(versions, fault=""):
+    """Returns an answer whose tokens equal the versions that produced them."""
     spans = []
     for position, version in enumerate(versions):
         if spans and spans[-1].version == version:
@@ -75,11 +76,11 @@
         else:
             start = position
         spans.append(Span(version=version, start=start, end=position + 1))
-    if lie == "missing":
+    if fault == "missing":
         spans = []
-    elif lie == "gap":
+    elif fault == "gap":
         spans = spans[:-1] + [Span(version=9, start=99, end=100)]
-    elif lie == "short":
+    elif fault == "short":
         versions = (*versions, versions[-1] + 1)
     return EngineAnswer(tokens=tuple(versions), spans=tuple(spans))
 
@@ -111,7 +112,7 @@
         self.has_failed = False
 
     def check(self, is_met, what):
-        """Notes a failure, so that the teardown doesn't hide it."""
+        """Asserts; records a failure so that the teardown doesn't hide it."""
         self.has_failed |= not is_met
         assert is_met, what
 
@@ -126,7 +127,7 @@
             self.crash(holder)
         self.actions[holder] += self.cores[holder].handle(event, self.now_s)
 
-    # What the trainer and its ranks do.
+    # Rules of the trainer and its ranks.
 
     @rule(
         rank=st.sampled_from(RANKS),
@@ -138,10 +139,11 @@
     def request_groups(
         self, rank, holder, fault="", kind="", is_answer_delivered=True
     ):
-        """A rank gives up its call, if any, and asks again.
+        """A rank abandons its call, if any, and sends a new one.
 
-        Most often the holder works on it: engines answer, one of them with
-        a fault, and its write to the store meets a fault.
+        Unless the fault is "idle" the holder then works on it: engines answer,
+        the first one with the fault `kind`, and its write to the store gets
+        the fault `fault`.
         """
         self.calls += 1
         call = PullRequested(
@@ -163,7 +165,7 @@
 
     @rule(pick=st.integers(0, 50))
     def receive_duplicate(self, pick):
-        """A call that the network held back arrives (again)."""
+        """A delayed call or a duplicate of a call arrives."""
         if self.old_calls:
             holder, call = self.old_calls[pick % len(self.old_calls)]
             if holder not in self.frozen:
@@ -189,7 +191,7 @@
         )
 
     def accept_answer(self, answer):
-        """The oracle: what a rank takes from the call it waits for."""
+        """Checks an answer, if a rank still waits for its call."""
         for rank, call in list(self.waiting.items()):
             if call.call != answer.call:
                 continue
@@ -201,18 +203,22 @@
 
     def check_group(self, group, call):
         is_new = group.group not in self.delivered
-        self.check(is_new, ("doubled", group, self.delivered))
+        self.check(is_new, ("delivered twice", group, self.delivered))
         self.delivered[group.group] = call.pull_id
         indexes = [sample.index for sample in group.samples]
-        self.check(indexes == list(range(SPEC.group_size)), "not whole")
+        self.check(indexes == list(range(SPEC.group_size)), "incomplete group")
         for sample in group.samples:
             spans = sample.spans
-            named = [s.version for s in spans for _ in range(s.start, s.end)]
-            self.check(named == list(sample.tokens), ("untrue", sample))
+            span_versions = [
+                s.version for s in spans for _ in range(s.start, s.end)
+            ]
+            self.check(
+                span_versions == list(sample.tokens), ("wrong versions", sample)
+            )
             is_fresh = min(sample.tokens) >= call.version - STALENESS
             self.check(is_fresh, ("stale", sample, call))
 
-    # What holders, store and engines do.
+    # Rules of the holders, the store and the engines.
 
     @rule(
         holder=st.sampled_from(HOLDERS),
@@ -250,12 +256,12 @@
 
     @rule()
     def apply_late_write(self):
-        """A write whose sender gave up on the answer reaches the store."""
+        """A delayed write with an uncertain outcome reaches the store."""
         if self.delayed:
             self.apply(self.delayed.pop(0))
 
     def work(self, holder, fault="", kind=""):
-        """A holder works until it waits; its next write meets the fault."""
+        """A holder works until it waits; its next write gets the fault."""
         for _ in range(12):
             while self.run_generation(holder, kind):
                 kind = ""
@@ -292,7 +298,7 @@
             if isinstance(action, DeliverGroups):
                 self.accept_answer(action)
             elif isinstance(action, RefuseCall):
-                # Only pulls that were taken are acknowledged here.
+                # This test acknowledges only pulls with delivered groups.
                 is_known = action.reason is not RefusalReason.UNKNOWN_PULL
                 self.check(is_known, ("acknowledgement refused", action))
             elif isinstance(action, CountUsage):
@@ -353,7 +359,7 @@
         return True
 
     def teardown(self):
-        """All faults end; then every group must arrive."""
+        """Ends all faults and checks that every group is delivered."""
         if getattr(self, "has_failed", True):
             return
         self.frozen.clear()
@@ -368,11 +374,11 @@
             for holder in HOLDERS:
                 self.work(holder)
                 self.answer_trainer(holder)
-        raise AssertionError(f"only {sorted(self.delivered)} arrived")
+        raise AssertionError(f"only {sorted(self.delivered)} were delivered")
 
 
 class DeliversUncommitted(LotCore):
-    """Broken: takes a write for done before its effect is known."""
+    """Broken: treats a write with an uncertain outcome as successful."""
 
     def _on_store_failure(self, event, now_s):
         if isinstance(event, StateWriteUncertain) and self._pending_write:
@@ -381,20 +387,24 @@
 
 
 class OverwritesStoredMap(LotCore):
-    """Broken: after a refused write it puts its own map over the stored."""
+    """Broken: overwrites the stored map after a rejected write."""
 
     def _on_read(self, event):
         state = event.state if self._state is None else self._state
         return super()._on_read(StateRead(state, event.version))
 
 
-class FreesRepeatedGroups(LotCore):
-    """Broken: a repeat whose samples are gone frees the pull's groups."""
+class ReleasesRepeatedGroups(LotCore):
+    """Broken: a repeated pull without samples releases its groups."""
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
-        whole = self._slots.complete_groups
-        if record and not record.is_acked and set(record.groups) - set(whole):
+        complete = self._slots.complete_groups
+        if (
+            record
+            and not record.is_acked
+            and set(record.groups) - set(complete)
+        ):
             pulls = dict(self._state.pulls)
             del pulls[call.pull_id]
             self._state = LotState(pulls=pulls)
@@ -405,7 +415,7 @@
 
 
 class DeliversStaleRepeats(LotCore):
-    """Broken: a repeat isn't checked against its own version."""
+    """Broken: a repeated pull isn't checked for stale samples."""
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
@@ -415,7 +425,7 @@
 
 
 class AcceptsInvalidSpans(LotCore):
-    """Broken: takes whatever spans an engine names."""
+    """Broken: accepts samples with invalid spans."""
 
     def _on_sample(self, event, now_s):
         position = self._slots.slot_of(event.attempt)
@@ -429,14 +439,14 @@
 
 
 class RefusesWithoutRead(LotCore):
-    """Broken: refuses an acknowledgement by what was read before it."""
+    """Broken: refuses an acknowledgement without a new read."""
 
     def _require_read(self, call):
         pass
 
 
 class BillsEveryWrite(LotCore):
-    """Broken: bills a commit that another holder's write prevented."""
+    """Broken: bills commits whose write was rejected."""
 
     def _confirmed_usage(self):
         counted = list(self._unbilled_usage.values())
@@ -447,7 +457,7 @@
 BROKEN = (
     DeliversUncommitted,
     OverwritesStoredMap,
-    FreesRepeatedGroups,
+    ReleasesRepeatedGroups,
     DeliversStaleRepeats,
     AcceptsInvalidSpans,
     RefusesWithoutRead,
@@ -456,10 +466,10 @@
 
 
 class LotProof(unittest.TestCase):
-    def test_groups_come_once_fresh_and_with_true_versions(self):
+    def test_groups_are_delivered_once_fresh_and_with_correct_versions(self):
         run_proof(LotMachine, examples=600)
 
-    def test_the_machine_catches_broken_lots(self):
+    def test_broken_lot_cores_are_detected(self):
         for broken in BROKEN:
             with self.subTest(broken.__name__):
                 machine = type("Machine", (LotMachine,), {"core_class": broken})
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -1,9 +1,10 @@
-"""Proof: orders to load weights come from one holder, in stages, to all.
+"""Stateful test: one holder orders weight loads in stages, for all engines.
 
-The lease is taken as its own proof states it: a number is granted only after
-the one before has lapsed for a margin. Faults: holders frozen between the
-last check and the send, lost answers, failed loads, engines that start anew
-and engines that ignore fencing numbers.
+The lease is modelled by the guarantee that its own test checks: a fencing
+number is granted only after the previous one has lapsed for a margin. Faults:
+holders that freeze between the last check of the lease and the send, lost
+answers, failed loads, restarts of engines, and engines that ignore fencing
+numbers.
 """
 
 import unittest
@@ -77,7 +78,7 @@
 
     @rule(holder=st.sampled_from(HOLDERS))
     def take_turn(self, holder):
-        """Renews or takes the lease if that is allowed, then works."""
+        """Renews or acquires the lease if allowed, then ticks the core."""
         is_own = self.leases[holder][0] == self.granted
         if is_own or self.now_s >= self.granted_until_s + MARGIN_S:
             self.granted += not is_own or not self.granted
@@ -106,7 +107,7 @@
         index=st.integers(0, 3),
     )
     def send(self, holder, freeze_s, outcome, wait_s=0.0, index=0):
-        """Waits, checks, is frozen, sends; others work in the meantime."""
+        """Waits, checks the lease, freezes and sends; the other holder acts."""
         if not self.actions[holder]:
             return
         self.now_s += wait_s
@@ -130,15 +131,19 @@
             self.feed(holder, OrderFailed(order.attempt))
 
     def execute_order(self, order, number, freeze_s, should_load):
-        """The engine takes an order; the oracle checks who sent it."""
+        """Executes an order at its engine; checks the sender's lease."""
         version, highest, incarnation = self.engines[order.endpoint_id]
         checks_fencing = order.endpoint_id[0] == "a"
         if checks_fencing and number < highest:
             return False
-        # The lease's own margin and the extra one cover the freeze.
+        # The margin of the lease and the extra margin cover a short freeze.
         is_covered = freeze_s < 2 * MARGIN_S and not checks_fencing
         if is_covered or not freeze_s:
-            assert number == self.granted, ("deposed holder", order, number)
+            assert number == self.granted, (
+                "deposed holder",
+                order,
+                number,
+            )
         if should_load:
             highest = max(highest, number)
             version = max(version, order.version)
@@ -146,7 +151,7 @@
         return should_load
 
     def teardown(self):
-        """All faults end; then every engine gets the newest version."""
+        """Ends all faults and checks that all engines load the newest."""
         if not hasattr(self, "cores"):
             return
         self.now_s += 2 * TERM_S
@@ -167,22 +172,22 @@
 
 
 class NeverRetries(WeightCore):
-    """Broken: a failed load isn't tried again."""
+    """Broken: a failed load isn't retried."""
 
     def _on_failed(self, event, now_s):
         pass
 
 
 class WeightProof(unittest.TestCase):
-    def test_orders_come_from_one_holder_and_reach_all(self):
+    def test_orders_come_from_one_holder_and_reach_all_engines(self):
         run_proof(WeightMachine, examples=300)
 
-    def test_the_machine_catches_broken_rollouts(self):
+    def test_broken_weight_cores_are_detected(self):
         broken = [
             {"core_class": IgnoresExtraMargin},
             {"core_class": NeverRetries},
         ]
-        # Fencing numbers read when the order was decided, not at the send.
+        # The third one reads the fencing number at the decision, not the send.
         for change in [*broken, {"rechecks_lease": False}]:
             with self.subTest(str(change)):
                 machine = type("Machine", (WeightMachine,), change)
