--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -136,8 +136,8 @@
         if epoch != self.epoch:
             return
         key = (peer, incarnation)
-        known = self._acked_numbers.get(key, 0)
-        self._acked_numbers[key] = max(known, number)
+        acked = self._acked_numbers.get(key, 0)
+        self._acked_numbers[key] = max(acked, number)
 
     def own_parts(self) -> list[UsagePart]:
         """Returns the parts of this epoch that aren't known to be sealed."""
@@ -201,11 +201,11 @@
         return (after + ring)[: min(_COPIES_PER_PART, len(ring))]
 
     def _unacked_parts(self, peer: tuple[str, int]) -> tuple[UsagePart, ...]:
-        known = self._acked_numbers.get(peer, 0)
+        acked = self._acked_numbers.get(peer, 0)
         parts = []
         remaining_counts = _MAX_COUNTS_PER_MESSAGE
         for number, part in self._own_parts.items():
-            if number <= known or number in self._flushed_numbers:
+            if number <= acked or number in self._flushed_numbers:
                 continue
             parts.append(part)
             remaining_counts -= len(part.counts)
--- a/daisyhub/accounting/_ledger.py
+++ b/daisyhub/accounting/_ledger.py
@@ -16,9 +16,9 @@
 )
 
 __all__ = [
-    "SealedRanges",
     "Ledger",
     "SealedParts",
+    "SealedRanges",
     "SealedWindow",
     "StoredReport",
     "seal",
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -16,13 +16,13 @@
 from daisyhub.base import Core
 
 __all__ = [
-    "LoanRequested",
+    "AccountQuanta",
     "LoanGranted",
-    "SendLoanRequest",
+    "LoanRequested",
     "SendLoanGrant",
+    "SendLoanRequest",
     "ShareCore",
     "ShareTick",
-    "AccountQuanta",
 ]
 
 QUANTA_PER_DAEMON = 16
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -265,7 +265,7 @@
         is_first = self._state is None
         self._state = state
         self._version = version
-        actions = self._confirmed_usage()
+        actions = self._pop_confirmed_usage()
         done = []
         for record in state.pulls.values():
             is_own = record.commit_id.startswith(f"{self.holder}.")
@@ -283,7 +283,7 @@
             actions += self._on_closed()
         return actions
 
-    def _confirmed_usage(self) -> list[object]:
+    def _pop_confirmed_usage(self) -> list[object]:
         """Returns the usage of own commits that took effect, each once."""
         stored = {r.commit_id for r in self._state.pulls.values()}
         counted = [
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -136,7 +136,7 @@
         """Discards stale samples of a group and schedules their retry.
 
         Returns:
-            Whether the group is still complete.
+            Whether the group is complete.
         """
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -16,7 +16,7 @@
 GROUP_SIZE = 4
 STALENESS = 2
 DOMAIN = "busan"
-OUTAGE_S = 2.5
+OUTAGE_S = 2.5  # longer than a lease term
 
 
 class LotProcessTest(unittest.IsolatedAsyncioTestCase):
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -448,7 +448,7 @@
 class BillsEveryWrite(LotCore):
     """Broken: bills commits whose write was rejected."""
 
-    def _confirmed_usage(self):
+    def _pop_confirmed_usage(self):
         counted = list(self._unbilled_usage.values())
         self._unbilled_usage.clear()
         return counted
