--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -62,14 +62,14 @@
             prefix of its write ids.
 
     Attributes:
-        invalid_answers: Number of engine answers with invalid spans.
+        invalid_responses: Number of engine answers with invalid spans.
         is_finished: Whether the lot isn't served here any more.
     """
 
     def __init__(self, spec: LotSpec, holder: str):
         self.spec = spec
         self.holder = holder
-        self.invalid_answers = 0
+        self.invalid_responses = 0
         self._slots = SlotTable(spec)
         self._state: LotState | None = None
         self._version = 0
@@ -219,12 +219,14 @@
         slot = self._slots.slot_of(event.attempt)
         if slot is None:
             return []
-        if not check_spans(event.answer):
-            self.invalid_answers += 1
+        if not check_spans(event.response):
+            self.invalid_responses += 1
             self._slots.fail_attempt(event.attempt, now_s)
             return []
-        answer = event.answer
-        sample = Sample(index=slot[1], tokens=answer.tokens, spans=answer.spans)
+        response = event.response
+        sample = Sample(
+            index=slot[1], tokens=response.tokens, spans=response.spans
+        )
         return self._slots.complete_attempt(event.attempt, sample)
 
     def _on_read(self, event: StateRead) -> list[object]:
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -3,7 +3,7 @@
 import dataclasses
 import enum
 
-from daisyhub.rollouts._lot_types import EngineAnswer, Group, LotState
+from daisyhub.rollouts._lot_types import EngineResponse, Group, LotState
 
 __all__ = [
     "AckRequested",
@@ -52,7 +52,7 @@
     """An engine answered an attempt; the answer isn't validated yet."""
 
     attempt: int
-    answer: EngineAnswer
+    response: EngineResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -6,14 +6,14 @@
 
 __all__ = [
     "AckBody",
-    "EngineAnswer",
+    "EngineResponse",
     "Group",
     "LotSpec",
     "LotState",
     "MAX_GROUPS",
     "OpenBody",
-    "ProgressAnswer",
-    "PullAnswer",
+    "ProgressResponse",
+    "PullResponse",
     "PullBody",
     "PullRecord",
     "Sample",
@@ -62,7 +62,7 @@
     samples: tuple[Sample, ...]
 
 
-class EngineAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class EngineResponse(msgspec.Struct, frozen=True, kw_only=True):
     """A model engine's answer to a generation request."""
 
     tokens: tuple[int, ...]
@@ -103,7 +103,7 @@
     pull_id: PullId
 
 
-class PullAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class PullResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Complete groups; `remaining` counts those not committed to a pull."""
 
     pull_id: str
@@ -111,7 +111,7 @@
     remaining: int
 
 
-class ProgressAnswer(msgspec.Struct, frozen=True, kw_only=True):
+class ProgressResponse(msgspec.Struct, frozen=True, kw_only=True):
     """Answer to an open, acknowledge or close request.
 
     Attributes:
@@ -168,11 +168,11 @@
     is_closed: bool = False
 
 
-def check_spans(answer: EngineAnswer) -> bool:
+def check_spans(response: EngineResponse) -> bool:
     """Returns whether the spans cover all tokens without gap or overlap."""
     end = 0
-    for span in answer.spans:
+    for span in response.spans:
         if span.start != end or span.end <= span.start:
             return False
         end = span.end
-    return bool(answer.tokens) and end == len(answer.tokens)
+    return bool(response.tokens) and end == len(response.tokens)
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -21,7 +21,7 @@
     CancelSample,
     CountUsage,
     DeliverGroups,
-    EngineAnswer,
+    EngineResponse,
     Generate,
     LotCore,
     LotReleased,
@@ -82,7 +82,7 @@
         spans = spans[:-1] + [Span(version=9, start=99, end=100)]
     elif fault == "short":
         versions = (*versions, versions[-1] + 1)
-    return EngineAnswer(tokens=tuple(versions), spans=tuple(spans))
+    return EngineResponse(tokens=tuple(versions), spans=tuple(spans))
 
 
 class LotMachine(RuleBasedStateMachine):
@@ -190,15 +190,15 @@
             self.trainer_version, self.engine_version + (who != "trainer")
         )
 
-    def accept_answer(self, answer):
+    def accept_answer(self, response):
         """Checks an answer, if a rank still waits for its call."""
         for rank, call in list(self.waiting.items()):
-            if call.call != answer.call:
+            if call.call != response.call:
                 continue
             del self.waiting[rank]
-            if answer.groups:
+            if response.groups:
                 self.pulls[rank] += 1
-            for group in answer.groups:
+            for group in response.groups:
                 self.check_group(group, call)
 
     def check_group(self, group, call):
@@ -321,9 +321,9 @@
         versions = (self.engine_version,) * 2
         if kind == "swap":
             versions = (self.engine_version - 1, self.engine_version)
-        answer = engine_answer(versions, kind)
+        response = engine_answer(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
-            self.feed(holder, SampleReceived(action.attempt, answer))
+            self.feed(holder, SampleReceived(action.attempt, response))
         return True
 
     def apply(self, write):
@@ -429,11 +429,11 @@
 
     def _on_sample(self, event, now_s):
         position = self._slots.slot_of(event.attempt)
-        spans = event.answer.spans or (Span(version=99, start=0, end=1),)
+        spans = event.response.spans or (Span(version=99, start=0, end=1),)
         if position is None:
             return []
         sample = Sample(
-            index=position[1], tokens=event.answer.tokens, spans=spans
+            index=position[1], tokens=event.response.tokens, spans=spans
         )
         return self._slots.complete_attempt(event.attempt, sample)
 
