--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_seat.py
@@ -39,10 +39,10 @@
     LotTick,
     OpenBody,
     OpenRequested,
-    ProgressAnswer,
-    PullAnswer,
+    ProgressResponse,
     PullBody,
     PullRequested,
+    PullResponse,
     ReadState,
     RefusalReason,
     RefuseCall,
@@ -59,7 +59,7 @@
 )
 from daisyhub.settings import DaemonSettings
 
-__all__ = ["LotSeat", "SeatTools", "decode_body"]
+__all__ = ["LotServer", "SeatTools", "decode_body"]
 
 _RETRY_S = 1.0
 _CALL_WAIT_S = 5.0
@@ -102,7 +102,7 @@
     answer: object = None
 
 
-class LotSeat:
+class LotServer:
     """Tries to hold one lot and serves it while it does.
 
     The lease keeps other daemons from doing the same work; that groups are
@@ -140,7 +140,7 @@
             "remaining": core.remaining if core else None,
             "open_pulls": len(core.open_pulls) if core else None,
             "dropped_stale": core.dropped_samples if core else None,
-            "dropped_spans": core.invalid_answers if core else None,
+            "dropped_spans": core.invalid_responses if core else None,
             "fencing": self._lease.fencing,
         }
 
@@ -340,7 +340,7 @@
     match action:
         case DeliverGroups():
             return _json_answer(
-                PullAnswer(
+                PullResponse(
                     pull_id=action.pull_id,
                     groups=action.groups,
                     remaining=action.remaining,
@@ -348,7 +348,7 @@
             )
         case SendProgress():
             return _json_answer(
-                ProgressAnswer(
+                ProgressResponse(
                     remaining=action.remaining,
                     open_pulls=action.open_pulls,
                     closed=action.is_closed,
--- a/daisyhub/lots/__init__.py
+++ b/daisyhub/lots/__init__.py
@@ -1,4 +1,10 @@
-"""Lots that are handed in whole and read by position."""
+"""Lots that trainers submit whole, and whose results are read by position.
+
+A lot is a set of items to generate. The daemon that holds the duty for lots
+runs their items on engines and lists the results: each one is written to the
+store at a position that never changes. Any daemon accepts lots and serves
+their results.
+"""
 
 from daisyhub.lots._calls import EndLot, LotCall, ReadItemBody, ReadResults
 from daisyhub.lots._dispatch_core import DispatchCore
@@ -23,8 +29,6 @@
     "DispatchCore",
     "EndLot",
     "EventReader",
-    "SubmittedLotsFilter",
-    "LotHolderDependencies",
     "ItemResult",
     "ItemRunner",
     "ItemSpec",
@@ -32,6 +36,7 @@
     "LotCall",
     "LotHead",
     "LotHolder",
+    "LotHolderDependencies",
     "LotReader",
     "LotSpec",
     "LotStore",
@@ -42,4 +47,5 @@
     "RewardCaller",
     "RewardSpec",
     "StreamEvent",
+    "SubmittedLotsFilter",
 ]
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,6 +1,5 @@
-"""New weight versions, brought to engines in stages."""
+"""Loading of new weight versions by engines, a few at a time."""
 
-from daisyhub.weights._assignment import assign_engines
 from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._engine_client import (
     EngineClient,
@@ -20,23 +19,24 @@
     VersionPublished,
     WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
-    "FetchReport",
     "EngineClient",
+    "EngineObservation",
     "EngineReport",
+    "EnginesObserved",
+    "FetchReport",
     "LoadMode",
     "OrderAnswered",
     "OrderOutcome",
     "ReportFailed",
     "ReportReceived",
     "SendOrder",
-    "EngineObservation",
-    "EnginesObserved",
-    "WeightLoadCore",
-    "VersionPublished",
     "VersionOrder",
+    "VersionPublished",
     "VersionReader",
     "WeightLoadController",
+    "WeightLoadCore",
     "assign_engines",
 ]
