--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -62,7 +62,7 @@
             prefix of its write ids.
 
     Attributes:
-        invalid_responses: Number of engine answers with invalid spans.
+        invalid_responses: Number of engine responses with invalid spans.
         is_finished: Whether the lot isn't served here any more.
     """
 
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SampleReceived:
-    """An engine answered an attempt; the answer isn't validated yet."""
+    """An engine responded to an attempt; the response isn't validated yet."""
 
     attempt: int
     response: EngineResponse
@@ -181,14 +181,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelSample:
-    """Action: cancel an attempt whose answer isn't needed any more."""
+    """Action: cancel an attempt whose response isn't needed any more."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliverGroups:
-    """Action: answer a pull; no groups if none was ready in time."""
+    """Action: respond to a pull; no groups if none was ready in time."""
 
     call: int
     pull_id: str
@@ -198,7 +198,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendProgress:
-    """Action: answer an open, acknowledge or close call."""
+    """Action: respond to an open, acknowledge or close call."""
 
     call: int
     remaining: int
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -63,7 +63,7 @@
 
 
 class EngineResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """A model engine's answer to a generation request."""
+    """A model engine's response to a generation request."""
 
     tokens: tuple[int, ...]
     spans: tuple[Span, ...] = ()
@@ -112,7 +112,7 @@
 
 
 class ProgressResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to an open, acknowledge or close request.
+    """Response to an open, acknowledge or close request.
 
     Attributes:
         remaining: Number of groups that aren't committed to a pull.
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -1,8 +1,8 @@
 """Stateful test: groups are delivered once, fresh, with correct versions.
 
 Faults: several holders that crash, freeze and resume; writes that are lost,
-late or unanswered; engines that fail, return invalid spans, answer twice or
-late, and swap weights within a sample; a trainer that stops waiting, calls
+late or unanswered; engines that fail, return invalid spans, respond twice
+or late, and swap weights within a sample; a trainer that stops waiting, calls
 another holder and advances its version; duplicates of old calls; lost
 acknowledgements.
 """
@@ -67,8 +67,8 @@
 ENGINE_FAULTS = ("swap", "fail", "missing", "gap", "short", "twice")
 
 
-def engine_answer(versions, fault=""):
-    """Returns an answer whose tokens equal the versions that produced them."""
+def engine_response(versions, fault=""):
+    """Returns a response whose tokens equal the versions that produced them."""
     spans = []
     for position, version in enumerate(versions):
         if spans and spans[-1].version == version:
@@ -134,14 +134,14 @@
         holder=st.sampled_from(HOLDERS),
         fault=st.sampled_from([""] * 5 + ["idle", "freeze", *STORE_FAULTS]),
         kind=st.sampled_from([""] * 5 + [*ENGINE_FAULTS]),
-        is_answer_delivered=st.sampled_from([True, True, True, False]),
+        is_response_delivered=st.sampled_from([True, True, True, False]),
     )
     def request_groups(
-        self, rank, holder, fault="", kind="", is_answer_delivered=True
+        self, rank, holder, fault="", kind="", is_response_delivered=True
     ):
         """A rank abandons its call, if any, and sends a new one.
 
-        Unless the fault is "idle" the holder then works on it: engines answer,
+        Unless the fault is "idle" the holder then works on it: engines respond,
         the first one with the fault `kind`, and its write to the store gets
         the fault `fault`.
         """
@@ -160,8 +160,8 @@
         self.feed(holder, call)
         if fault != "idle":
             self.work(holder, fault, kind)
-        if is_answer_delivered:
-            self.answer_trainer(holder)
+        if is_response_delivered:
+            self.respond_to_trainer(holder)
 
     @rule(pick=st.integers(0, 50))
     def receive_duplicate(self, pick):
@@ -190,8 +190,8 @@
             self.trainer_version, self.engine_version + (who != "trainer")
         )
 
-    def accept_answer(self, response):
-        """Checks an answer, if a rank still waits for its call."""
+    def accept_response(self, response):
+        """Checks a response, if a rank still waits for its call."""
         for rank, call in list(self.waiting.items()):
             if call.call != response.call:
                 continue
@@ -240,7 +240,7 @@
         elif step == "work":
             self.work(holder)
         elif step == "answer":
-            self.answer_trainer(holder)
+            self.respond_to_trainer(holder)
         elif step == "release":
             self.feed(holder, LotReleased())
         elif step == "engine":
@@ -287,7 +287,7 @@
                 return action
         return None
 
-    def answer_trainer(self, holder):
+    def respond_to_trainer(self, holder):
         cancelled = {
             a.attempt
             for a in self.actions[holder]
@@ -296,7 +296,7 @@
         rest = []
         for action in self.actions[holder]:
             if isinstance(action, DeliverGroups):
-                self.accept_answer(action)
+                self.accept_response(action)
             elif isinstance(action, RefuseCall):
                 # This test acknowledges only pulls with delivered groups.
                 is_known = action.reason is not RefusalReason.UNKNOWN_PULL
@@ -321,7 +321,7 @@
         versions = (self.engine_version,) * 2
         if kind == "swap":
             versions = (self.engine_version - 1, self.engine_version)
-        response = engine_answer(versions, kind)
+        response = engine_response(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
             self.feed(holder, SampleReceived(action.attempt, response))
         return True
@@ -373,7 +373,7 @@
             self.pass_time(0.25)
             for holder in HOLDERS:
                 self.work(holder)
-                self.answer_trainer(holder)
+                self.respond_to_trainer(holder)
         raise AssertionError(f"only {sorted(self.delivered)} were delivered")
 
 
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -3,7 +3,7 @@
 The lease is modelled by the guarantee that its own test checks: a fencing
 number is granted only after the previous one has lapsed for a margin. Faults:
 holders that freeze between the last check of the lease and the send, lost
-answers, failed loads, restarts of engines, and engines that ignore fencing
+responses, failed loads, restarts of engines, and engines that ignore fencing
 numbers.
 """
 
