--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -30,8 +30,8 @@
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
     Call,
-    ConfigFetch,
-    EndpointNewsBatch,
+    ConfigRequest,
+    EndpointUpdateBatch,
     Envelope,
     Heartbeat,
     encode_envelope,
@@ -185,7 +185,7 @@
 def _fetch_bytes(size_kb: int) -> float:
     """Bytes with which a daemon asks a peer for what it lacks."""
     head, _ = _document(size_kb)
-    fetch = ConfigFetch(known_digests=tuple(sorted(head.digests)))
+    fetch = ConfigRequest(known_digests=tuple(sorted(head.digests)))
     return _envelope_bytes(Call(call_id=1, content=fetch))
 
 
@@ -259,7 +259,7 @@
         )
         for record in endpoint_records(count)
     )
-    return _envelope_bytes(_heartbeat(), EndpointNewsBatch(news=news))
+    return _envelope_bytes(_heartbeat(), EndpointUpdateBatch(news=news))
 
 
 def _slope(name, per, unit, sizes, measure, repeats=3) -> Slope:
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -33,8 +33,8 @@
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    ConfigFetch,
-    ConfigParts,
+    ConfigRequest,
+    ConfigResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -135,12 +135,14 @@
         record = msgspec.convert(found.value, WithdrawnKeys)
         self._feed(WithdrawnKeysReceived(record.key_ids))
 
-    def on_peer(self, heard: PeerSummaryReceived) -> None:
+    def on_peer_summary(self, heard: PeerSummaryReceived) -> None:
         """Takes what a peer's heartbeat tells."""
         self._feed(heard)
 
-    async def answer_fetch(self, fetch: ConfigFetch) -> ConfigParts:
-        """Serves a peer's `ConfigFetch`."""
+    async def handle_fetch_request(
+        self, fetch: ConfigRequest
+    ) -> ConfigResponse:
+        """Serves a peer's `ConfigRequest`."""
         snapshot = self._core.snapshot
         known = set(fetch.known_digests)
         contents = {
@@ -148,7 +150,7 @@
             for digest, text in self._core.active_parts.items()
             if digest not in known
         }
-        return ConfigParts(
+        return ConfigResponse(
             head=snapshot.head if snapshot else ConfigHead(),
             contents=contents,
             withdrawn=tuple(sorted(self._core.withdrawn)),
@@ -189,7 +191,7 @@
             return FetchFailed(_PLATFORM)
 
     async def _fetch_from_peer(self, fetch: FetchFromPeer) -> object:
-        call = ConfigFetch(known_digests=fetch.known_digests)
+        call = ConfigRequest(known_digests=fetch.known_digests)
         try:
             parts = await self._network.call(
                 fetch.daemon_id, call, _FETCH_TIMEOUT_S
@@ -197,7 +199,7 @@
         except PeerUnreachableError as exc:
             log.info("no configuration from {}: {}", fetch.daemon_id, exc)
             return FetchFailed(fetch.daemon_id)
-        if not isinstance(parts, ConfigParts):
+        if not isinstance(parts, ConfigResponse):
             return FetchFailed(fetch.daemon_id)
         return PeerStateFetched(
             fetch.daemon_id, parts.head, parts.contents, parts.withdrawn
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -25,8 +25,8 @@
 )
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointFetch,
-    EndpointParts,
+    EndpointsRequest,
+    EndpointsResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -129,17 +129,19 @@
         for daemon_id in domain.intersection(self._peers.live_peers()):
             try:
                 parts = await self._network.call(
-                    daemon_id, EndpointFetch(), _PROBE_TIMEOUT_S
+                    daemon_id, EndpointsRequest(), _PROBE_TIMEOUT_S
                 )
             except PeerUnreachableError:
                 continue
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
-        """Serves a peer's `EndpointFetch`."""
+    async def handle_fetch_request(
+        self, _: EndpointsRequest
+    ) -> EndpointsResponse:
+        """Serves a peer's `EndpointsRequest`."""
         records = tuple(_record_of(state) for state in self._table.all())
-        return EndpointParts(records=records)
+        return EndpointsResponse(records=records)
 
     async def _probe_share(self) -> None:
         """Probes the quiet endpoints of this daemon's share.
@@ -147,24 +149,24 @@
         Answers to requests carry the same news, so that a busy endpoint
         needs no probe.
         """
-        self._follow_live_daemons()
+        self._update_live_daemons()
         quiet_s = _QUIET_PROBES * self._cfg.timing.probe_s
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
                 if state.last_received_at_s > oldest_s:
                     continue
-                if self._is_watched_here(state.endpoint_id):
+                if self._is_assigned_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
 
-    def _follow_live_daemons(self) -> None:
+    def _update_live_daemons(self) -> None:
         """Ranks watchers anew once the live daemons have changed."""
         live = frozenset((self._cfg.daemon_id, *self._peers.live_peers()))
         if live != self._watchers:
             self._watchers = live
             self._is_watched.clear()
 
-    def _is_watched_here(self, endpoint_id: str) -> bool:
+    def _is_assigned_here(self, endpoint_id: str) -> bool:
         """Whether this daemon is the one that watches the endpoint."""
         if endpoint_id not in self._is_watched:
             watcher, *_ = rank_candidates(endpoint_id, self._watchers)
@@ -177,12 +179,12 @@
                 "GET", state.address, "/load", timeout_s=_PROBE_TIMEOUT_S
             )
         except RequestFailedError:
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return
         state.last_received_at_s = time.monotonic()
         news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
-            self._peers.add_news(news)
+            self._peers.add_update(news)
         self._table.apply_update(news)
 
 
--- a/daisyhub/controllers/_lot_seat.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -23,7 +23,7 @@
 from daisyhub.hosting import LeaseFactory, PlatformClient
 from daisyhub.logs import get_logger
 from daisyhub.metrics import Metrics
-from daisyhub.peers import LotAnswer, LotCall
+from daisyhub.peers import LotCallRequest, LotCallResponse
 from daisyhub.rollouts import (
     AckBody,
     AckRequested,
@@ -59,7 +59,7 @@
 )
 from daisyhub.settings import DaemonSettings
 
-__all__ = ["LotServer", "SeatTools", "decode_body"]
+__all__ = ["LotServer", "LotServerDependencies", "decode_body"]
 
 _RETRY_S = 1.0
 _CALL_WAIT_S = 5.0
@@ -80,12 +80,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SeatTools:
+class LotServerDependencies:
     """What a seat needs of its daemon."""
 
     cfg: DaemonSettings
     client: PlatformClient
-    keeper: LeaseFactory
+    lease_factory: LeaseFactory
     http: HttpClient
     table: EndpointTable
     balancer: Balancer
@@ -112,11 +112,11 @@
         ready: Set once the lease was acquired, or the seat is over.
     """
 
-    def __init__(self, spec: LotSpec, tools: SeatTools):
+    def __init__(self, spec: LotSpec, tools: LotServerDependencies):
         self.spec = spec
         self.ready = anyio.Event()
         self._tools = tools
-        self._lease = tools.keeper.new_lease(f"lots/{spec.lot_id}")
+        self._lease = tools.lease_factory.new_lease(f"lots/{spec.lot_id}")
         self._core: LotCore | None = None
         self._engines = LotEngines(
             spec, tools.table, tools.balancer, tools.http
@@ -171,7 +171,7 @@
         self._wakeup.set()
         await self._lease.release()
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves one trainer's call.
 
         Raises:
@@ -228,8 +228,8 @@
             wakeup_s = self._core.next_wakeup_s
             wait_s = _IDLE_STEP_S
             if wakeup_s is not None:
-                left_s = wakeup_s - time.monotonic()
-                wait_s = min(wait_s, max(_SHORTEST_STEP_S, left_s))
+                remaining_s = wakeup_s - time.monotonic()
+                wait_s = min(wait_s, max(_SHORTEST_STEP_S, remaining_s))
             with anyio.move_on_after(wait_s):
                 await self._wakeup.wait()
             self._wakeup = anyio.Event()
@@ -310,7 +310,7 @@
         return StateWritten(action.write_id, version)
 
 
-def _event_of(call: LotCall, number: int) -> object:
+def _event_of(call: LotCallRequest, number: int) -> object:
     until_s = time.monotonic() + _CALL_WAIT_S
     match call.verb:
         case "open":
@@ -335,7 +335,7 @@
     raise Refusal(ErrorCode.ROUTE_UNKNOWN, f"no verb {call.verb!r}")
 
 
-def _answer_of(action: object) -> LotAnswer:
+def _answer_of(action: object) -> LotCallResponse:
     """Returns the trainer's answer; raises `Refusal` if it is one."""
     match action:
         case DeliverGroups():
@@ -376,5 +376,5 @@
         raise Refusal(ErrorCode.BODY_INVALID, str(exc)) from exc
 
 
-def _json_answer(value: object) -> LotAnswer:
-    return LotAnswer(status=_OK, body=msgspec.json.encode(value))
+def _json_answer(value: object) -> LotCallResponse:
+    return LotCallResponse(status=_OK, body=msgspec.json.encode(value))
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -6,9 +6,9 @@
 import msgspec
 
 from daisyhub.base import Controller
-from daisyhub.controllers._lot_seat import (
+from daisyhub.controllers._lot_server import (
     LotServer,
-    SeatTools,
+    LotServerDependencies,
     decode_body,
 )
 from daisyhub.controllers._lot_specs import LotSpecStore
@@ -20,8 +20,8 @@
 from daisyhub.hosting import LeaseRecord, PlatformObject
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    LotAnswer,
-    LotCall,
+    LotCallRequest,
+    LotCallResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -49,7 +49,7 @@
 
     name = "lots"
 
-    def __init__(self, tools: SeatTools, network: PeerNetwork):
+    def __init__(self, tools: LotServerDependencies, network: PeerNetwork):
         self._tools = tools
         self._network = network
         self._specs = LotSpecStore(tools.client)
@@ -80,7 +80,7 @@
             for seat in list(self._seats.values()):
                 tasks.start_soon(seat.release)
 
-    async def serve(self, call: LotCall) -> LotAnswer:
+    async def serve(self, call: LotCallRequest) -> LotCallResponse:
         """Serves a trainer's call here or at the lot's holder.
 
         Raises:
@@ -102,7 +102,9 @@
                 retry_after_s=_RETRY_S,
             ) from exc
 
-    async def answer_call(self, call: LotCall) -> LotAnswer:
+    async def handle_forwarded_call(
+        self, call: LotCallRequest
+    ) -> LotCallResponse:
         """Serves a call that a peer passed on; never passes it further."""
         seat = self._seats.get(call.lot_id)
         if seat is None or not seat.is_serving:
@@ -112,20 +114,22 @@
         except Refusal as exc:
             if exc.error is ErrorCode.LOT_ELSEWHERE:
                 return _elsewhere_answer()
-            return LotAnswer(
+            return LotCallResponse(
                 status=exc.error.status,
                 body=problem_body(exc, call.lot_id),
                 retry_after_s=exc.retry_after_s,
             )
 
-    async def _serve_here(self, seat: LotServer, call: LotCall) -> LotAnswer:
+    async def _serve_here(
+        self, seat: LotServer, call: LotCallRequest
+    ) -> LotCallResponse:
         with anyio.move_on_after(_TAKE_WAIT_S):
             await seat.ready.wait()
         if not seat.is_serving:
             raise _being_taken()
         return await seat.serve(call)
 
-    async def _ask_holder(self, call: LotCall) -> LotAnswer | None:
+    async def _ask_holder(self, call: LotCallRequest) -> LotCallResponse | None:
         """Returns the holder's answer, or None if no holder answers.
 
         While the platform is down, the holder last seen is asked.
@@ -173,7 +177,7 @@
                     return
                 version = found.version
 
-    async def _take_seat(self, call: LotCall) -> LotServer:
+    async def _take_seat(self, call: LotCallRequest) -> LotServer:
         spec = await self._find_spec(call)
         if spec.account != call.account:
             raise _unknown_lot()
@@ -186,7 +190,7 @@
             await self._new_seats.send(seat)
         return seat
 
-    async def _find_spec(self, call: LotCall) -> LotSpec:
+    async def _find_spec(self, call: LotCallRequest) -> LotSpec:
         spec = await self._specs.find(call.lot_id)
         if spec is not None:
             return spec
@@ -194,7 +198,7 @@
             raise _unknown_lot()
         return await self._specs.create(self._new_spec(call))
 
-    def _new_spec(self, call: LotCall) -> LotSpec:
+    def _new_spec(self, call: LotCallRequest) -> LotSpec:
         body = decode_body(call.body, OpenBody)
         lots = self._tools.config.document.trainer_lots
         lot_class = lots.get(body.lot_class)
@@ -241,7 +245,7 @@
     )
 
 
-def _elsewhere_answer() -> LotAnswer:
-    return LotAnswer(
+def _elsewhere_answer() -> LotCallResponse:
+    return LotCallResponse(
         status=ErrorCode.LOT_ELSEWHERE.status, body=b"", is_elsewhere=True
     )
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from daisyhub.connections import HttpAnswer, HttpClient, RequestFailedError
+from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
 from daisyhub.exceptions import Ran
 from daisyhub.objects import (
     HistoryGoneError,
@@ -83,10 +83,10 @@
         self._timeout_s = timeout_s
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object; see `ObjectStore.read`."""
-        query = f"?{_LATE}" if may_be_late else ""
+        query = f"?{_LATE}" if can_be_stale else ""
         answer = await self._call("GET", _path(kind, name) + query)
         if answer.status == _NOT_FOUND:
             return None
@@ -119,11 +119,11 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """Waits for changes; see `ObjectStore.watch`."""
         wait_ms = int(wait_s * _MS_PER_S)
-        lateness = f"&{_LATE}" if may_be_late else ""
+        lateness = f"&{_LATE}" if can_be_stale else ""
         answer = await self._call(
             "GET",
             f"{_path(kind)}?watch={after_revision}&wait-ms={wait_ms}{lateness}",
@@ -183,7 +183,7 @@
         target: str,
         body: bytes = b"",
         timeout_s: float | None = None,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         is_write = method != "GET"
         headers = ((b"content-type", b"application/json"),) if body else ()
         try:
@@ -194,7 +194,7 @@
                 headers=headers,
                 body=body,
                 timeout_s=timeout_s or self._timeout_s,
-                answer_bytes=_ANSWER_BYTES,
+                max_body_bytes=_ANSWER_BYTES,
             )
         except RequestFailedError as exc:
             may_be_done = is_write and exc.ran is not Ran.NOT_RUN
@@ -227,7 +227,7 @@
     )
 
 
-def _written(kind: str, name: str, answer: HttpAnswer) -> StoredObject:
+def _written(kind: str, name: str, answer: HttpResponse) -> StoredObject:
     """Reads the answer to a write; refusals carry the object as it is."""
     if answer.status == _NOT_FOUND:
         raise ObjectConflictError(f"{kind}/{name} does not exist", None)
@@ -238,7 +238,7 @@
     return _stored(kind, _decode(answer, _Object))
 
 
-def _conflicting(kind: str, answer: HttpAnswer) -> StoredObject | None:
+def _conflicting(kind: str, answer: HttpResponse) -> StoredObject | None:
     try:
         return _stored(kind, msgspec.json.decode(answer.body, type=_Object))
     except msgspec.DecodeError:
@@ -246,7 +246,7 @@
         return None
 
 
-def _decode(answer: HttpAnswer, kind: Any) -> Any:
+def _decode(answer: HttpResponse, kind: Any) -> Any:
     try:
         return msgspec.json.decode(answer.body, type=kind)
     except msgspec.DecodeError as exc:
