--- a/daisyhub/connections/__init__.py
+++ b/daisyhub/connections/__init__.py
@@ -1,17 +1,17 @@
 """HTTP connections to endpoints and to the platform."""
 
 from daisyhub.connections._client import (
-    AnswerStream,
-    HttpAnswer,
     HttpClient,
-    StreamedAnswer,
+    HttpResponse,
+    ResponseStream,
+    StreamedResponse,
 )
 from daisyhub.connections._connection import RequestFailedError
 
 __all__ = [
-    "AnswerStream",
-    "HttpAnswer",
+    "ResponseStream",
+    "HttpResponse",
     "HttpClient",
     "RequestFailedError",
-    "StreamedAnswer",
+    "StreamedResponse",
 ]
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -25,7 +25,7 @@
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
-__all__ = ["AnswerStream", "HttpAnswer", "HttpClient", "StreamedAnswer"]
+__all__ = ["ResponseStream", "HttpResponse", "HttpClient", "StreamedResponse"]
 
 _REQUEST_ID_HEADER = b"daisyhub-request-id"
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class HttpAnswer:
+class HttpResponse:
     """A whole answer."""
 
     status: int
@@ -41,7 +41,7 @@
     body: bytes
 
 
-class StreamedAnswer:
+class StreamedResponse:
     """The head of an answer, and its content in chunks.
 
     Attributes:
@@ -110,14 +110,14 @@
         await self.aclose()
 
 
-class AnswerStream(AsyncIterator[bytes]):
+class ResponseStream(AsyncIterator[bytes]):
     """Content passed through; `aclose` ends it even before the first chunk.
 
     Args:
         answer: The answer whose content it is.
     """
 
-    def __init__(self, answer: StreamedAnswer):
+    def __init__(self, answer: StreamedResponse):
         self._answer = answer
         self._chunks = answer.chunks()
 
@@ -162,9 +162,9 @@
         headers: tuple[Header, ...] = (),
         body: bytes = b"",
         timeout_s: float,
-        answer_bytes: int = 1 << 23,
+        max_body_bytes: int = 1 << 23,
         fresh: bool = False,
-    ) -> HttpAnswer:
+    ) -> HttpResponse:
         """Sends one request and reads the whole answer.
 
         Args:
@@ -174,7 +174,7 @@
             headers: Headers besides the host and the length.
             body: The content.
             timeout_s: Longest time for everything.
-            answer_bytes: Largest content of the answer.
+            max_body_bytes: Largest content of the answer.
             fresh: Whether to open a new connection in any case.
 
         Raises:
@@ -189,7 +189,7 @@
                 answer = await _exchange_heads(
                     conn, method, address, target, headers, body
                 )
-                content = await _read_all(conn, answer, answer_bytes)
+                content = await _read_all(conn, answer, max_body_bytes)
         except RequestFailedError:
             await self._discard(address, conn, started_s)
             raise
@@ -199,7 +199,7 @@
             raise
         conn.note_headers(answer.headers)
         await self.finish(address, conn, started_s)
-        return HttpAnswer(
+        return HttpResponse(
             status=answer.status, headers=_lower(answer.headers), body=content
         )
 
@@ -213,7 +213,7 @@
         body: bytes = b"",
         timeout_s: float,
         fresh: bool = False,
-    ) -> "StreamedAnswer":
+    ) -> "StreamedResponse":
         """Sends one request and returns the answer's head.
 
         The caller reads `chunks()` and calls `aclose()` in any case.
@@ -239,7 +239,7 @@
             await conn.aclose()
             raise
         conn.note_headers(answer.headers)
-        return StreamedAnswer(
+        return StreamedResponse(
             client=self,
             conn=conn,
             address=address,
@@ -264,7 +264,7 @@
     async def aclose(self) -> None:
         """Closes every idle connection."""
         for address in list(self._idle):
-            self.forget(address)
+            self.drop_idle_connections(address)
         await self._close_doomed()
 
     def has_idle(self, address: Address) -> bool:
@@ -272,7 +272,7 @@
         conns = self._idle.get(address)
         return bool(conns) and self._is_recent(conns[-1], time.monotonic())
 
-    def forget(self, address: Address) -> None:
+    def drop_idle_connections(self, address: Address) -> None:
         """Drops the idle connections of an address; they are in doubt."""
         self._doomed += self._idle.pop(address, [])
 
--- a/daisyhub/connections/tests/test_given_up_requests.py
+++ b/daisyhub/connections/tests/test_given_up_requests.py
@@ -89,7 +89,7 @@
             await answer.drain()
             await answer.aclose()
             self.assertEqual(len(client._idle[address]), 1)
-            client.forget(address)
+            client.drop_idle_connections(address)
             await client.aclose()
 
         await self.ended_by(send, whole)
--- a/daisyhub/gateway/__init__.py
+++ b/daisyhub/gateway/__init__.py
@@ -8,15 +8,15 @@
 from daisyhub.gateway._sender import Sender, SendTask
 from daisyhub.gateway._wire import (
     CallerWire,
-    EndpointAnswer,
+    EndpointRequest,
+    EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 
 __all__ = [
     "BodyFilter",
     "CallerWire",
-    "EndpointAnswer",
+    "EndpointResponseHead",
     "EndpointWire",
     "FindRouteFilter",
     "GatewayApp",
@@ -24,5 +24,5 @@
     "SendFilter",
     "SendTask",
     "Sender",
-    "SentRequest",
+    "EndpointRequest",
 ]
--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -121,7 +121,7 @@
         )
 
     def _head(self, resp: Response) -> list:
-        headers = list(self._wire.answer_headers(resp))
+        headers = list(self._wire.response_headers(resp))
         if self.is_draining:
             headers.append((b"connection", b"close"))
         return headers
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -9,11 +9,11 @@
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.catalog import Route
 from daisyhub.connections import (
-    AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     RequestFailedError,
-    StreamedAnswer,
+    ResponseStream,
+    StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters import (
@@ -27,7 +27,11 @@
     StartAttempt,
     run_attempts,
 )
-from daisyhub.gateway._wire import EndpointAnswer, EndpointWire, SentRequest
+from daisyhub.gateway._wire import (
+    EndpointRequest,
+    EndpointResponseHead,
+    EndpointWire,
+)
 from daisyhub.logs import DecisionLog
 from daisyhub.messages import Header, Response
 from daisyhub.metrics import Metrics
@@ -220,14 +224,14 @@
         return await self._judge(action, token, answer)
 
     async def _exchange(self, task: SendTask, entry, fresh: bool):
-        left_s = max(0.0, task.deadline_s - time.monotonic())
+        remaining_s = max(0.0, task.deadline_s - time.monotonic())
         headers = self._wire.request_headers(
-            SentRequest(
+            EndpointRequest(
                 request_id=task.request_id,
                 host=task.host,
                 endpoint_id=entry.endpoint_id,
                 account=task.account,
-                left_s=_endpoint_left_s(left_s),
+                remaining_s=_endpoint_left_s(remaining_s),
                 headers=task.headers,
             )
         )
@@ -238,7 +242,7 @@
             task.target,
             headers=headers,
             body=task.body,
-            timeout_s=left_s,
+            timeout_s=remaining_s,
             fresh=fresh,
         )
 
@@ -246,11 +250,11 @@
         self,
         action: StartAttempt,
         token: int,
-        answer: HttpAnswer | StreamedAnswer,
+        answer: HttpResponse | StreamedResponse,
     ) -> AttemptOutcome:
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
-        read = self._wire.read_answer(answer.status, answer.headers)
+        read = self._wire.read_response_head(answer.status, answer.headers)
         self._learn(endpoint_id, read, now_s)
         if not read.is_not_run:
             if answer.status < _FIRST_FAULT_STATUS:
@@ -258,16 +262,16 @@
             else:
                 self._directory.record_closed(endpoint_id, token)
             return AttemptOutcome(AttemptCompleted(action.attempt), answer)
-        if isinstance(answer, StreamedAnswer):
+        if isinstance(answer, StreamedResponse):
             await answer.drain()
-        if read.is_other_endpoint:
+        if read.is_misdirected:
             self._directory.record_failed(endpoint_id, token, now_s)
         else:
             self._directory.record_closed(endpoint_id, token)
         return _failed(action, Ran.NOT_RUN)
 
     def _learn(
-        self, endpoint_id: str, read: EndpointAnswer, now_s: float
+        self, endpoint_id: str, read: EndpointResponseHead, now_s: float
     ) -> None:
         if read.load is not None:
             self._directory.record_load(endpoint_id, read.load, now_s)
@@ -290,13 +294,13 @@
     return max(latest_s, _HEDGE_LEAST * usual_s)
 
 
-def _endpoint_left_s(left_s: float) -> float:
+def _endpoint_left_s(remaining_s: float) -> float:
     """Returns the time for the endpoint: its own answer must come in time.
 
     An endpoint answers at its deadline; if that answer is still read, its
     connection can be kept.
     """
-    return left_s - min(_ENDPOINT_MARGIN_S, left_s / 4)
+    return remaining_s - min(_ENDPOINT_MARGIN_S, remaining_s / 4)
 
 
 def _failed(
@@ -332,12 +336,12 @@
     )
 
 
-def _response(answer: HttpAnswer | StreamedAnswer) -> Response:
-    if isinstance(answer, StreamedAnswer):
+def _response(answer: HttpResponse | StreamedResponse) -> Response:
+    if isinstance(answer, StreamedResponse):
         return Response(
             status=answer.status,
             headers=answer.headers,
-            stream=AnswerStream(answer),
+            stream=ResponseStream(answer),
         )
     return Response(
         status=answer.status, headers=answer.headers, body=answer.body
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -5,11 +5,16 @@
 
 from daisyhub.messages import BodyReader, Header, Request, Response
 
-__all__ = ["CallerWire", "EndpointAnswer", "EndpointWire", "SentRequest"]
+__all__ = [
+    "CallerWire",
+    "EndpointResponseHead",
+    "EndpointWire",
+    "EndpointRequest",
+]
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class SentRequest:
+class EndpointRequest:
     """A request as it goes to an endpoint.
 
     Attributes:
@@ -17,7 +22,7 @@
         host: Host name that the caller sent.
         endpoint_id: The endpoint that must serve it.
         account: Client account of the key; empty if none is to be named.
-        left_s: Seconds that the caller still waits.
+        remaining_s: Seconds that the caller still waits.
         headers: The caller's headers.
         resume_after: Number of the last event at hand, to go on behind it.
     """
@@ -26,18 +31,18 @@
     host: str
     endpoint_id: str
     account: str = ""
-    left_s: float
+    remaining_s: float
     headers: tuple[Header, ...] = ()
     resume_after: int = 0
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class EndpointAnswer:
+class EndpointResponseHead:
     """What an answer's head says besides its status.
 
     Attributes:
         is_not_run: Whether the endpoint states that it did not run it.
-        is_other_endpoint: Whether another endpoint has the address now.
+        is_misdirected: Whether another endpoint has the address now.
         load: Requests in hand there, running and waiting; None if not told.
         proof: The endpoint's proof that the answer is its own; may be empty.
         weight_version: Version of the weights that it starts with; 0 if not
@@ -45,7 +50,7 @@
     """
 
     is_not_run: bool = False
-    is_other_endpoint: bool = False
+    is_misdirected: bool = False
     load: int | None = None
     proof: str = ""
     weight_version: int = 0
@@ -70,7 +75,7 @@
         """
 
     @abc.abstractmethod
-    def answer_headers(self, resp: Response) -> tuple[Header, ...]:
+    def response_headers(self, resp: Response) -> tuple[Header, ...]:
         """Returns the headers that a caller gets of an endpoint's answer."""
 
 
@@ -78,11 +83,11 @@
     """How endpoints are spoken to."""
 
     @abc.abstractmethod
-    def request_headers(self, sent: SentRequest) -> tuple[Header, ...]:
+    def request_headers(self, sent: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers of a request, the host included."""
 
     @abc.abstractmethod
-    def read_answer(
+    def read_response_head(
         self, status: int, headers: tuple[Header, ...]
-    ) -> EndpointAnswer:
+    ) -> EndpointResponseHead:
         """Reads the head of an answer."""
