--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -67,7 +67,7 @@
     def __init__(
         self,
         cfg: DaemonSettings,
-        keeper: LeaseFactory,
+        lease_factory: LeaseFactory,
         http: HttpClient,
         table: EndpointTable,
         config: ConfigController,
@@ -76,7 +76,9 @@
         self._http = http
         self._table = table
         self._config = config
-        self._lease = keeper.new_duty_lease(f"weights/{cfg.failure_domain}")
+        self._lease = lease_factory.new_duty_lease(
+            f"weights/{cfg.failure_domain}"
+        )
         self._core = WeightCore(_extra_margin_s(cfg.timing))
         self._published: dict[str, int] = {}
         self._wakeup = anyio.Event()
@@ -125,8 +127,8 @@
         wakeup_s = self._core.next_wakeup_s
         if wakeup_s is None:
             return pause_s
-        left_s = wakeup_s - time.monotonic()
-        return min(pause_s, max(_SHORTEST_STEP_S, left_s))
+        remaining_s = wakeup_s - time.monotonic()
+        return min(pause_s, max(_SHORTEST_STEP_S, remaining_s))
 
     def _engines_seen(self) -> EnginesListed:
         now_s = time.monotonic()
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -5,7 +5,7 @@
 
 from daisyhub.catalog import ManifestController, ManifestError, RouteKind
 from daisyhub.exceptions import Refusal
-from daisyhub.gateway import SentRequest
+from daisyhub.gateway import EndpointRequest
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import EndLot, ReadItemBody, ReadResults
 from daisyhub.messages import Request
@@ -204,12 +204,12 @@
 
 class EndpointWireTest(unittest.TestCase):
     def test_own_headers_are_overwritten_and_the_key_is_not_passed(self):
-        sent = SentRequest(
+        sent = EndpointRequest(
             request_id="q1",
             host="a.example",
             endpoint_id="i-1",
             account="t",
-            left_s=0.75,
+            remaining_s=0.75,
             headers=(
                 (b"api-key", b"secret"),
                 (b"daisyhub-tenant", b"forged"),
@@ -236,12 +236,12 @@
 
     def test_what_an_answer_says(self):
         wire = PlatformEndpointWire()
-        full = wire.read_answer(503, ((b"daisyhub-not-executed", b"1"),))
+        full = wire.read_response_head(503, ((b"daisyhub-not-executed", b"1"),))
         self.assertTrue(full.is_not_run)
-        self.assertFalse(wire.read_answer(503, ()).is_not_run)
-        other = wire.read_answer(421, ())
-        self.assertTrue(other.is_not_run and other.is_other_endpoint)
-        told = wire.read_answer(
+        self.assertFalse(wire.read_response_head(503, ()).is_not_run)
+        other = wire.read_response_head(421, ())
+        self.assertTrue(other.is_not_run and other.is_misdirected)
+        told = wire.read_response_head(
             200,
             (
                 (b"daisyhub-server-load", b"3,2,8"),
@@ -251,7 +251,9 @@
         )
         self.assertEqual((told.load, told.proof), (5, "s"))
         self.assertEqual(told.weight_version, 6)
-        odd = wire.read_answer(200, ((b"daisyhub-server-load", b"many"),))
+        odd = wire.read_response_head(
+            200, ((b"daisyhub-server-load", b"many"),)
+        )
         self.assertIsNone(odd.load)
 
 
