--- a/daisyhub/connections/__init__.py
+++ b/daisyhub/connections/__init__.py
@@ -9,9 +9,9 @@
 from daisyhub.connections._connection import RequestFailedError
 
 __all__ = [
-    "ResponseStream",
-    "HttpResponse",
     "HttpClient",
+    "HttpResponse",
     "RequestFailedError",
+    "ResponseStream",
     "StreamedResponse",
 ]
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -1,10 +1,11 @@
-"""An HTTP client that keeps its own list of connections for each origin.
-
-One request is on a connection at a time. A connection on which anything went
-wrong, timed out or was cancelled is closed and never used again, so that no
-late answer can reach another request. Such a failure also puts the origin's
-idle connections in doubt: something between the ends may have lost track of
-all that were open, so only those that proved themselves since are kept.
+"""An HTTP client with a pool of idle connections for each address.
+
+A connection carries one request at a time. After an error, a timeout or a
+cancellation, a connection is closed and never reused, so that a late response
+can't be taken for the response to another request. An error or a timeout also
+makes the other idle connections to the address suspect: an intermediate device
+may have lost the state of all connections that were open. Only connections
+that completed a response after the failed request started are kept.
 """
 
 import contextlib
@@ -34,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class HttpResponse:
-    """A whole answer."""
+    """A complete response, its body included."""
 
     status: int
     headers: tuple[Header, ...]
@@ -42,31 +43,31 @@
 
 
 class StreamedResponse:
-    """The head of an answer, and its content in chunks.
+    """A response whose body is read in chunks.
 
     Attributes:
         status: HTTP status.
-        headers: Names in lower case.
+        headers: Header fields, with names in lower case.
     """
 
-    def __init__(self, *, client, conn, address, answer, timing):
-        self.status: int = answer.status
-        self.headers: tuple[Header, ...] = _lower(answer.headers)
+    def __init__(self, *, client, conn, address, response, timing):
+        self.status: int = response.status
+        self.headers: tuple[Header, ...] = _lower_names(response.headers)
         self._client = client
         self._conn = conn
         self._address = address
-        self._answer = answer
+        self._response = response
         self._timing = timing
         self._has_failed = False
         self._is_closed = False
 
     async def chunks(self) -> AsyncIterator[bytes]:
-        """Yields the content; returns only if it is whole.
+        """Yields the body; returns only after a complete body.
 
         Raises:
-            RequestFailedError: The content broke off, or time ran out.
+            RequestFailedError: The body was truncated or timed out.
         """
-        parts = aiter(self._answer.stream)
+        parts = aiter(self._response.stream)
         while True:
             chunk = None
             try:
@@ -80,17 +81,17 @@
                 self._has_failed = True
                 raise
             if chunk is None:
-                # Ends the exchange; the connection is idle from here on.
-                self._conn.end()
-                await self._answer.aclose()
+                # After `aclose`, the connection of httpcore is idle.
+                self._conn.end_exchange()
+                await self._response.aclose()
                 return
             yield chunk
 
     async def aclose(self) -> None:
-        """Keeps the connection if all was read, else closes it.
+        """Releases the connection after a complete body, else closes it.
 
-        A reader that leaves early says nothing about other connections.
-        Closing it once more does nothing.
+        A reader that stops early doesn't make other connections suspect.
+        Further calls do nothing.
         """
         if self._is_closed:
             return
@@ -98,12 +99,12 @@
         if not self._has_failed and not self._conn.http.is_idle():
             await self._conn.aclose()
             return
-        await self._client.finish(
+        await self._client.release(
             self._address, self._conn, self._timing.started_s
         )
 
     async def drain(self) -> None:
-        """Reads content that nobody wants, so that the connection is kept."""
+        """Reads and discards the body, so that the connection is reused."""
         with contextlib.suppress(RequestFailedError):
             async for _ in self.chunks():
                 pass
@@ -111,46 +112,54 @@
 
 
 class ResponseStream(AsyncIterator[bytes]):
-    """Content passed through; `aclose` ends it even before the first chunk.
+    """Iterates over the body of a response.
+
+    Unlike `aclose` of a generator, `aclose` of this class also closes the
+    response if it is called before the first chunk.
 
     Args:
-        answer: The answer whose content it is.
+        response: The response to read.
     """
 
-    def __init__(self, answer: StreamedResponse):
-        self._answer = answer
-        self._chunks = answer.chunks()
+    def __init__(self, response: StreamedResponse):
+        self._response = response
+        self._chunks = response.chunks()
 
     async def __anext__(self) -> bytes:
         return await anext(self._chunks)
 
     async def aclose(self) -> None:
-        """Ends the exchange."""
+        """Closes the response."""
         await self._chunks.aclose()
-        await self._answer.aclose()
+        await self._response.aclose()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Timing:
-    """When an exchange started and must end, on anyio's clock."""
+    """Start and deadline of an exchange.
+
+    Attributes:
+        started_s: Monotonic time of the start.
+        deadline_s: Deadline on anyio's clock.
+    """
 
     started_s: float
     deadline_s: float
 
 
 class HttpClient:
-    """Sends requests over kept connections, last used first out.
+    """Sends requests over pooled connections, the last used first.
 
     Args:
-        connect_timeout_s: Longest wait for a connection.
-        idle_s: Connections idle for longer are closed instead of used.
+        connect_timeout_s: Maximum time to open a connection.
+        idle_s: Idle time after which a connection is closed, not reused.
     """
 
     def __init__(self, *, connect_timeout_s: float, idle_s: float):
         self._connect_timeout_s = connect_timeout_s
         self._idle_s = idle_s
         self._idle: dict[Address, list[Connection]] = {}
-        self._doomed: list[Connection] = []
+        self._dropped: list[Connection] = []
         self._sweep_at_s = 0.0
 
     async def request(
@@ -165,42 +174,45 @@
         max_body_bytes: int = 1 << 23,
         fresh: bool = False,
     ) -> HttpResponse:
-        """Sends one request and reads the whole answer.
+        """Sends a request and returns the complete response.
 
         Args:
             method: HTTP method.
-            address: Where to send it.
-            target: Path and query, as sent.
-            headers: Headers besides the host and the length.
-            body: The content.
-            timeout_s: Longest time for everything.
-            max_body_bytes: Largest content of the answer.
-            fresh: Whether to open a new connection in any case.
+            address: Address of the server.
+            target: Path and query, sent unchanged.
+            headers: Headers to send; `Content-Length` is added where the
+                request needs it, and `Host` if it is missing.
+            body: Body of the request.
+            timeout_s: Timeout of the whole exchange, connecting included.
+            max_body_bytes: Maximum size of the response's body.
+            fresh: Whether to open a new connection instead of reusing one.
 
         Raises:
-            RequestFailedError: No whole answer came.
+            RequestFailedError: No complete response was received.
         """
         started_s = time.monotonic()
         deadline_s = anyio.current_time() + timeout_s
-        conn = await self._take(address, fresh, deadline_s)
-        conn.begin()
+        conn = await self._acquire(address, fresh, deadline_s)
+        conn.begin_exchange()
         try:
             with mapped_errors(address, lambda: conn.ran, deadline_s):
-                answer = await _exchange_heads(
+                response = await _exchange_heads(
                     conn, method, address, target, headers, body
                 )
-                content = await _read_all(conn, answer, max_body_bytes)
+                content = await _read_body(conn, response, max_body_bytes)
         except RequestFailedError:
             await self._discard(address, conn, started_s)
             raise
         except BaseException:
-            # Whoever cancelled it says nothing about other connections.
+            # A cancellation doesn't make other connections suspect.
             await conn.aclose()
             raise
-        conn.note_headers(answer.headers)
-        await self.finish(address, conn, started_s)
+        conn.update_keep_alive(response.headers)
+        await self.release(address, conn, started_s)
         return HttpResponse(
-            status=answer.status, headers=_lower(answer.headers), body=content
+            status=response.status,
+            headers=_lower_names(response.headers),
+            body=content,
         )
 
     async def open(
@@ -214,22 +226,22 @@
         timeout_s: float,
         fresh: bool = False,
     ) -> "StreamedResponse":
-        """Sends one request and returns the answer's head.
+        """Sends a request and returns once the response's head is received.
 
-        The caller reads `chunks()` and calls `aclose()` in any case.
-        `timeout_s` bounds the whole exchange.
+        The caller reads `chunks()` and must call `aclose()`. The timeout
+        covers the whole exchange; see `request` for the arguments.
 
         Raises:
-            RequestFailedError: No head came.
+            RequestFailedError: No response head was received.
         """
         started_s = time.monotonic()
         deadline_s = anyio.current_time() + timeout_s
         timing = _Timing(started_s, deadline_s)
-        conn = await self._take(address, fresh, deadline_s)
-        conn.begin()
+        conn = await self._acquire(address, fresh, deadline_s)
+        conn.begin_exchange()
         try:
             with mapped_errors(address, lambda: conn.ran, deadline_s):
-                answer = await _exchange_heads(
+                response = await _exchange_heads(
                     conn, method, address, target, headers, body
                 )
         except RequestFailedError:
@@ -238,19 +250,25 @@
         except BaseException:
             await conn.aclose()
             raise
-        conn.note_headers(answer.headers)
+        conn.update_keep_alive(response.headers)
         return StreamedResponse(
             client=self,
             conn=conn,
             address=address,
-            answer=answer,
+            response=response,
             timing=timing,
         )
 
-    async def finish(
+    async def release(
         self, address: Address, conn: Connection, started_s: float
     ) -> None:
-        """Keeps a connection after a whole answer, else closes it."""
+        """Returns a connection to the pool, or closes it.
+
+        Args:
+            address: Address of the server.
+            conn: The connection.
+            started_s: Monotonic time at which its request started.
+        """
         if not conn.http.is_idle():
             await self._discard(address, conn, started_s)
             return
@@ -265,56 +283,62 @@
         """Closes every idle connection."""
         for address in list(self._idle):
             self.drop_idle_connections(address)
-        await self._close_doomed()
+        await self._close_dropped()
 
     def has_idle(self, address: Address) -> bool:
-        """Whether a kept connection to an address is idle."""
+        """Whether the pool has a connection to an address."""
         conns = self._idle.get(address)
         return bool(conns) and self._is_recent(conns[-1], time.monotonic())
 
     def drop_idle_connections(self, address: Address) -> None:
-        """Drops the idle connections of an address; they are in doubt."""
-        self._doomed += self._idle.pop(address, [])
+        """Removes the connections to a suspect address from the pool.
+
+        They are closed later, as this method can't await.
+        """
+        self._dropped += self._idle.pop(address, [])
 
     async def _discard(
         self, address: Address, conn: Connection, started_s: float
     ) -> None:
-        """Closes a connection, and those idle since before its request."""
+        """Closes a failed connection and those idle since before its request.
+
+        Connections that completed a response since then are kept.
+        """
         kept = []
         for other in self._idle.pop(address, []):
             is_proven = other.idle_since_s >= started_s
-            (kept if is_proven else self._doomed).append(other)
+            (kept if is_proven else self._dropped).append(other)
         if kept:
             self._idle[address] = kept
         await conn.aclose()
-        await self._close_doomed()
+        await self._close_dropped()
 
-    async def _close_doomed(self) -> None:
-        while self._doomed:
-            await self._doomed.pop().aclose()
+    async def _close_dropped(self) -> None:
+        while self._dropped:
+            await self._dropped.pop().aclose()
 
     async def _sweep(self, now_s: float) -> None:
-        """Closes connections that have been idle for too long."""
+        """Closes expired connections, at most once per idle timeout."""
         if now_s < self._sweep_at_s:
             return
         self._sweep_at_s = now_s + self._idle_s
         for address, conns in list(self._idle.items()):
             recent = [c for c in conns if self._is_recent(c, now_s)]
-            self._doomed += [c for c in conns if c not in recent]
+            self._dropped += [c for c in conns if c not in recent]
             if recent:
                 self._idle[address] = recent
             else:
                 del self._idle[address]
-        await self._close_doomed()
+        await self._close_dropped()
 
     def _is_recent(self, conn: Connection, now_s: float) -> bool:
-        idle_s = min(self._idle_s, conn.keep_s)
+        idle_s = min(self._idle_s, conn.keep_alive_s)
         return conn.idle_since_s >= now_s - idle_s
 
-    async def _take(
+    async def _acquire(
         self, address: Address, fresh: bool, deadline_s: float
     ) -> Connection:
-        # Other tasks may replace the list while this one closes.
+        # Read anew each time: other tasks may replace the list during a close.
         while not fresh and (conns := self._idle.get(address)):
             conn = conns.pop()
             is_recent = self._is_recent(conn, time.monotonic())
@@ -333,46 +357,46 @@
     headers: tuple[Header, ...],
     body: bytes,
 ) -> httpcore.Response:
-    """Sends a request; returns the answer once its head has come."""
-    req = _request(method, address, target, headers, body)
-    answer = await conn.http.handle_async_request(req)
-    conn.head_came = True
-    _check_echo(answer, headers)
-    _check_framing(answer, method)
-    return answer
+    """Sends a request; returns once the response's head is received."""
+    req = _build_request(method, address, target, headers, body)
+    response = await conn.http.handle_async_request(req)
+    conn.has_response_head = True
+    _check_request_id(response, headers)
+    _check_framing(response, method)
+    return response
 
 
-async def _read_all(
-    conn: Connection, answer: httpcore.Response, limit: int
+async def _read_body(
+    conn: Connection, response: httpcore.Response, max_bytes: int
 ) -> bytes:
-    """Reads the content to its end."""
+    """Returns the complete body of a response."""
     chunks = []
     size = 0
-    async for chunk in answer.stream:
+    async for chunk in response.stream:
         size += len(chunk)
-        if size > limit:
+        if size > max_bytes:
             raise RequestFailedError(
-                f"the answer exceeds {limit} bytes", ran=Ran.RAN
+                f"the response exceeds {max_bytes} bytes", ran=Ran.RAN
             )
         chunks.append(chunk)
-    # Ends the exchange; the connection is idle from here on.
-    conn.end()
-    await answer.aclose()
+    # After `aclose`, the connection of httpcore is idle.
+    conn.end_exchange()
+    await response.aclose()
     return b"".join(chunks)
 
 
-def _request(
+def _build_request(
     method: str,
     address: Address,
     target: str,
     headers: tuple[Header, ...],
     body: bytes,
 ) -> httpcore.Request:
-    own = []
+    added = []
     if all(name != b"host" for name, _ in headers):
-        own.append((b"host", str(address).encode()))
+        added.append((b"host", str(address).encode()))
     if body or method not in _NO_BODY_METHODS:
-        own.append((b"content-length", str(len(body)).encode()))
+        added.append((b"content-length", str(len(body)).encode()))
     return httpcore.Request(
         method,
         httpcore.URL(
@@ -381,32 +405,34 @@
             port=address.port,
             target=target.encode(),
         ),
-        headers=[*own, *headers],
+        headers=[*added, *headers],
         content=body,
     )
 
 
-def _check_echo(answer: httpcore.Response, sent: tuple[Header, ...]) -> None:
-    """Refuses an answer that names another request than the one sent."""
-    own = [value for name, value in sent if name == _REQUEST_ID_HEADER]
-    if not own:
+def _check_request_id(
+    response: httpcore.Response, sent: tuple[Header, ...]
+) -> None:
+    """Rejects a response that echoes the id of another request."""
+    sent_ids = [value for name, value in sent if name == _REQUEST_ID_HEADER]
+    if not sent_ids:
         return
-    for name, value in answer.headers:
-        if name.lower() == _REQUEST_ID_HEADER and value != own[0]:
+    for name, value in response.headers:
+        if name.lower() == _REQUEST_ID_HEADER and value != sent_ids[0]:
             raise RequestFailedError(
-                "the answer belongs to another request", ran=Ran.UNKNOWN
+                "the response belongs to another request", ran=Ran.UNKNOWN
             )
 
 
-def _check_framing(answer: httpcore.Response, method: str) -> None:
-    """Refuses answers whose end could not be told from a cut."""
-    if method == "HEAD" or answer.status in _NO_BODY_STATUSES:
+def _check_framing(response: httpcore.Response, method: str) -> None:
+    """Rejects a response whose end can't be told from a lost connection."""
+    if method == "HEAD" or response.status in _NO_BODY_STATUSES:
         return
-    names = {name.lower() for name, _ in answer.headers}
+    names = {name.lower() for name, _ in response.headers}
     if b"content-length" in names or b"transfer-encoding" in names:
         return
-    raise RequestFailedError("the answer has no length", ran=Ran.RAN)
+    raise RequestFailedError("the response has no length", ran=Ran.RAN)
 
 
-def _lower(headers) -> tuple[Header, ...]:
+def _lower_names(headers) -> tuple[Header, ...]:
     return tuple((name.lower(), value) for name, value in headers)
--- a/daisyhub/connections/_connection.py
+++ b/daisyhub/connections/_connection.py
@@ -1,4 +1,4 @@
-"""One HTTP connection, and how far the request on it got."""
+"""An HTTP connection that tracks the progress of its current request."""
 
 import contextlib
 import re
@@ -16,22 +16,22 @@
 __all__ = ["Connection", "RequestFailedError", "connect", "mapped_errors"]
 
 _CLOSE_TIMEOUT_S = 0.5
-# Seconds before the time that the peer states at which an idle connection is
-# no longer used; covers the way of the request there.
-_KEEP_MARGIN_S = 0.5
-# Closing resets the connection and drops what wasn't sent.
+# An idle connection is not reused during the last part of the keep-alive time
+# that the peer stated; covers the time until the request reaches the peer.
+_KEEP_ALIVE_MARGIN_S = 0.5
+# `SO_LINGER` value: closing resets the connection and drops unsent data.
 _NO_LINGER = struct.pack("ii", 1, 0)
 _BACKEND = AnyIOBackend()
 _KEEP_ALIVE = re.compile(rb"timeout=(\d{1,6})")
 
 
 class RequestFailedError(DaisyhubError):
-    """No whole answer came.
+    """No complete response was received.
 
     Attributes:
-        ran: NOT_RUN only if no byte of the request left; else UNKNOWN, or
-            RAN if the head of an answer came.
-        timed_out: Whether a time-out ended the request.
+        ran: NOT_RUN only if no byte of the request was sent, RAN if the head
+            of its response was received, otherwise UNKNOWN.
+        timed_out: Whether the request timed out.
     """
 
     code = "request_failed"
@@ -42,114 +42,119 @@
         self.timed_out = timed_out
 
 
-class _Wire(AsyncNetworkStream):
-    """A network stream that notes when the first byte leaves.
+class _TrackedStream(AsyncNetworkStream):
+    """A network stream that records whether a request was sent.
 
     Attributes:
-        has_sent: Whether a byte of the present request has left.
-        in_exchange: Whether an answer is awaited or still being read.
+        has_sent: Whether sending the current request has started.
+        is_in_exchange: Whether the response is awaited or being read.
+        inner: The underlying stream.
     """
 
     def __init__(self, stream: AsyncNetworkStream):
         self.has_sent = False
-        self.in_exchange = False
-        self.stream = stream
+        self.is_in_exchange = False
+        self.inner = stream
         self.read = stream.read
         self.get_extra_info = stream.get_extra_info
 
     async def aclose(self) -> None:
-        """Closes the connection; resets it within an exchange.
+        """Closes the connection; resets it during an exchange.
 
-        A mere close leaves the kernel sending a request that was given up,
-        for as long as the network between is cut.
+        After a plain close, the kernel would retransmit an abandoned request
+        during a network partition and deliver it once the partition ends.
         """
-        if self.in_exchange:
+        if self.is_in_exchange:
             self._reset()
-        await self.stream.aclose()
+        await self.inner.aclose()
 
     def _reset(self) -> None:
         sock = self.get_extra_info("socket")
         with contextlib.suppress(OSError):
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _NO_LINGER)
-        # anyio's own close ends the sending side in order first.
-        transport = getattr(self.stream._stream, "_transport", None)
+        # anyio's `aclose` would first shut down the sending side gracefully.
+        transport = getattr(self.inner._stream, "_transport", None)
         if transport is not None:
             transport.abort()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
         self.has_sent = True
-        await self.stream.write(buffer, timeout)
+        await self.inner.write(buffer, timeout)
 
 
 class Connection:
-    """An open connection; carries one request at a time.
+    """An open connection that carries one request at a time.
 
     Attributes:
-        http: The protocol on it.
-        idle_since_s: Monotonic time at which it last ended a whole answer.
-        head_came: Whether the present request's answer has begun.
-        keep_s: How long the peer keeps it open while idle, less a margin.
+        http: The HTTP/1.1 connection of httpcore.
+        idle_since_s: Monotonic time at which the last response was completed.
+        has_response_head: Whether the head of the current request's response
+            was received.
+        keep_alive_s: Seconds for which an idle connection may be reused:
+            those that the peer stated, less a margin.
     """
 
     def __init__(self, address: Address, stream: AsyncNetworkStream):
         origin = httpcore.Origin(b"http", address.ip.encode(), address.port)
-        self._wire = _Wire(stream)
-        self.http = httpcore.AsyncHTTP11Connection(origin, stream=self._wire)
+        self._stream = _TrackedStream(stream)
+        self.http = httpcore.AsyncHTTP11Connection(origin, stream=self._stream)
         self.idle_since_s = 0.0
-        self.head_came = False
-        self.keep_s = float("inf")
+        self.has_response_head = False
+        self.keep_alive_s = float("inf")
         self._poll: select.poll | None = None
 
-    def begin(self) -> None:
-        """Notes that a new request starts."""
-        self._wire.has_sent = False
-        self._wire.in_exchange = True
-        self.head_came = False
+    def begin_exchange(self) -> None:
+        """Resets the state for a new request."""
+        self._stream.has_sent = False
+        self._stream.is_in_exchange = True
+        self.has_response_head = False
 
-    def end(self) -> None:
-        """Notes that the present request's answer was read whole."""
-        self._wire.in_exchange = False
+    def end_exchange(self) -> None:
+        """Records that the response was read to its end."""
+        self._stream.is_in_exchange = False
 
-    def note_headers(self, headers) -> None:
-        """Takes the idle time that an answer's `Keep-Alive` states."""
+    def update_keep_alive(self, headers) -> None:
+        """Applies the timeout of a response's `Keep-Alive` header."""
         for name, value in headers:
             if name.lower() != b"keep-alive":
                 continue
             stated = _KEEP_ALIVE.search(value)
             if stated is not None:
-                self.keep_s = max(0.0, int(stated[1]) - _KEEP_MARGIN_S)
+                self.keep_alive_s = max(
+                    0.0, int(stated[1]) - _KEEP_ALIVE_MARGIN_S
+                )
 
     @property
     def ran(self) -> Ran:
-        """What can be said of the present request if it fails now."""
-        if self.head_came:
+        """Whether the current request was executed, if it fails now."""
+        if self.has_response_head:
             return Ran.RAN
-        return Ran.UNKNOWN if self._wire.has_sent else Ran.NOT_RUN
+        return Ran.UNKNOWN if self._stream.has_sent else Ran.NOT_RUN
 
     def is_reusable(self) -> bool:
-        """Whether the last answer was whole and nothing was read after it.
+        """Whether the last response was complete and no bytes followed it.
 
-        Bytes after an answer would be taken for the next request's answer.
-        httpcore doesn't look at those that it has read already, so this
-        looks into h11's buffer and anyio's queue.
+        Excess bytes would be parsed as the response to the next request.
+        httpcore doesn't check for bytes that were read already, so this
+        checks h11's buffer and anyio's read queue.
         """
         if not self.http.is_idle():
             return False
         if self.http._h11_state.trailing_data[0]:
             return False
-        protocol = getattr(self._wire.stream._stream, "_protocol", None)
+        protocol = getattr(self._stream.inner._stream, "_protocol", None)
         return not getattr(protocol, "read_queue", None)
 
     def is_readable(self) -> bool:
-        """Whether the kernel has bytes or the peer's end of the connection."""
+        """Whether received bytes or the peer's close wait in the kernel."""
         if self._poll is None:
             self._poll = select.poll()
-            sock = self._wire.get_extra_info("socket")
+            sock = self._stream.get_extra_info("socket")
             self._poll.register(sock, select.POLLIN)
         return bool(self._poll.poll(0))
 
     async def aclose(self) -> None:
-        """Closes it, whatever goes on."""
+        """Closes the connection; ignores errors and cancellation."""
         with anyio.move_on_after(_CLOSE_TIMEOUT_S, shield=True):
             with contextlib.suppress(Exception):
                 await self.http.aclose()
@@ -159,8 +164,8 @@
     """Opens a connection.
 
     Raises:
-        httpcore.ConnectError: It was refused.
-        httpcore.ConnectTimeout: It took too long.
+        httpcore.ConnectError: The connection failed.
+        httpcore.ConnectTimeout: Connecting timed out.
     """
     stream = await _BACKEND.connect_tcp(address.ip, address.port, timeout_s)
     return Connection(address, stream)
@@ -168,15 +173,15 @@
 
 @contextlib.contextmanager
 def mapped_errors(address: Address, get_ran, deadline_s: float):
-    """Ends the block at the deadline; turns every fault into one error.
+    """Cancels the block at the deadline; maps network errors to one error.
 
     Args:
-        address: The peer, for the error's text.
-        get_ran: Returns what can be said of the request if it fails now.
-        deadline_s: When to end, on anyio's clock.
+        address: Address of the peer, for the error message.
+        get_ran: Returns whether the request was executed, if it fails now.
+        deadline_s: Deadline on anyio's clock.
 
     Raises:
-        RequestFailedError: The block failed or took too long.
+        RequestFailedError: The block failed or timed out.
     """
     try:
         with anyio.CancelScope(deadline=deadline_s) as scope:
@@ -193,7 +198,7 @@
         ) from exc
     if scope.cancelled_caught:
         raise RequestFailedError(
-            f"{address} gave no whole answer in time",
+            f"{address} did not respond completely in time",
             ran=get_ran(),
             timed_out=True,
         )
--- a/daisyhub/connections/tests/test_whole_answers.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -1,7 +1,7 @@
-"""Every request gets the whole answer to itself, or an error.
+"""Every request gets its own complete response, or an error.
 
-Seeded fuzz of interleavings over real sockets: many tasks share a client,
-the server misbehaves, and requests are cancelled at any moment.
+A seeded fuzz test over real sockets: many tasks share a client, the server
+misbehaves, and requests are cancelled at arbitrary times.
 """
 
 import contextlib
@@ -27,19 +27,19 @@
 TASKS = 12
 REQUESTS = int(os.environ.get("DAISYHUB_EXAMPLES", "60")) * 10
 SEED = int(os.environ.get("DAISYHUB_SEED", "1"))
-# Most requests are answered well, so that connections are kept and shared.
+# Most responses are valid, so that connections are reused and shared.
 MIX = (*BEHAVIOURS, *GOOD * 4)
 
 
 class Fuzz:
-    """One client with many tasks before one server."""
+    """Runs many tasks that send requests to one server through one client."""
 
     def __init__(self, seed):
         self.random = random.Random(seed)
         self.server = HostileServer()
         self.client = HttpClient(connect_timeout_s=2.0, idle_s=0.2)
-        self.wrong, self.whole, self.failed = [], 0, 0
-        self.left, self.fresh = REQUESTS, set()
+        self.wrong, self.completed_count, self.failed_count = [], 0, 0
+        self.remaining_count, self.fresh_ids = REQUESTS, set()
 
     async def run(self):
         port = await self.server.start()
@@ -53,9 +53,9 @@
             await self.server.stop()
 
     async def send_all(self, number):
-        while self.left > 0:
-            self.left -= 1
-            request_id = f"t{number}r{self.left}"
+        while self.remaining_count > 0:
+            self.remaining_count -= 1
+            request_id = f"t{number}r{self.remaining_count}"
             behaviour = self.random.choice(MIX)
             cancel_s = self.random.choice([9, 9, 9, 0.0005, 0.002])
             with anyio.move_on_after(cancel_s):
@@ -65,9 +65,9 @@
         method = self.random.choice(["GET", "GET", "POST", "HEAD"])
         is_fresh = self.random.random() < 0.1
         if is_fresh:
-            self.fresh.add(request_id)
+            self.fresh_ids.add(request_id)
         try:
-            answer = await self.client.request(
+            response = await self.client.request(
                 method,
                 self.address,
                 f"/{request_id}/{behaviour}",
@@ -76,13 +76,13 @@
                 fresh=is_fresh,
             )
         except RequestFailedError:
-            self.failed += 1
+            self.failed_count += 1
             return
-        self.whole += 1
-        is_empty = method == "HEAD" or answer.status in (204, 304)
+        self.completed_count += 1
+        is_empty = method == "HEAD" or response.status in (204, 304)
         expected = b"" if is_empty else body_of(request_id)
-        if answer.body != expected:
-            self.wrong.append((request_id, behaviour, answer.body[:20]))
+        if response.body != expected:
+            self.wrong.append((request_id, behaviour, response.body[:20]))
 
 
 async def run_fuzz(seed):
@@ -91,24 +91,28 @@
     return fuzz
 
 
-class WholeAnswers(unittest.IsolatedAsyncioTestCase):
-    def test_each_request_gets_its_own_whole_answer(self):
+class CompleteResponsesTest(unittest.IsolatedAsyncioTestCase):
+    def test_each_request_gets_its_own_complete_response(self):
         fuzz = anyio.run(run_fuzz, SEED)
         self.assertEqual(fuzz.wrong, [])
         self.assertEqual(fuzz.server.faults, [])
-        self.assertFalse(fuzz.fresh & fuzz.server.reused)
-        self.assertGreater(fuzz.whole, REQUESTS / 4)
-        self.assertGreater(fuzz.failed, REQUESTS / 20)
+        self.assertFalse(fuzz.fresh_ids & fuzz.server.reused)
+        self.assertGreater(fuzz.completed_count, REQUESTS / 4)
+        self.assertGreater(fuzz.failed_count, REQUESTS / 20)
         self.assertGreater(len(fuzz.server.reused), REQUESTS / 10)
 
-    def test_the_fuzz_catches_clients_that_trust_a_connection(self):
+    def test_the_fuzz_detects_a_client_that_checks_no_connection(self):
+        """Without the client's checks, the fuzz must find faults."""
+
         def is_idle(conn):
             return conn.http.is_idle()
 
         with (
             mock.patch.object(Connection, "is_reusable", is_idle),
             mock.patch.object(Connection, "is_readable", lambda _: False),
-            mock.patch.object(client_module, "_check_echo", lambda *_: None),
+            mock.patch.object(
+                client_module, "_check_request_id", lambda *_: None
+            ),
         ):
             fuzz = anyio.run(run_fuzz, SEED)
         self.assertTrue(fuzz.wrong or fuzz.server.faults)
@@ -126,7 +130,7 @@
             "GET", self.address, target, timeout_s=timeout_s, **more
         )
 
-    async def test_one_time_out_frees_it_of_all_silent_connections(self):
+    async def test_one_timeout_drops_all_silent_connections(self):
         async with anyio.create_task_group() as tasks:
             for number in range(5):
                 tasks.start_soon(self.get, f"/r{number}/late")
@@ -135,31 +139,31 @@
         with self.assertRaises(RequestFailedError) as caught:
             await self.get("/silent/ok", timeout_s=0.1)
         self.assertEqual(caught.exception.ran, Ran.UNKNOWN)
-        answer = await self.get("/again/ok")
-        self.assertEqual(answer.body, body_of("again"))
+        response = await self.get("/again/ok")
+        self.assertEqual(response.body, body_of("again"))
         self.assertEqual(self.server.connections, 6)
 
-    async def test_what_may_run_once_takes_a_new_connection(self):
+    async def test_fresh_requests_open_new_connections(self):
         for number in range(3):
             await self.get(f"/r{number}/ok", fresh=True)
         self.assertEqual(self.server.connections, 3)
         self.assertFalse(self.server.reused)
 
-    async def test_a_refused_connection_says_not_run(self):
+    async def test_a_refused_connection_is_reported_as_not_run(self):
         await self.server.stop()
         with self.assertRaises(RequestFailedError) as caught:
             await self.get("/r/ok")
         self.assertEqual(caught.exception.ran, Ran.NOT_RUN)
 
-    async def test_a_stream_that_breaks_off_is_no_whole_answer(self):
+    async def test_a_truncated_stream_raises(self):
         for behaviour in ("cut", "cut_chunked"):
-            answer = await self.client.open(
+            response = await self.client.open(
                 "GET", self.address, f"/r/{behaviour}", timeout_s=5.0
             )
             with self.assertRaises(RequestFailedError):
-                async for _ in answer.chunks():
+                async for _ in response.chunks():
                     pass
-            await answer.aclose()
+            await response.aclose()
             with contextlib.suppress(RequestFailedError):
                 await self.get("/r2/ok")
             self.assertFalse(self.server.faults)
