--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -83,7 +83,7 @@
     """How endpoints are spoken to."""
 
     @abc.abstractmethod
-    def request_headers(self, sent: EndpointRequest) -> tuple[Header, ...]:
+    def request_headers(self, req: EndpointRequest) -> tuple[Header, ...]:
         """Returns the headers of a request, the host included."""
 
     @abc.abstractmethod
