--- a/daisyhub/gateway/__init__.py
+++ b/daisyhub/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request on the users' platform."""
+"""Request flow from callers to endpoints on the users' platform."""
 
 from daisyhub.gateway._app import GatewayApp
 from daisyhub.gateway._body_filter import BodyFilter
--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -1,4 +1,4 @@
-"""The ASGI app for callers: one request in, one final answer out."""
+"""The ASGI application for callers: one final response per request."""
 
 import time
 from collections.abc import Awaitable, Callable
@@ -21,16 +21,20 @@
 
 
 class GatewayApp:
-    """Turns ASGI calls into requests for the filter chain.
+    """Converts ASGI calls into requests for the filter chain.
 
-    A caller that leaves cancels its request. An answer is sent once it is
-    final; refusals say when to come back.
+    A request is cancelled when its caller disconnects. Only final responses
+    are sent; refusals have `Retry-After` where a retry makes sense.
 
     Args:
         handler: The filter chain.
-        wire: How callers speak.
-        metrics: Counts answers.
-        log: Where refusals are noted.
+        wire: Wire format of callers.
+        metrics: Counts responses and refusals, and measures latency.
+        log: Receives refusals, internal errors and disconnects.
+
+    Attributes:
+        is_draining: Whether responses ask callers to close their connection.
+        open_requests: Number of requests in progress.
     """
 
     def __init__(
@@ -59,45 +63,50 @@
 
     async def _serve(self, scope: dict, receive: Receive, send: Send) -> None:
         started_s = time.monotonic()
-        inbox = _Inbox(receive)
+        receiver = _RequestReceiver(receive)
         try:
-            req = self._wire.read_request(scope, inbox.read_body, started_s)
+            req = self._wire.read_request(scope, receiver.read_body, started_s)
         except Refusal as exc:
-            await self._send(self._refused(exc, None), send)
+            await self._send(self._refuse(exc, None), send)
             return
-        resp = await self._handle(req, inbox)
+        resp = await self._handle(req, receiver)
         if resp is None:
             self._metrics.count("callers_left")
             self._log.note("caller_left", id=req.request_id)
             return
         if resp.stream is not None:
-            await self._send_stream(resp, inbox, send)
+            await self._send_stream(resp, receiver, send)
         else:
             await self._send(resp, send)
         self._metrics.count("answers", status=str(resp.status))
         self._metrics.observe_s("latency", time.monotonic() - started_s)
 
-    async def _handle(self, req: Request, inbox: "_Inbox") -> Response | None:
-        """Runs the chain; returns None if the caller left before its end."""
+    async def _handle(
+        self, req: Request, receiver: "_RequestReceiver"
+    ) -> Response | None:
+        """Runs the chain; returns None if the caller disconnects meanwhile."""
         resp = None
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(inbox.cancel_when_gone, tasks.cancel_scope)
+            tasks.start_soon(receiver.cancel_on_disconnect, tasks.cancel_scope)
             try:
                 resp = await self._handler(req)
             except Refusal as exc:
-                resp = self._refused(exc, req)
+                resp = self._refuse(exc, req)
             except Exception as exc:
                 self._log.note(
                     "request_fault", id=req.request_id, reason=repr(exc)
                 )
-                fault = Refusal(
-                    ErrorCode.INTERNAL, "an internal fault", ran=Ran.UNKNOWN
+                refusal = Refusal(
+                    ErrorCode.INTERNAL,
+                    "an internal error occurred",
+                    ran=Ran.UNKNOWN,
                 )
-                resp = self._refused(fault, req)
+                resp = self._refuse(refusal, req)
             tasks.cancel_scope.cancel()
         return resp
 
-    def _refused(self, exc: Refusal, req: Request | None) -> Response:
+    def _refuse(self, exc: Refusal, req: Request | None) -> Response:
+        """Counts and logs a refusal; returns its response."""
         request_id = req.request_id if req else ""
         self._metrics.count("refusals", code=exc.code)
         self._log.note(
@@ -120,85 +129,95 @@
             body=problem_body(exc, request_id),
         )
 
-    def _head(self, resp: Response) -> list:
+    def _response_headers(self, resp: Response) -> list:
         headers = list(self._wire.response_headers(resp))
         if self.is_draining:
             headers.append((b"connection", b"close"))
         return headers
 
     async def _send(self, resp: Response, send: Send) -> None:
-        headers = self._head(resp)
+        headers = self._response_headers(resp)
         headers.append((b"content-length", str(len(resp.body)).encode()))
-        await send(_start(resp.status, headers))
+        await send(_start_message(resp.status, headers))
         await send({"type": "http.response.body", "body": resp.body})
 
     async def _send_stream(
-        self, resp: Response, inbox: "_Inbox", send: Send
+        self, resp: Response, receiver: "_RequestReceiver", send: Send
     ) -> None:
-        """Passes chunks on as they come; a cut stream gets no final chunk."""
-        is_whole = False
+        """Sends the chunks of a stream as they arrive.
+
+        An incomplete stream gets no final chunk, so that the caller detects
+        the truncation.
+        """
+        is_complete = False
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(inbox.cancel_when_gone, tasks.cancel_scope)
+            tasks.start_soon(receiver.cancel_on_disconnect, tasks.cancel_scope)
             try:
-                await send(_start(resp.status, self._head(resp)))
+                await send(
+                    _start_message(resp.status, self._response_headers(resp))
+                )
                 async for chunk in resp.stream:
-                    await send(_chunk(chunk, more=True))
-                is_whole = True
+                    await send(_body_message(chunk, has_more=True))
+                is_complete = True
             except RequestFailedError as exc:
                 self._log.note("stream_cut", reason=str(exc))
             finally:
                 with anyio.CancelScope(shield=True):
                     await resp.stream.aclose()
             tasks.cancel_scope.cancel()
-        if not is_whole:
-            raise _StreamCutError
-        await send(_chunk(b"", more=False))
+        if not is_complete:
+            raise _IncompleteStreamError
+        await send(_body_message(b"", has_more=False))
 
 
-class _StreamCutError(Exception):
+class _IncompleteStreamError(Exception):
     """Makes the server close the connection without a final chunk."""
 
 
-class _Inbox:
-    """What the server receives of one request."""
+class _RequestReceiver:
+    """Receives the body of one request, then its caller's disconnect."""
 
     def __init__(self, receive: Receive):
         self._receive = receive
-        self._is_read = anyio.Event()
+        self._body_read = anyio.Event()
 
-    async def read_body(self, limit: int) -> bytes:
-        """Reads the whole body, at most `limit` bytes.
+    async def read_body(self, max_bytes: int) -> bytes:
+        """Returns the complete body.
 
         Raises:
-            Refusal: It is larger, or broke off.
+            Refusal: The body is larger than `max_bytes`, or incomplete.
         """
         chunks = []
         size = 0
         while True:
             message = await self._receive()
             if message["type"] == "http.disconnect":
-                raise Refusal(ErrorCode.BODY_INVALID, "the body broke off")
+                raise Refusal(ErrorCode.BODY_INVALID, "the body is incomplete")
             chunks.append(message.get("body", b""))
             size += len(chunks[-1])
-            if size > limit:
+            if size > max_bytes:
                 raise Refusal(
-                    ErrorCode.BODY_TOO_LARGE, f"the body exceeds {limit} bytes"
+                    ErrorCode.BODY_TOO_LARGE,
+                    f"the body exceeds {max_bytes} bytes",
                 )
             if not message.get("more_body", False):
-                self._is_read.set()
+                self._body_read.set()
                 return b"".join(chunks)
 
-    async def cancel_when_gone(self, scope: anyio.CancelScope) -> None:
-        """Cancels a scope once the caller has closed its connection."""
-        await self._is_read.wait()
+    async def cancel_on_disconnect(self, scope: anyio.CancelScope) -> None:
+        """Cancels the scope when the caller closes its connection.
+
+        Waits until the body is read, as both use the same `receive`.
+        """
+        await self._body_read.wait()
         while (await self._receive())["type"] != "http.disconnect":
             pass
         scope.cancel()
 
 
-def _start(status: int, headers: list) -> dict:
+def _start_message(status: int, headers: list) -> dict:
     return {"type": "http.response.start", "status": status, "headers": headers}
 
 
-def _chunk(data: bytes, *, more: bool) -> dict:
-    return {"type": "http.response.body", "body": data, "more_body": more}
+def _body_message(data: bytes, *, has_more: bool) -> dict:
+    return {"type": "http.response.body", "body": data, "more_body": has_more}
--- a/daisyhub/gateway/_body_filter.py
+++ b/daisyhub/gateway/_body_filter.py
@@ -1,4 +1,4 @@
-"""Reads the body within the manifest's limits."""
+"""Reads the body of a request within the manifest's limits."""
 
 import dataclasses
 
@@ -11,10 +11,10 @@
 
 
 class BodyFilter(Filter):
-    """Bounds headers and body, and reads the body whole.
+    """Limits the size of headers and body, and reads the complete body.
 
     Args:
-        manifests: Holds the manifest in force.
+        manifests: Provides the active manifest.
     """
 
     name = "body"
@@ -23,13 +23,13 @@
         self._manifests = manifests
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Refuses what is larger than the manifest allows."""
+        """Refuses requests that are larger than the manifest allows."""
         limits = self._manifests.manifest.limits
         size = sum(len(name) + len(value) for name, value in req.headers)
         if size > limits.header_bytes:
             raise Refusal(
                 ErrorCode.HEADERS_TOO_LARGE,
-                f"headers of {size} bytes exceed {limits.header_bytes}",
+                f"headers of {size} bytes exceed {limits.header_bytes} bytes",
             )
         body = await req.read_body(limits.body_bytes)
         return await call_next(dataclasses.replace(req, body=body))
--- a/daisyhub/gateway/_key_filter.py
+++ b/daisyhub/gateway/_key_filter.py
@@ -1,4 +1,4 @@
-"""Finds the client account that holds a caller's key."""
+"""Finds the client account of a caller's key."""
 
 import dataclasses
 
@@ -11,10 +11,10 @@
 
 
 class KeyFilter(Filter):
-    """Sets the account; refuses keys that the manifest doesn't hold.
+    """Sets the account of a request; refuses missing and unknown keys.
 
     Args:
-        manifests: Holds the manifest in force.
+        manifests: Provides the active manifest.
     """
 
     name = "key"
@@ -23,7 +23,10 @@
         self._manifests = manifests
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Passes open routes without a key; all else needs one."""
+        """Refuses a request without a valid key.
+
+        Open routes need no key, and neither does a manifest without accounts.
+        """
         manifest = self._manifests.manifest
         is_open = req.route is not None and req.route.is_open
         if is_open or manifest.accounts is None:
@@ -34,6 +37,6 @@
         if account is None:
             raise Refusal(
                 ErrorCode.KEY_UNKNOWN,
-                f"manifest {manifest.version} doesn't hold the key",
+                f"manifest {manifest.version} doesn't contain the key",
             )
         return await call_next(dataclasses.replace(req, account=account.name))
--- a/daisyhub/gateway/_route_filter.py
+++ b/daisyhub/gateway/_route_filter.py
@@ -1,4 +1,4 @@
-"""Finds the route of a request in the manifest in force."""
+"""Finds the route of a request in the active manifest."""
 
 import dataclasses
 
@@ -9,16 +9,16 @@
 
 __all__ = ["FindRouteFilter"]
 
-# Seconds after which a caller may find a manifest here; a starting daemon
-# lists the store within this time.
-_NO_MANIFEST_RETRY_S = 0.3
+# Sent as `Retry-After` while no manifest is loaded; a starting daemon lists the
+# store within this time.
+_NO_MANIFEST_RETRY_AFTER_S = 0.3
 
 
 class FindRouteFilter(Filter):
-    """Sets the route, and bounds the deadline by the route's time-out.
+    """Sets the route and limits the deadline to the route's timeout.
 
     Args:
-        manifests: Holds the manifest in force.
+        manifests: Provides the active manifest.
     """
 
     name = "find_route"
@@ -27,13 +27,16 @@
         self._manifests = manifests
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Refuses what no route serves; calls about lots need no route."""
+        """Refuses requests that match no route.
+
+        Calls about lots need no route.
+        """
         manifest = self._manifests.manifest
         if manifest is None:
             raise Refusal(
                 ErrorCode.NO_CONFIGURATION,
-                "no manifest is known yet",
-                retry_after_s=_NO_MANIFEST_RETRY_S,
+                "no manifest has been loaded yet",
+                retry_after_s=_NO_MANIFEST_RETRY_AFTER_S,
             )
         if req.lot_call is not None:
             return await call_next(req)
--- a/daisyhub/gateway/_send_filter.py
+++ b/daisyhub/gateway/_send_filter.py
@@ -1,4 +1,4 @@
-"""The end of the chain: the request goes to an endpoint."""
+"""The last filter of the chain, which sends the request to an endpoint."""
 
 from daisyhub.base import Filter, Handler
 from daisyhub.billing import UsageMeter
@@ -11,11 +11,11 @@
 
 
 class SendFilter(Filter):
-    """Sends the request and counts what began to run.
+    """Sends requests to endpoints and counts those that may have run.
 
     Args:
-        sender: Sends to endpoints.
-        meter: Counts requests of accounts.
+        sender: Sends requests to endpoints.
+        meter: Counts the requests of each client account.
     """
 
     name = "send"
@@ -25,7 +25,11 @@
         self._meter = meter
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Returns the endpoint's answer."""
+        """Returns the endpoint's response.
+
+        Raises:
+            Refusal: No endpoint returned a response.
+        """
         task = SendTask(
             request_id=req.request_id,
             route=req.route,
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -1,4 +1,4 @@
-"""Sends one request to endpoints as the forward core decides."""
+"""Sends requests to endpoints; the forward core decides on attempts."""
 
 import dataclasses
 import random
@@ -38,45 +38,48 @@
 
 __all__ = ["SendTask", "Sender"]
 
-# The time of an answer that a hedge must leave before the target, in usual
-# latencies: the 99th percentile of a log-normal with spread 0.5 is 3.2 medians.
-_HEDGE_LEAVES = 2.5
-# Usual latencies before which no hedge is sent: about one answer in ten is
-# later, and more hedges would add load where it is already high.
-_HEDGE_LEAST = 1.9
-# Seconds by which an endpoint's deadline is before the caller's: an answer's
-# way back with a margin for a busy daemon.
+# A hedge is sent this many median latencies before the target latency, so that
+# its response can meet the target. For comparison: the 99th percentile of a
+# log-normal distribution with a sigma of 0.5 is 3.2 medians.
+_HEDGE_LEAD_FACTOR = 2.5
+# No hedge is sent before this many median latencies. About one response in ten
+# takes longer; more hedges would add load where it is already high.
+_MIN_HEDGE_DELAY_FACTOR = 1.9
+# The endpoint's deadline is this much before the caller's, for the transfer of
+# the response and a margin for a busy daemon.
 _ENDPOINT_MARGIN_S = 0.03
-# Usual latencies until an endpoint that refused has a free place again.
+# Median latencies until an endpoint that refused has free capacity again.
 _RETRY_AFTER_FACTOR = 2.0
-_LEAST_RETRY_AFTER_S = 0.05
-# Answers from this status on tell nothing of the time that answers take.
-_FIRST_FAULT_STATUS = 500
+_MIN_RETRY_AFTER_S = 0.05
+# Responses with this status or a higher one give no latency sample.
+_MIN_SERVER_ERROR_STATUS = 500
 _DETAILS = {
-    ErrorCode.DEADLINE_EXCEEDED: "the deadline passed before it was sent",
+    ErrorCode.DEADLINE_EXCEEDED: (
+        "the deadline passed before the request was sent"
+    ),
     ErrorCode.NO_ENDPOINT: "no endpoint of the route is known",
-    ErrorCode.OVERLOADED: "no endpoint of the route has a free place",
+    ErrorCode.OVERLOADED: "no endpoint of the route has free capacity",
     ErrorCode.ENDPOINT_FAILED: "the endpoint failed",
-    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not answer in time",
-    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's answer was not whole",
+    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not respond in time",
+    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's response was incomplete",
 }
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class SendTask:
-    """A request that is to reach an endpoint.
+    """A request to send to an endpoint of its route.
 
     Attributes:
         request_id: The caller's id of this attempt.
-        route: Its route.
+        route: Route of the request.
         method: HTTP method.
-        target: Path and query, as sent.
+        target: Path and query, sent unchanged.
         host: Host name that the caller sent.
         headers: The caller's headers.
-        body: The whole body.
-        account: Client account; empty if none is to be named.
-        deadline_s: Monotonic time at which the answer must be there.
-        is_streamed: Whether the answer is passed on as it comes.
+        body: The complete body.
+        account: Client account; empty if it isn't sent.
+        deadline_s: Monotonic time by which the response must be complete.
+        is_streamed: Whether the response is streamed instead of buffered.
     """
 
     request_id: str
@@ -92,39 +95,40 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Way:
-    """The way of one request.
+class _SendState:
+    """State of one request across its attempts.
 
     Attributes:
         task: The request.
-        trace: A line for each ended attempt, for the log.
-        tried: Endpoints that it was sent to.
+        trace: A description of each ended attempt, for the log.
+        tried: Ids of the endpoints that were tried.
     """
 
     task: SendTask
     trace: list[str] = dataclasses.field(default_factory=list)
     tried: set[str] = dataclasses.field(default_factory=set)
 
-    def needs_fresh(self, endpoint_id: str) -> bool:
-        """Whether only a new connection will do; notes the attempt.
+    def record_attempt(self, endpoint_id: str) -> bool:
+        """Records an attempt; returns whether it must use a new connection.
 
-        What may run once must not meet a connection that was closed, and a
-        second attempt must not meet the silence of the first.
+        A request that isn't idempotent can't be repeated if the endpoint has
+        closed an idle connection. A second attempt at an endpoint must not use
+        a connection that may be as unresponsive as the one of the first.
         """
-        is_again = endpoint_id in self.tried
+        is_repeated = endpoint_id in self.tried
         self.tried.add(endpoint_id)
-        return is_again or not self.task.route.idempotent
+        return is_repeated or not self.task.route.idempotent
 
 
 class Sender:
-    """Sends requests and learns from their answers.
+    """Sends requests to endpoints and records the results in the directory.
 
     Args:
-        directory: Endpoints.
-        http: Sends over kept connections.
-        wire: How endpoints are spoken to.
+        directory: Known endpoints, their latencies and loads.
+        http: HTTP client with a connection pool.
+        wire: Wire format of endpoints.
         metrics: Counts attempts.
-        log: Where the way of each request is noted.
+        log: Receives a line about the attempts of each request.
     """
 
     def __init__(
@@ -143,10 +147,11 @@
         self._budget = RetryBudget()
 
     async def send(self, task: SendTask) -> Response:
-        """Returns an endpoint's whole answer, or the head of a stream.
+        """Returns an endpoint's response; its body may still be streamed.
 
         Raises:
-            Refusal: No endpoint gave one; it tells whether the request ran.
+            Refusal: No endpoint returned a response. Its `ran` says whether
+                the request was executed.
         """
         started_s = time.monotonic()
         pools = _choose_pools(task.route)
@@ -162,9 +167,9 @@
             return self._directory.choose(pools, excluded, time.monotonic())
 
         core = ForwardCore(plan, choose, self._budget)
-        way = _Way(task)
+        state = _SendState(task)
         outcome = await run_attempts(
-            core, lambda action: self._attempt(way, action)
+            core, lambda action: self._attempt(state, action)
         )
         is_refused = isinstance(outcome, FailRequest)
         self._log.note(
@@ -175,37 +180,37 @@
             pools=pools,
             usual_s=round(usual_s, 4),
             hedge_after_s=round(plan.hedge_after_s, 3),
-            attempts=way.trace,
+            attempts=state.trace,
             outcome=outcome.error.label if is_refused else "answered",
             took_s=round(time.monotonic() - started_s, 4),
         )
         if is_refused:
-            raise _refusal(outcome, usual_s)
-        return _response(outcome.answer)
+            raise _make_refusal(outcome, usual_s)
+        return _make_response(outcome.answer)
 
     async def _attempt(
-        self, way: "_Way", action: StartAttempt
+        self, state: "_SendState", action: StartAttempt
     ) -> AttemptOutcome:
-        """Sends the request to one endpoint and takes its news."""
+        """Sends the request to one endpoint and records the result."""
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
-            return _failed(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, Ran.NOT_RUN)
         sent_s = time.monotonic()
         endpoint_id = action.endpoint_id
         load = endpoint.load(sent_s)
         token = self._directory.record_sent(
-            endpoint_id, way.task.route.name, sent_s
+            endpoint_id, state.task.route.name, sent_s
         )
         self._metrics.count("attempts", pool=endpoint.entry.pool)
-        verdict = "cancelled"
+        result = "cancelled"
         try:
-            fresh = way.needs_fresh(endpoint_id)
-            answer = await self._exchange(way.task, endpoint.entry, fresh)
-            verdict = f"status {answer.status}"
+            fresh = state.record_attempt(endpoint_id)
+            response = await self._exchange(state.task, endpoint.entry, fresh)
+            result = f"status {response.status}"
         except RequestFailedError as exc:
-            verdict = str(exc)
+            result = str(exc)
             self._directory.record_failed(endpoint_id, token, time.monotonic())
-            return _failed(
+            return _make_failed_outcome(
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
@@ -218,10 +223,10 @@
             raise
         finally:
             took_s = time.monotonic() - sent_s
-            way.trace.append(
-                f"{endpoint_id} load {load}: {verdict} after {took_s:.3f} s"
+            state.trace.append(
+                f"{endpoint_id} load {load}: {result} after {took_s:.3f} s"
             )
-        return await self._judge(action, token, answer)
+        return await self._evaluate_response(action, token, response)
 
     async def _exchange(self, task: SendTask, entry, fresh: bool):
         remaining_s = max(0.0, task.deadline_s - time.monotonic())
@@ -231,7 +236,7 @@
                 host=task.host,
                 endpoint_id=entry.endpoint_id,
                 account=task.account,
-                remaining_s=_endpoint_left_s(remaining_s),
+                remaining_s=_endpoint_timeout_s(remaining_s),
                 headers=task.headers,
             )
         )
@@ -246,39 +251,44 @@
             fresh=fresh,
         )
 
-    async def _judge(
+    async def _evaluate_response(
         self,
         action: StartAttempt,
         token: int,
-        answer: HttpResponse | StreamedResponse,
+        response: HttpResponse | StreamedResponse,
     ) -> AttemptOutcome:
+        """Updates the directory; returns the outcome for the core.
+
+        The attempt failed if the endpoint states that it didn't run the
+        request. Any other response, an error included, is delivered.
+        """
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
-        read = self._wire.read_response_head(answer.status, answer.headers)
-        self._learn(endpoint_id, read, now_s)
-        if not read.is_not_run:
-            if answer.status < _FIRST_FAULT_STATUS:
+        head = self._wire.read_response_head(response.status, response.headers)
+        self._update_load(endpoint_id, head, now_s)
+        if not head.is_not_run:
+            if response.status < _MIN_SERVER_ERROR_STATUS:
                 self._directory.record_answered(endpoint_id, token, now_s)
             else:
                 self._directory.record_closed(endpoint_id, token)
-            return AttemptOutcome(AttemptCompleted(action.attempt), answer)
-        if isinstance(answer, StreamedResponse):
-            await answer.drain()
-        if read.is_misdirected:
+            return AttemptOutcome(AttemptCompleted(action.attempt), response)
+        if isinstance(response, StreamedResponse):
+            await response.drain()
+        if head.is_misdirected:
             self._directory.record_failed(endpoint_id, token, now_s)
         else:
             self._directory.record_closed(endpoint_id, token)
-        return _failed(action, Ran.NOT_RUN)
+        return _make_failed_outcome(action, Ran.NOT_RUN)
 
-    def _learn(
-        self, endpoint_id: str, read: EndpointResponseHead, now_s: float
+    def _update_load(
+        self, endpoint_id: str, head: EndpointResponseHead, now_s: float
     ) -> None:
-        if read.load is not None:
-            self._directory.record_load(endpoint_id, read.load, now_s)
+        if head.load is not None:
+            self._directory.record_load(endpoint_id, head.load, now_s)
 
 
 def _choose_pools(route: Route) -> tuple[str, ...]:
-    """Returns the pool that serves this request, by the shares' weights."""
+    """Returns one pool of the route, chosen at random by weight."""
     if len(route.shares) == 1:
         return (route.shares[0].pool,)
     weights = [share.weight for share in route.shares]
@@ -286,24 +296,28 @@
     return (chosen.pool,)
 
 
-def _hedge_after_s(task: SendTask, usual_s: float) -> float:
-    """Returns when to send a second attempt, so that it meets the target."""
+def _hedge_after_s(task: SendTask, median_s: float) -> float:
+    """Returns the hedging delay in seconds; 0 for no hedging.
+
+    The delay is chosen so that the second attempt can meet the route's target
+    latency. Only idempotent requests whose response is buffered are hedged.
+    """
     if task.is_streamed or not task.route.idempotent:
         return 0.0
-    latest_s = task.route.target_latency_s - _HEDGE_LEAVES * usual_s
-    return max(latest_s, _HEDGE_LEAST * usual_s)
+    latest_s = task.route.target_latency_s - _HEDGE_LEAD_FACTOR * median_s
+    return max(latest_s, _MIN_HEDGE_DELAY_FACTOR * median_s)
 
 
-def _endpoint_left_s(remaining_s: float) -> float:
-    """Returns the time for the endpoint: its own answer must come in time.
+def _endpoint_timeout_s(remaining_s: float) -> float:
+    """Returns the timeout to send to the endpoint, in seconds.
 
-    An endpoint answers at its deadline; if that answer is still read, its
-    connection can be kept.
+    An endpoint that reaches its deadline sends an error response. If that
+    response arrives before the caller's deadline, the connection is reusable.
     """
     return remaining_s - min(_ENDPOINT_MARGIN_S, remaining_s / 4)
 
 
-def _failed(
+def _make_failed_outcome(
     action: StartAttempt,
     ran: Ran,
     *,
@@ -322,27 +336,31 @@
     )
 
 
-def _refusal(action: FailRequest, usual_s: float) -> Refusal:
-    """Says that it did not run where that is certain."""
+def _make_refusal(action: FailRequest, median_s: float) -> Refusal:
+    """Returns the refusal of a request that no endpoint responded to.
+
+    If the request was certainly not run, the refusal invites a retry: it has
+    the code OVERLOADED (or NO_ENDPOINT) and states when to retry.
+    """
     error = action.error
     if action.ran is Ran.NOT_RUN:
-        is_unserved = error is not ErrorCode.NO_ENDPOINT
-        error = ErrorCode.OVERLOADED if is_unserved else error
+        has_endpoint = error is not ErrorCode.NO_ENDPOINT
+        error = ErrorCode.OVERLOADED if has_endpoint else error
     retry_after_s = None
     if action.ran is Ran.NOT_RUN:
-        retry_after_s = max(_LEAST_RETRY_AFTER_S, _RETRY_AFTER_FACTOR * usual_s)
+        retry_after_s = max(_MIN_RETRY_AFTER_S, _RETRY_AFTER_FACTOR * median_s)
     return Refusal(
         error, _DETAILS[error], ran=action.ran, retry_after_s=retry_after_s
     )
 
 
-def _response(answer: HttpResponse | StreamedResponse) -> Response:
-    if isinstance(answer, StreamedResponse):
+def _make_response(response: HttpResponse | StreamedResponse) -> Response:
+    if isinstance(response, StreamedResponse):
         return Response(
-            status=answer.status,
-            headers=answer.headers,
-            stream=ResponseStream(answer),
+            status=response.status,
+            headers=response.headers,
+            stream=ResponseStream(response),
         )
     return Response(
-        status=answer.status, headers=answer.headers, body=answer.body
+        status=response.status, headers=response.headers, body=response.body
     )
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -1,4 +1,4 @@
-"""What callers and endpoints say, apart from how a platform spells it."""
+"""Interfaces for the wire formats of callers and endpoints."""
 
 import abc
 import dataclasses
@@ -15,16 +15,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointRequest:
-    """A request as it goes to an endpoint.
+    """A request to one endpoint, except for method, path and body.
 
     Attributes:
         request_id: The caller's id of this attempt.
         host: Host name that the caller sent.
-        endpoint_id: The endpoint that must serve it.
-        account: Client account of the key; empty if none is to be named.
-        remaining_s: Seconds that the caller still waits.
+        endpoint_id: The endpoint that must serve the request.
+        account: Client account of the key; empty if it isn't sent.
+        remaining_s: Seconds until the endpoint must have responded.
         headers: The caller's headers.
-        resume_after: Number of the last event at hand, to go on behind it.
+        resume_after: Number of the last event received, after which a stream
+            resumes; 0 for a stream from the start.
     """
 
     request_id: str
@@ -38,15 +39,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class EndpointResponseHead:
-    """What an answer's head says besides its status.
+    """What the head of a response states besides its status.
 
     Attributes:
-        is_not_run: Whether the endpoint states that it did not run it.
+        is_not_run: Whether the endpoint states that it didn't run the request.
         is_misdirected: Whether another endpoint has the address now.
-        load: Requests in hand there, running and waiting; None if not told.
-        proof: The endpoint's proof that the answer is its own; may be empty.
-        weight_version: Version of the weights that it starts with; 0 if not
-            told.
+        load: Number of requests that run or wait there; None if not stated.
+        proof: Proof that the response is the endpoint's own; may be empty.
+        weight_version: Version of the weights at the start of the response; 0
+            if not stated.
     """
 
     is_not_run: bool = False
@@ -57,7 +58,7 @@
 
 
 class CallerWire(abc.ABC):
-    """How callers speak."""
+    """Wire format of callers' requests and of the responses to them."""
 
     @abc.abstractmethod
     def read_request(
@@ -67,27 +68,27 @@
 
         Args:
             scope: The ASGI scope.
-            read_body: Reads the body.
+            read_body: Reads the body when a filter needs it.
             now_s: Monotonic time of arrival.
 
         Raises:
-            Refusal: The request can't be read.
+            Refusal: The request is invalid.
         """
 
     @abc.abstractmethod
     def response_headers(self, resp: Response) -> tuple[Header, ...]:
-        """Returns the headers that a caller gets of an endpoint's answer."""
+        """Returns the headers of a response that are sent to the caller."""
 
 
 class EndpointWire(abc.ABC):
-    """How endpoints are spoken to."""
+    """Wire format of requests to endpoints and of their responses."""
 
     @abc.abstractmethod
     def request_headers(self, req: EndpointRequest) -> tuple[Header, ...]:
-        """Returns the headers of a request, the host included."""
+        """Returns the headers of a request, `Host` included."""
 
     @abc.abstractmethod
     def read_response_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> EndpointResponseHead:
-        """Reads the head of an answer."""
+        """Parses the head of a response."""
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -1,4 +1,4 @@
-"""Endpoints that can't be reached cost none of a request's attempts."""
+"""Attempts that reached no endpoint don't count against a request's maximum."""
 
 import unittest
 
@@ -14,7 +14,7 @@
 )
 
 
-def core(endpoints, max_attempts, budget=None):
+def make_core(endpoints, max_attempts, budget=None):
     def choose(excluded):
         return next((e for e in endpoints if e not in excluded), None)
 
@@ -24,50 +24,53 @@
     return ForwardCore(plan, choose, budget or RetryBudget())
 
 
-def unsent(action):
+def unsent_failure(action):
     return AttemptFailed(
         attempt=action.attempt, ran=Ran.NOT_RUN, was_sent=False
     )
 
 
-def refused(action):
+def refused_failure(action):
     return AttemptFailed(attempt=action.attempt, ran=Ran.NOT_RUN)
 
 
-class UnsentAttempts(unittest.TestCase):
+class UnsentAttemptsTest(unittest.TestCase):
     def test_the_third_endpoint_is_tried_though_two_attempts_are_allowed(self):
-        """Cut off, a daemon refused with a good endpoint beside it."""
-        forward = core("abc", 2)
+        """Guards against refusals while an endpoint is still reachable.
+
+        A partitioned daemon used up the attempts on unreachable endpoints.
+        """
+        forward = make_core("abc", 2)
         (action,) = forward.handle(ForwardStarted(), 0.0)
         for expected in "bc":
-            (action,) = forward.handle(unsent(action), 0.0)
+            (action,) = forward.handle(unsent_failure(action), 0.0)
             self.assertIsInstance(action, StartAttempt)
             self.assertEqual(action.endpoint_id, expected)
 
-    def test_it_ends_when_no_endpoint_can_be_reached(self):
-        forward = core("abc", 5)
+    def test_the_request_fails_if_no_endpoint_is_reachable(self):
+        forward = make_core("abc", 5)
         (action,) = forward.handle(ForwardStarted(), 0.0)
         tries = 1
         while isinstance(action, StartAttempt):
-            (action,) = forward.handle(unsent(action), 0.0)
+            (action,) = forward.handle(unsent_failure(action), 0.0)
             tries += 1
         self.assertIsInstance(action, FailRequest)
         self.assertIs(action.ran, Ran.NOT_RUN)
         self.assertLessEqual(tries, 6)
 
-    def test_endpoints_that_refused_count_as_attempts(self):
-        forward = core("abc", 2)
+    def test_attempts_that_an_endpoint_refused_count(self):
+        forward = make_core("abc", 2)
         (action,) = forward.handle(ForwardStarted(), 0.0)
-        (action,) = forward.handle(refused(action), 0.0)
-        (action,) = forward.handle(refused(action), 0.0)
+        (action,) = forward.handle(refused_failure(action), 0.0)
+        (action,) = forward.handle(refused_failure(action), 0.0)
         self.assertIsInstance(action, FailRequest)
         self.assertIs(action.error, ErrorCode.ENDPOINT_FAILED)
 
-    def test_they_take_nothing_from_the_budget(self):
+    def test_unsent_attempts_do_not_use_the_retry_budget(self):
         budget = RetryBudget()
         while budget.try_acquire():
             pass
-        forward = core("ab", 2, budget)
+        forward = make_core("ab", 2, budget)
         (action,) = forward.handle(ForwardStarted(), 0.0)
-        (action,) = forward.handle(unsent(action), 0.0)
+        (action,) = forward.handle(unsent_failure(action), 0.0)
         self.assertEqual(action.endpoint_id, "b")
--- a/daisyhub/serving/__init__.py
+++ b/daisyhub/serving/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP listeners for callers and for operators."""
+"""HTTP servers and ASGI applications for callers and operators."""
 
 from daisyhub.serving._callers_app import CallersApp, OpenStreams
 from daisyhub.serving._operators_app import OperatorsApp
--- a/daisyhub/serving/_callers_app.py
+++ b/daisyhub/serving/_callers_app.py
@@ -1,4 +1,4 @@
-"""The ASGI app for callers and trainers."""
+"""The ASGI application for callers and trainers."""
 
 import itertools
 import time
@@ -20,7 +20,7 @@
 _DEFAULT_DEADLINE_S = 3600.0
 _MS_PER_S = 1000
 _MAX_TIMEOUT_DIGITS = 9
-_DEADLINE_HEADER = b"daisyhub-timeout-ms"
+_TIMEOUT_HEADER = b"daisyhub-timeout-ms"
 
 log = get_logger("callers")
 
@@ -29,37 +29,45 @@
 
 
 class OpenStreams:
-    """Cancel scopes of open streams, by key id."""
+    """Cancel scopes of open streams by key id.
+
+    Args:
+        keys: Reports keys that are no longer valid.
+    """
 
     def __init__(self, keys: KeyTable):
         self._scopes: dict[str, set[anyio.CancelScope]] = {}
-        keys.add_listener(self.cut)
+        keys.add_listener(self.cancel)
 
     def add(self, key_id: str, scope: anyio.CancelScope) -> None:
-        """Notes an open stream."""
+        """Adds an open stream."""
         self._scopes.setdefault(key_id, set()).add(scope)
 
     def remove(self, key_id: str, scope: anyio.CancelScope) -> None:
-        """Forgets a stream that ended."""
+        """Removes a stream that ended."""
         scopes = self._scopes.get(key_id, set())
         scopes.discard(scope)
         if not scopes:
             self._scopes.pop(key_id, None)
 
-    def cut(self, key_id: str) -> None:
-        """Ends the streams of a key that is no longer valid."""
+    def cancel(self, key_id: str) -> None:
+        """Cancels the streams of a key that is no longer valid."""
         for scope in self._scopes.get(key_id, ()):
             scope.cancel()
 
 
 class CallersApp:
-    """Turns ASGI calls into requests for the filter chain.
+    """Converts ASGI calls into requests for the filter chain.
 
     Args:
         handler: The filter chain.
-        keys: Tells whether a key is still valid when a stream starts.
-        metrics: Counts answers.
+        keys: Checks the key of a stream and reports invalidated keys.
+        metrics: Counts responses and refusals, and measures latency.
         daemon_id: Part of each request id.
+
+    Attributes:
+        is_draining: Whether responses ask callers to close their connection.
+        open_requests: Number of requests in progress.
     """
 
     def __init__(
@@ -102,14 +110,18 @@
         except Exception:
             log.exception("request {} failed", request_id)
             exc = Refusal(
-                ErrorCode.INTERNAL, "an internal fault", ran=Ran.UNKNOWN
+                ErrorCode.INTERNAL,
+                "an internal error occurred",
+                ran=Ran.UNKNOWN,
             )
             resp = problem_response(exc, request_id)
-        await self._answer(resp, key_id, request_id, scope, receive, send)
+        await self._send_response(
+            resp, key_id, request_id, scope, receive, send
+        )
         self._metrics.count("answers", status=str(resp.status))
         self._metrics.observe_s("latency", time.monotonic() - started_s)
 
-    async def _answer(
+    async def _send_response(
         self,
         resp: Response,
         key_id: str,
@@ -122,58 +134,59 @@
         if self.is_draining:
             headers.append((b"connection", b"close"))
         if resp.stream is not None:
-            await self._answer_stream(resp, headers, key_id, receive, send)
+            await self._send_stream(resp, headers, key_id, receive, send)
             return
         has_length = resp.status not in (204, 304)
         if has_length:
             length = str(len(resp.body)).encode()
             headers.append((b"content-length", length))
-        await send(_start(resp.status, headers))
+        await send(_start_message(resp.status, headers))
         body = resp.body if scope["method"] != "HEAD" else b""
         await send({"type": "http.response.body", "body": body})
 
-    async def _answer_stream(
+    async def _send_stream(
         self, resp: Response, headers, key_id: str, receive, send
     ) -> None:
-        """Passes chunks on; stops when the caller or its key is gone.
+        """Sends the chunks of a stream as they arrive.
 
-        A stream that doesn't come to its end gets no final chunk, so that
-        the caller sees that it is cut.
+        The stream is cancelled when the caller disconnects or its key becomes
+        invalid. An incomplete stream gets no final chunk, so that the caller
+        detects the truncation.
         """
-        is_whole = False
+        is_complete = False
         async with anyio.create_task_group() as tasks:
             self._streams.add(key_id, tasks.cancel_scope)
             try:
                 if key_id and not self._keys.is_valid(key_id):
                     tasks.cancel_scope.cancel()
                 tasks.start_soon(_cancel_on_disconnect, receive, tasks)
-                await send(_start(resp.status, headers))
+                await send(_start_message(resp.status, headers))
                 async for chunk in resp.stream:
-                    await send(_chunk(chunk, more=True))
-                is_whole = True
+                    await send(_body_message(chunk, has_more=True))
+                is_complete = True
             except RequestFailedError as exc:
-                log.info("a stream broke off: {}", exc)
+                log.info("a stream failed: {}", exc)
             finally:
                 self._streams.remove(key_id, tasks.cancel_scope)
                 with anyio.CancelScope(shield=True):
                     await resp.stream.aclose()
             tasks.cancel_scope.cancel()
-        if is_whole:
-            await send(_chunk(b"", more=False))
+        if is_complete:
+            await send(_body_message(b"", has_more=False))
             return
-        raise _StreamCutError
+        raise _IncompleteStreamError
 
 
-class _StreamCutError(Exception):
+class _IncompleteStreamError(Exception):
     """Makes the server close the connection without a final chunk."""
 
 
-def _start(status: int, headers: list) -> dict:
+def _start_message(status: int, headers: list) -> dict:
     return {"type": "http.response.start", "status": status, "headers": headers}
 
 
-def _chunk(data: bytes, *, more: bool) -> dict:
-    return {"type": "http.response.body", "body": data, "more_body": more}
+def _body_message(data: bytes, *, has_more: bool) -> dict:
+    return {"type": "http.response.body", "body": data, "more_body": has_more}
 
 
 async def _cancel_on_disconnect(receive: Receive, tasks) -> None:
@@ -188,7 +201,9 @@
     headers = tuple(scope["headers"])
     hosts = [value for name, value in headers if name == b"host"]
     if len(hosts) != 1:
-        raise Refusal(ErrorCode.HEADER_INVALID, "exactly one host is needed")
+        raise Refusal(
+            ErrorCode.HEADER_INVALID, "exactly one Host header is required"
+        )
     host = hosts[0].decode("latin-1").lower().partition(":")[0]
     return Request(
         request_id=request_id,
@@ -197,15 +212,16 @@
         query=scope["query_string"].decode("latin-1"),
         host=host,
         headers=headers,
-        read_body=_body_reader(headers, receive),
+        read_body=_make_body_reader(headers, receive),
         started_s=started_s,
-        deadline_s=started_s + _timeout_s(headers),
+        deadline_s=started_s + _parse_timeout_s(headers),
     )
 
 
-def _timeout_s(headers) -> float:
+def _parse_timeout_s(headers) -> float:
+    """Returns the timeout that the caller stated, or the default."""
     for name, value in headers:
-        if name != _DEADLINE_HEADER:
+        if name != _TIMEOUT_HEADER:
             continue
         if not value.isdigit() or len(value) > _MAX_TIMEOUT_DIGITS:
             raise Refusal(
@@ -217,27 +233,27 @@
 
 
 def _key_id_of(req: Request) -> str:
-    """Returns the key id of a request that was already let through."""
+    """Returns the key id of a request whose key was already validated."""
     for value in req.header_values(b"authorization"):
         return value.decode("latin-1").partition("dh_")[2].partition("_")[0]
     return ""
 
 
-def _body_reader(headers, receive: Receive) -> BodyReader:
-    async def read_body(limit: int) -> bytes:
+def _make_body_reader(headers, receive: Receive) -> BodyReader:
+    async def read_body(max_bytes: int) -> bytes:
         for name, value in headers:
-            if name == b"content-length" and int(value) > limit:
-                raise _too_large(limit)
+            if name == b"content-length" and int(value) > max_bytes:
+                raise _make_too_large_refusal(max_bytes)
         chunks = []
         size = 0
         while True:
             message = await receive()
             if message["type"] == "http.disconnect":
-                raise Refusal(ErrorCode.BODY_INVALID, "the body broke off")
+                raise Refusal(ErrorCode.BODY_INVALID, "the body is incomplete")
             chunk = message.get("body", b"")
             size += len(chunk)
-            if size > limit:
-                raise _too_large(limit)
+            if size > max_bytes:
+                raise _make_too_large_refusal(max_bytes)
             chunks.append(chunk)
             if not message.get("more_body", False):
                 return b"".join(chunks)
@@ -245,5 +261,7 @@
     return read_body
 
 
-def _too_large(limit: int) -> Refusal:
-    return Refusal(ErrorCode.BODY_TOO_LARGE, f"the body exceeds {limit} bytes")
+def _make_too_large_refusal(max_bytes: int) -> Refusal:
+    return Refusal(
+        ErrorCode.BODY_TOO_LARGE, f"the body exceeds {max_bytes} bytes"
+    )
--- a/daisyhub/serving/_operators_app.py
+++ b/daisyhub/serving/_operators_app.py
@@ -1,4 +1,4 @@
-"""The ASGI app for operators: health, readiness, metrics, status."""
+"""The ASGI application for operators: health, readiness, metrics, status."""
 
 from collections.abc import Awaitable, Callable
 
@@ -8,18 +8,18 @@
 
 __all__ = ["OperatorsApp"]
 
-_TEXT = b"text/plain; charset=utf-8"
-_JSON = b"application/json"
+_TEXT_TYPE = b"text/plain; charset=utf-8"
+_JSON_TYPE = b"application/json"
 
 
 class OperatorsApp:
     """Serves `/healthz`, `/readyz`, `/metrics` and `/status`.
 
     Args:
-        metrics: What `/metrics` shows.
-        is_ready: Whether new requests should come here.
-        get_status: Returns the daemon's status in plain JSON values.
-        ready_path: Where readiness is asked.
+        metrics: Metrics that `/metrics` returns.
+        is_ready: Returns whether the daemon accepts new requests.
+        get_status: Returns the daemon's status as JSON values.
+        ready_path: Path of the readiness check.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         """Serves one request."""
         if scope["type"] != "http":
             return
-        status, content_type, body = self._answer(scope["path"])
+        status, content_type, body = self._respond(scope["path"])
         headers = [
             (b"content-type", content_type),
             (b"content-length", str(len(body)).encode()),
@@ -57,16 +57,17 @@
         )
         await send({"type": "http.response.body", "body": body})
 
-    def _answer(self, path: str) -> tuple[int, bytes, bytes]:
+    def _respond(self, path: str) -> tuple[int, bytes, bytes]:
+        """Returns status, content type and body."""
         match path:
             case "/healthz":
-                return 200, _TEXT, b"ok\n"
+                return 200, _TEXT_TYPE, b"ok\n"
             case self._ready_path if self._is_ready():
-                return 200, _TEXT, b"ready\n"
+                return 200, _TEXT_TYPE, b"ready\n"
             case self._ready_path:
-                return 503, _TEXT, b"not ready\n"
+                return 503, _TEXT_TYPE, b"not ready\n"
             case "/metrics":
-                return 200, _TEXT, self._metrics.render().encode()
+                return 200, _TEXT_TYPE, self._metrics.render().encode()
             case "/status":
-                return 200, _JSON, msgspec.json.encode(self._get_status())
-        return 404, _TEXT, b"not found\n"
+                return 200, _JSON_TYPE, msgspec.json.encode(self._get_status())
+        return 404, _TEXT_TYPE, b"not found\n"
--- a/daisyhub/serving/_server.py
+++ b/daisyhub/serving/_server.py
@@ -1,4 +1,4 @@
-"""A uvicorn server without its own signal handling and timer."""
+"""A uvicorn server without uvicorn's signal handling and periodic tick."""
 
 import asyncio
 import contextlib
@@ -14,20 +14,21 @@
 
 _BACKLOG = 1024
 _KEEP_ALIVE_S = 75
-_LAST_REQUESTS_S = 1.0
-_LAST_REQUESTS_PAUSE_S = 0.01
+_LAST_REQUESTS_TIMEOUT_S = 1.0
+_LAST_REQUESTS_POLL_INTERVAL_S = 0.01
 
 
 class HttpServer(uvicorn.Server):
-    """Serves an ASGI app until `stop`.
+    """Serves an ASGI application until `stop` is called.
 
     Args:
-        app: The ASGI app.
-        address: Where to listen.
-        drain_limit_s: Longest wait for open requests after `stop`.
+        app: The ASGI application.
+        address: Address to listen on.
+        drain_limit_s: Maximum time for open requests to end after `stop`;
+            rounded to whole seconds, at least one.
 
     Attributes:
-        stopped: Set once every request has ended after `stop`.
+        stopped: Set when the server has ended.
     """
 
     def __init__(self, app, address: Address, drain_limit_s: float = 5.0):
@@ -52,15 +53,15 @@
         self.stopped = anyio.Event()
 
     async def run_until_stopped(self) -> None:
-        """Listens and serves; returns when all requests have ended."""
+        """Listens and serves; returns when the server has ended."""
         sock = socket.create_server(
             (self._address.ip, self._address.port),
             backlog=_BACKLOG,
             reuse_port=False,
         )
-        # Accepted sockets inherit it. asyncio sets it only on sockets whose
-        # protocol number is given, which these are not; without it, the head
-        # and the content of an answer wait for each other's acknowledgement.
+        # Accepted sockets inherit the option. asyncio sets it only on sockets
+        # with an explicit protocol number, which these lack. Without it, the
+        # body of a response waits until the peer acknowledges the head.
         sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
         try:
             await self.serve(sockets=[sock])
@@ -68,29 +69,34 @@
             self.stopped.set()
 
     def stop(self) -> None:
-        """Stops accepting; open requests go on to their end."""
+        """Stops accepting connections; open requests are completed."""
         self.should_exit = True
         self._stop.set()
 
     @contextlib.contextmanager
     def capture_signals(self):
-        """Leaves signals to the daemon."""
+        """Does nothing; the daemon handles signals."""
         yield
 
     async def main_loop(self) -> None:
-        """Waits for `stop` without a timer."""
+        """Waits for `stop` without uvicorn's periodic tick."""
         await self._stop.wait()
 
     async def shutdown(self, sockets=None) -> None:
-        """Closes idle connections once nothing of a request waits on them."""
-        with anyio.move_on_after(_LAST_REQUESTS_S):
-            while self._has_unread() or self._has_part_of_request():
-                await asyncio.sleep(_LAST_REQUESTS_PAUSE_S)
-        # Nothing is awaited between the check and the closing in there.
+        """Shuts down once no connection has a partly received request.
+
+        uvicorn closes every connection without an open request, so a request
+        that is being received would be lost. The wait is bounded.
+        """
+        with anyio.move_on_after(_LAST_REQUESTS_TIMEOUT_S):
+            while self._has_unread() or self._has_partial_request():
+                await asyncio.sleep(_LAST_REQUESTS_POLL_INTERVAL_S)
+        # `super().shutdown` awaits nothing before it closes connections, so the
+        # check above still holds then.
         await super().shutdown(sockets)
 
     def _has_unread(self) -> bool:
-        """Whether the kernel holds bytes of a connection."""
+        """Whether the kernel has unread bytes of any connection."""
         poll = select.poll()
         for conn in self.server_state.connections:
             sock = conn.transport.get_extra_info("socket")
@@ -98,11 +104,11 @@
                 poll.register(sock.fileno(), select.POLLIN)
         return bool(poll.poll(0))
 
-    def _has_part_of_request(self) -> bool:
-        """Whether a connection may have sent a part of a request's head.
+    def _has_partial_request(self) -> bool:
+        """Whether a connection may have received a part of a request's head.
 
-        After an answer, uvicorn's timer runs until the next byte comes. A new
-        connection without any request counts as well.
+        After a response, uvicorn's keep-alive timer runs until the next byte is
+        received. A new connection without any request counts as well.
         """
         return any(
             (conn.cycle is None or conn.cycle.response_complete)
--- a/daisyhub/serving/tests/test_bad_input.py
+++ b/daisyhub/serving/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input gets a clear 4xx and reaches no endpoint."""
+"""Invalid requests get the right 4xx status and reach no endpoint."""
 
 import socket
 import unittest
@@ -28,7 +28,7 @@
 
 
 class EndFilter(Filter):
-    """Stands for the endpoint; counts what reaches it."""
+    """Replaces the endpoint; records the requests that reach it."""
 
     name = "end"
 
@@ -77,9 +77,12 @@
 
 
 def exchange(requests):
-    """Sends raw requests one by one; returns answers and what got through."""
+    """Sends raw requests in sequence.
+
+    Returns the raw responses and the requests that reached the endpoint.
+    """
     end = EndFilter()
-    answers = []
+    responses = []
 
     async def run():
         port = free_port()
@@ -90,11 +93,11 @@
             while not server.started:
                 await anyio.sleep(0.01)
             for data in requests:
-                answers.append(await send_raw(port, data.encode("latin-1")))
+                responses.append(await send_raw(port, data.encode("latin-1")))
             server.stop()
 
     anyio.run(run)
-    return answers, end.reached
+    return responses, end.reached
 
 
 def get(path, headers=KEY, host=HOST):
@@ -159,29 +162,30 @@
 
 
 class BadInputTest(unittest.TestCase):
-    def test_bad_input_gets_a_clear_4xx_and_reaches_no_endpoint(self):
-        answers, reached = exchange([data for data, _ in CASES.values()])
+    def test_bad_input_gets_a_4xx_status_and_reaches_no_endpoint(self):
+        responses, reached = exchange([data for data, _ in CASES.values()])
         self.assertEqual(reached, [])
-        for (name, (_, status)), answer in zip(
-            CASES.items(), answers, strict=True
+        for (name, (_, status)), response in zip(
+            CASES.items(), responses, strict=True
         ):
             with self.subTest(name):
                 self.assertTrue(
-                    answer.startswith(f"HTTP/1.1 {status} ".encode()), answer
+                    response.startswith(f"HTTP/1.1 {status} ".encode()),
+                    response,
                 )
 
-    def test_good_input_gets_through(self):
-        answers, reached = exchange(
+    def test_good_input_reaches_the_endpoint(self):
+        responses, reached = exchange(
             [get("/records/1?a=b"), post("Content-Length: 2\r\n", "ab")]
         )
         self.assertEqual(len(reached), 2)
-        self.assertTrue(all(b"200 OK" in answer for answer in answers))
+        self.assertTrue(all(b"200 OK" in response for response in responses))
         self.assertEqual(reached[0].account, "yard")
 
     def test_refusals_are_problem_documents(self):
-        answers, _ = exchange([get("/records", "")])
-        self.assertIn(b"application/problem+json", answers[0])
-        body = answers[0].partition(b"\r\n\r\n")[2]
+        responses, _ = exchange([get("/records", "")])
+        self.assertIn(b"application/problem+json", responses[0])
+        body = responses[0].partition(b"\r\n\r\n")[2]
         problem = msgspec.json.decode(body)
         self.assertEqual(problem["code"], "key_missing")
         self.assertEqual(problem["ran"], "not_run")
--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -1,4 +1,4 @@
-"""Withdrawn keys and graceful shutdown, on real processes and sockets."""
+"""Withdrawn keys and graceful shutdown with real processes and sockets."""
 
 import asyncio
 import signal
@@ -16,19 +16,19 @@
 from daisyhub.testing.demo_config import DemoKeys, demo_document
 from daisyhub.testing.processes import Deployment
 
-WITHDRAWN_WITHIN_S = 5
+WITHDRAWAL_TIMEOUT_S = 5
 CALLERS = 12
-PLACES = 5
+CONCURRENCY_LIMIT = 5
 
 
-class DrainAndKeys(unittest.IsolatedAsyncioTestCase):
-    """Two daemons with few places before one service."""
+class DrainAndKeysTest(unittest.IsolatedAsyncioTestCase):
+    """Two daemons with a low concurrency limit and one service."""
 
     async def asyncSetUp(self):
         self.deployment = Deployment(("busan",), 2, 0, 1)
         self.addCleanup(self.deployment.stop)
         await self.deployment.start()
-        await self.leave_few_places()
+        await self.limit_concurrency()
         self.keys = DemoKeys.make()
         address = self.deployment.platform.address
         self.store = ConfigStore(
@@ -43,11 +43,11 @@
         )
         await self.deployment.wait_for_version(head.version)
 
-    async def leave_few_places(self):
-        """Starts the daemons anew, so that requests queue for admission."""
+    async def limit_concurrency(self):
+        """Restarts the daemons with a low limit, so that requests queue."""
         for daemon in self.deployment.daemons():
             plan = self.deployment._plans[daemon.name]
-            plan["limits"] = {"concurrent_requests": PLACES}
+            plan["limits"] = {"concurrent_requests": CONCURRENCY_LIMIT}
             daemon.send_signal(signal.SIGKILL)
             daemon.wait()
             self.deployment.start_daemon(daemon.name)
@@ -73,78 +73,78 @@
         await self.check_shutdown_of_all_daemons()
 
     async def check_withdrawn_key(self):
-        """Its open stream is cut visibly; another key's stream goes on."""
-        cut = await self.open_stream(0, self.keys.yard)
-        whole = await self.open_stream(1, self.keys.archive)
-        chunks = cut.chunks()
+        """Checks that a withdrawal breaks the key's stream and no other."""
+        withdrawn = await self.open_stream(0, self.keys.yard)
+        valid = await self.open_stream(1, self.keys.archive)
+        chunks = withdrawn.chunks()
         await anext(chunks)
         await self.store.withdraw_key(self.keys.yard.key_id)
-        with anyio.fail_after(WITHDRAWN_WITHIN_S):
+        with anyio.fail_after(WITHDRAWAL_TIMEOUT_S):
             with self.assertRaises(RequestFailedError):
                 async for _ in chunks:
                     pass
             for number in (0, 1):
                 caller = self.caller(number, self.keys.yard)
                 while True:
-                    answer = await caller.send("GET", "/records/1")
-                    if answer.status == 401:
+                    response = await caller.send("GET", "/records/1")
+                    if response.status == 401:
                         break
                 await caller.aclose()
-        await cut.aclose()
-        content = b"".join([chunk async for chunk in whole.chunks()])
-        await whole.aclose()
+        await withdrawn.aclose()
+        content = b"".join([chunk async for chunk in valid.chunks()])
+        await valid.aclose()
         self.assertEqual(content.count(b"chunk"), 40)
 
     async def check_shutdown_of_all_daemons(self):
-        """Both daemons end under load; the last one cuts nothing either."""
-        self.answers = []
-        self.streams = []
+        """Checks that both daemons stop under load without failed requests."""
+        self.statuses = []
+        self.chunk_counts = []
         daemons = self.deployment.daemons()
         async with anyio.create_task_group() as tasks:
             for number in (0, 1):
                 tasks.start_soon(self.read_stream, number)
                 for _ in range(CALLERS):
-                    tasks.start_soon(self.call_until_told, number)
+                    tasks.start_soon(self.call_until_close, number)
             await anyio.sleep(0.5)
             for daemon in daemons:
                 daemon.send_signal(signal.SIGTERM)
         codes = [await anyio.to_thread.run_sync(d.wait) for d in daemons]
         self.assertEqual(codes, [0, 0])
-        self.assertEqual(self.streams, [40, 40])
-        self.assertGreater(len(self.answers), 2 * CALLERS)
-        self.assertEqual(set(self.answers), {200})
+        self.assertEqual(self.chunk_counts, [40, 40])
+        self.assertGreater(len(self.statuses), 2 * CALLERS)
+        self.assertEqual(set(self.statuses), {200})
 
     async def read_stream(self, number):
         stream = await self.open_stream(number, self.keys.archive)
         content = b"".join([chunk async for chunk in stream.chunks()])
-        self.streams.append(content.count(b"chunk"))
+        self.chunk_counts.append(content.count(b"chunk"))
         await stream.aclose()
 
-    async def call_until_told(self, number):
-        """Sends requests until an answer says that the connection closes."""
+    async def call_until_close(self, number):
+        """Sends requests until a response has `Connection: close`."""
         caller = self.caller(number, self.keys.archive)
         while True:
-            answer = await caller.send("GET", "/records/7")
-            self.answers.append(answer.status)
-            if (b"connection", b"close") in answer.headers:
+            response = await caller.send("GET", "/records/7")
+            self.statuses.append(response.status)
+            if (b"connection", b"close") in response.headers:
                 await caller.aclose()
                 return
 
 
-class LastRequests(unittest.IsolatedAsyncioTestCase):
-    async def test_a_request_of_which_a_part_has_come_is_served(self):
-        async def answer(scope, receive, send):
+class LastRequestsTest(unittest.IsolatedAsyncioTestCase):
+    async def test_a_partly_received_request_is_served_after_stop(self):
+        async def app(scope, receive, send):
             start = {"type": "http.response.start", "status": 204}
             await send({**start, "headers": []})
             await send({"type": "http.response.body", "body": b""})
 
         port = self.free_port()
-        server = HttpServer(answer, Address(ip="127.0.0.1", port=port))
+        server = HttpServer(app, Address(ip="127.0.0.1", port=port))
         running = asyncio.create_task(server.run_until_stopped())
         while not server.started:
             await asyncio.sleep(0.01)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
-        # Another connection is idle after its answer; this one is closed.
+        # A second connection is idle after its response; the server closes it.
         idle_reader, idle = await asyncio.open_connection("127.0.0.1", port)
         idle.write(b"GET / HTTP/1.1\r\nhost: a\r\n\r\n")
         await idle_reader.readuntil(b"\r\n\r\n")
