--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -26,7 +26,7 @@
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
-__all__ = ["ResponseStream", "HttpResponse", "HttpClient", "StreamedResponse"]
+__all__ = ["HttpClient", "HttpResponse", "ResponseStream", "StreamedResponse"]
 
 _REQUEST_ID_HEADER = b"daisyhub-request-id"
 _NO_BODY_METHODS = frozenset({"GET", "HEAD", "DELETE"})
@@ -291,7 +291,7 @@
         return bool(conns) and self._is_recent(conns[-1], time.monotonic())
 
     def drop_idle_connections(self, address: Address) -> None:
-        """Removes the connections to a suspect address from the pool.
+        """Removes the idle connections to an address, which are suspect.
 
         They are closed later, as this method can't await.
         """
--- a/daisyhub/connections/_connection.py
+++ b/daisyhub/connections/_connection.py
@@ -47,7 +47,8 @@
 
     Attributes:
         has_sent: Whether sending the current request has started.
-        is_in_exchange: Whether the response is awaited or being read.
+        is_in_exchange: Whether a request was started whose response isn't read
+            to its end.
         inner: The underlying stream.
     """
 
@@ -126,7 +127,7 @@
 
     @property
     def ran(self) -> Ran:
-        """Whether the current request was executed, if it fails now."""
+        """Whether the current request was executed, as far as is known."""
         if self.has_response_head:
             return Ran.RAN
         return Ran.UNKNOWN if self._stream.has_sent else Ran.NOT_RUN
@@ -177,7 +178,7 @@
 
     Args:
         address: Address of the peer, for the error message.
-        get_ran: Returns whether the request was executed, if it fails now.
+        get_ran: Returns whether the request was executed; called on failure.
         deadline_s: Deadline on anyio's clock.
 
     Raises:
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -337,7 +337,7 @@
 
 
 def _make_refusal(action: FailRequest, median_s: float) -> Refusal:
-    """Returns the refusal of a request that no endpoint responded to.
+    """Returns the refusal of a request without a response to deliver.
 
     If the request was certainly not run, the refusal invites a retry: it has
     the code OVERLOADED (or NO_ENDPOINT) and states when to retry.
