--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -149,24 +149,24 @@
         Answers to requests carry the same news, so that a busy endpoint
         needs no probe.
         """
-        self._follow_live_daemons()
+        self._update_live_daemons()
         quiet_s = _QUIET_PROBES * self._cfg.timing.probe_s
         oldest_s = time.monotonic() - quiet_s
         async with anyio.create_task_group() as tasks:
             for state in self._table.all():
                 if state.last_received_at_s > oldest_s:
                     continue
-                if self._is_watched_here(state.endpoint_id):
+                if self._is_assigned_here(state.endpoint_id):
                     tasks.start_soon(self._probe, state)
 
-    def _follow_live_daemons(self) -> None:
+    def _update_live_daemons(self) -> None:
         """Ranks watchers anew once the live daemons have changed."""
         live = frozenset((self._cfg.daemon_id, *self._peers.live_peers()))
         if live != self._watchers:
             self._watchers = live
             self._is_watched.clear()
 
-    def _is_watched_here(self, endpoint_id: str) -> bool:
+    def _is_assigned_here(self, endpoint_id: str) -> bool:
         """Whether this daemon is the one that watches the endpoint."""
         if endpoint_id not in self._is_watched:
             watcher, *_ = rank_candidates(endpoint_id, self._watchers)
