--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -232,7 +232,7 @@
         covers the whole exchange; see `request` for the arguments.
 
         Raises:
-            RequestFailedError: No response head was received.
+            RequestFailedError: No valid response head was received.
         """
         started_s = time.monotonic()
         deadline_s = anyio.current_time() + timeout_s
