--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -118,10 +118,10 @@
         try:
             counts = await self._create_seal(name, counts)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
-            self._log.note("seal_failed", window=window, reason=str(exc))
+            self._log.record("seal_failed", window=window, reason=str(exc))
             self._handle(SealFailed(window))
             return
-        self._log.note(
+        self._log.record(
             "window_sealed",
             window=window,
             counts=counts,
@@ -161,7 +161,7 @@
         outcome = await self._order_desk.report_usage(
             action.window, action.counts, fencing
         )
-        self._log.note(
+        self._log.record(
             "usage_reported",
             window=action.window,
             fencing=fencing,
@@ -178,4 +178,6 @@
         try:
             await self._store.delete(_SEAL_KIND, str(window))
         except ObjectStoreError as exc:
-            self._log.note("seal_delete_failed", window=window, reason=str(exc))
+            self._log.record(
+                "seal_delete_failed", window=window, reason=str(exc)
+            )
--- a/daisyhub/catalog/_controller.py
+++ b/daisyhub/catalog/_controller.py
@@ -68,7 +68,7 @@
         try:
             manifest = self._reader.read(found.spec)
         except ManifestError as exc:
-            self._log.note(
+            self._log.record(
                 "manifest_unreadable",
                 revision=found.revision,
                 source=source,
@@ -79,7 +79,7 @@
             return False
         self._active_object = found
         self.manifest = manifest
-        self._log.note(
+        self._log.record(
             "manifest_in_force",
             version=manifest.version,
             revision=found.revision,
--- a/daisyhub/cluster/_cluster_clock.py
+++ b/daisyhub/cluster/_cluster_clock.py
@@ -21,7 +21,7 @@
     def __init__(self):
         self._offsets: dict[str, tuple[float, float]] = {}
 
-    def note(self, daemon_id: str, wall_s: float) -> None:
+    def record(self, daemon_id: str, wall_s: float) -> None:
         """Takes the time of day that a peer told just now."""
         now_s = boot_time_s()
         self._offsets[daemon_id] = (wall_s - now_s, now_s)
--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -150,11 +150,13 @@
             return
         ip, _, port = address.rpartition(":")
         if not port.isdigit():
-            self._log.note("peer_address_invalid", peer=daemon_id, text=address)
+            self._log.record(
+                "peer_address_invalid", peer=daemon_id, text=address
+            )
             return
         self._addresses[daemon_id] = address
         self._network.set_address(daemon_id, Address(ip=ip, port=int(port)))
-        self._log.note("peer_learned", peer=daemon_id, address=address)
+        self._log.record("peer_learned", peer=daemon_id, address=address)
 
     def receive(self, envelope, message: object) -> None:
         """Takes a ping."""
@@ -166,7 +168,7 @@
             if daemon_id not in self._addresses:
                 self.learn_address(daemon_id, address)
         self._peers.note_ping(sender, envelope.incarnation, message)
-        self._clock.note(sender, message.wall_s)
+        self._clock.record(sender, message.wall_s)
         now_s = time.monotonic()
         for watcher in self._watchers:
             newest = message.newest.get(watcher.kind, 0)
@@ -183,7 +185,7 @@
             try:
                 listed = await self._store.list_all(DAEMONS_KIND)
             except ObjectStoreError as exc:
-                self._log.note("daemons_not_listed", reason=str(exc))
+                self._log.record("daemons_not_listed", reason=str(exc))
                 await anyio.sleep(_REGISTER_PAUSE_S)
                 continue
             for found in listed.items:
@@ -197,7 +199,7 @@
         try:
             record = msgspec.json.decode(found.spec, type=_DaemonRecord)
         except msgspec.DecodeError as exc:
-            self._log.note(
+            self._log.record(
                 "daemon_unreadable", name=found.name, reason=str(exc)
             )
             return
@@ -229,7 +231,7 @@
                 newest.daemon_id, ManifestRequest(), _CALL_TIMEOUT_S
             )
         except DaisyhubError as exc:
-            self._log.note(
+            self._log.record(
                 "manifest_fetch_failed",
                 peer=newest.daemon_id,
                 reason=str(exc),
@@ -250,7 +252,7 @@
             try:
                 await self._write_record(spec)
             except (ObjectStoreError, ObjectConflictError) as exc:
-                self._log.note("register_failed", reason=str(exc))
+                self._log.record("register_failed", reason=str(exc))
                 await anyio.sleep(_REGISTER_PAUSE_S)
                 continue
             return
--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -59,7 +59,7 @@
         self._peers[daemon_id] = PeerState(daemon_id, incarnation, ping, now_s)
         if daemon_id in self._silent:
             self._silent.discard(daemon_id)
-            self._log.note("peer_regained", peer=daemon_id)
+            self._log.record("peer_regained", peer=daemon_id)
         return is_new
 
     def get(self, daemon_id: str) -> PeerState | None:
@@ -120,7 +120,7 @@
             is_heard = self._is_heard(peer, now_s)
             if not is_heard and daemon_id not in self._silent:
                 self._silent.add(daemon_id)
-                self._log.note(
+                self._log.record(
                     "peer_lost",
                     peer=daemon_id,
                     quiet_s=round(quiet_s, 2),
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -93,7 +93,7 @@
         Args:
             reason: Logged.
         """
-        self._log.note("duty_refused", duty=self.duty, reason=reason)
+        self._log.record("duty_refused", duty=self.duty, reason=reason)
         self._core.handle(FencingRejected(), boot_time_s())
         self._log_change()
 
@@ -170,7 +170,9 @@
                 return DutyCallFailed()
             found = exc.found
         except ObjectStoreError as exc:
-            self._log.note("duty_call_failed", duty=self.duty, reason=str(exc))
+            self._log.record(
+                "duty_call_failed", duty=self.duty, reason=str(exc)
+            )
             return DutyCallFailed()
         return self._parse_record(found)
 
@@ -190,7 +192,7 @@
         try:
             record = msgspec.json.decode(found.spec, type=DutyRecord)
         except msgspec.DecodeError as exc:
-            self._log.note("duty_unreadable", duty=self.duty, reason=str(exc))
+            self._log.record("duty_unreadable", duty=self.duty, reason=str(exc))
             return DutyCallFailed()
         return DutyRecordReceived(record, found.revision)
 
@@ -200,7 +202,7 @@
         if fencing == self._logged_fencing:
             return
         record = self._core.record
-        self._log.note(
+        self._log.record(
             "duty_taken" if fencing else "duty_left",
             duty=self.duty,
             fencing=fencing,
--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -72,7 +72,7 @@
         resp = await self._handle(req, receiver)
         if resp is None:
             self._metrics.count("callers_left")
-            self._log.note("caller_left", id=req.request_id)
+            self._log.record("caller_left", id=req.request_id)
             return
         if resp.stream is not None:
             await self._send_stream(resp, receiver, send)
@@ -93,7 +93,7 @@
             except Refusal as exc:
                 resp = self._refuse(exc, req)
             except Exception as exc:
-                self._log.note(
+                self._log.record(
                     "request_fault", id=req.request_id, reason=repr(exc)
                 )
                 refusal = Refusal(
@@ -109,7 +109,7 @@
         """Counts and logs a refusal; returns its response."""
         request_id = req.request_id if req else ""
         self._metrics.count("refusals", code=exc.code)
-        self._log.note(
+        self._log.record(
             "refused",
             id=request_id,
             lot=getattr(req.lot_call, "lot_id", "") if req else "",
@@ -160,7 +160,7 @@
                     await send(_body_message(chunk, has_more=True))
                 is_complete = True
             except RequestFailedError as exc:
-                self._log.note("stream_cut", reason=str(exc))
+                self._log.record("stream_cut", reason=str(exc))
             finally:
                 with anyio.CancelScope(shield=True):
                     await resp.stream.aclose()
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -172,7 +172,7 @@
             core, lambda action: self._attempt(state, action)
         )
         is_refused = isinstance(outcome, FailRequest)
-        self._log.note(
+        self._log.record(
             "sent",
             id=task.request_id,
             route=task.route.name,
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -96,7 +96,7 @@
                 ErrorCode.LOT_CONFLICT, "another account has a lot with this id"
             )
         self._reader.record_accepted(head)
-        self._log.note(
+        self._log.record(
             "lot_accepted",
             id=req.request_id,
             account=req.account,
--- a/daisyhub/objects/_watcher.py
+++ b/daisyhub/objects/_watcher.py
@@ -119,7 +119,7 @@
         try:
             listed = await self._store.list_all(self._kind)
         except ObjectStoreError as exc:
-            self._log.note("verify_failed", kind=self._kind, reason=str(exc))
+            self._log.record("verify_failed", kind=self._kind, reason=str(exc))
             return
         if listed.revision < self._newest:
             # The watch was faster; the list lacks what it brought.
@@ -130,7 +130,7 @@
 
     def _list_again(self, revision: int) -> None:
         """Ends the waiting watch, which doesn't hear the store, and lists."""
-        self._log.note(
+        self._log.record(
             "watch_silent",
             kind=self._kind,
             revision=self._newest,
@@ -155,7 +155,7 @@
             try:
                 await self._step()
             except HistoryGoneError:
-                self._log.note("watch_history_gone", kind=self._kind)
+                self._log.record("watch_history_gone", kind=self._kind)
                 self._revision = None
             except ObjectStoreError as exc:
                 self._note_failure(exc)
@@ -230,7 +230,7 @@
     def _note_failure(self, exc: ObjectStoreError) -> None:
         if self._failed_since_s is None:
             self._failed_since_s = time.monotonic()
-            self._log.note(
+            self._log.record(
                 "watch_lost",
                 kind=self._kind,
                 revision=self._revision,
@@ -242,7 +242,7 @@
             return
         away_s = time.monotonic() - self._failed_since_s
         self._failed_since_s = None
-        self._log.note(
+        self._log.record(
             "watch_regained",
             kind=self._kind,
             revision=self._revision,
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -401,7 +401,7 @@
         try:
             entry = read_server(found.name, found.spec)
         except ValueError as exc:
-            self.log.note(
+            self.log.record(
                 "endpoint_unreadable",
                 name=found.name,
                 revision=found.revision,
@@ -414,7 +414,7 @@
         known = self.directory.get(found.name)
         self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
-            self.log.note(
+            self.log.record(
                 "endpoint",
                 name=found.name,
                 pool=entry.pool,
@@ -430,12 +430,14 @@
     def _remove_endpoint(self, name: str) -> None:
         now_s = time.monotonic()
         is_stable = now_s - self._store_failed_s > _STORE_SETTLE_S
-        self.log.note("endpoint_removed", name=name, is_store_stable=is_stable)
+        self.log.record(
+            "endpoint_removed", name=name, is_store_stable=is_stable
+        )
         self.directory.remove(name, now_s, is_store_stable=is_stable)
 
     async def run(self) -> None:
         """Runs until SIGTERM, then ends within the grace time."""
-        self.log.note(
+        self.log.record(
             "start", process=self.process, domain=self.cfg.failure_domain
         )
         async with anyio.create_task_group() as tasks:
@@ -469,9 +471,9 @@
         try:
             cfg = load_fleet_settings(self._settings_path)
         except (DocumentError, OSError) as exc:
-            self.log.note("reload_failed", reason=str(exc))
+            self.log.record("reload_failed", reason=str(exc))
             return
-        self.log.note("reload", is_changed=cfg != self.cfg)
+        self.log.record("reload", is_changed=cfg != self.cfg)
 
     async def _keep_running(self, controller: Controller) -> None:
         """Runs a controller; a fault in one must not end the others."""
@@ -479,7 +481,7 @@
             try:
                 await controller.run()
             except Exception as exc:
-                self.log.note(
+                self.log.record(
                     "controller_fault",
                     controller=controller.name,
                     reason=repr(exc),
@@ -499,7 +501,7 @@
                 self._store_failed_s = now_s
                 continue
             for name in self.directory.expire(now_s):
-                self.log.note("endpoint_lapsed", name=name)
+                self.log.record("endpoint_lapsed", name=name)
 
     def _note_cut_domains(self) -> None:
         """Tells the directory which failure domains seem to be cut off."""
@@ -511,7 +513,7 @@
     async def _shut_down(self) -> None:
         """Takes no new callers, ends what is open, and goes."""
         started_s = time.monotonic()
-        self.log.note("stop", open_requests=self.app.open_requests)
+        self.log.record("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
         await self.holder.save_unfinished_texts()
@@ -527,7 +529,7 @@
             await self.callers_server.stopped.wait()
         self.readiness_server.stop()
         self.metrics_server.stop()
-        self.log.note("stopped", open_requests=self.app.open_requests)
+        self.log.record("stopped", open_requests=self.app.open_requests)
 
 
 def _title(part: Controller) -> str:
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -72,7 +72,7 @@
                 timeout_s=_TIMEOUT_S,
             )
         except RequestFailedError as exc:
-            self._log.note("desk_call_failed", path=path, reason=str(exc))
+            self._log.record("desk_call_failed", path=path, reason=str(exc))
             is_sent = exc.ran is not Ran.NOT_RUN
             return (
                 OrderDeskOutcome.UNKNOWN
--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -68,7 +68,7 @@
         try:
             status = msgspec.json.decode(found.status, type=_Status | None)
         except msgspec.DecodeError as exc:
-            self._log.note(
+            self._log.record(
                 "retirement_unreadable", name=found.name, reason=str(exc)
             )
             status = None
@@ -83,9 +83,9 @@
         try:
             await self._store.set_status(_KIND, machine, content)
         except ObjectStoreError as exc:
-            self._log.note(
+            self._log.record(
                 "retirement_failed", machine=machine, reason=str(exc)
             )
             return
         self._waiting.discard(machine)
-        self._log.note("retirement_completed", machine=machine)
+        self._log.record("retirement_completed", machine=machine)
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -143,11 +143,11 @@
         try:
             published = self._reader.read(found)
         except ValueError as exc:
-            self._log.note(
+            self._log.record(
                 "version_unreadable", name=found.name, reason=str(exc)
             )
             return
-        self._log.note(
+        self._log.record(
             "version_named",
             model=published.model,
             version=published.version,
@@ -194,7 +194,7 @@
             if self._model_by_engine.get(e) != m
         }
         if changed:
-            self._log.note("engines_shared", changed=changed, demand=demand)
+            self._log.record("engines_shared", changed=changed, demand=demand)
         for endpoint_id in ids:
             self._model_by_engine.pop(endpoint_id, None)
         self._model_by_engine.update(assigned)
@@ -242,7 +242,7 @@
                 orders_taken=action.orders_taken,
             )
             outcome = await self._client.order(endpoint.entry.address, order)
-        self._log.note(
+        self._log.record(
             "order",
             endpoint=action.endpoint_id,
             model=action.model,
