--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -20,7 +20,7 @@
     LeastLoaded,
     RoundRobin,
 )
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.filters import (
     AdmissionCore,
     AdmitRequest,
@@ -202,7 +202,11 @@
             elif isinstance(action, DeliverResponse):
                 self.finish("answered", self._open.pop(action.attempt))
             else:
-                kind = "failed" if action.ran is Ran.NOT_RUN else "unknown"
+                kind = (
+                    "failed"
+                    if action.ran is ExecutionStatus.NOT_RUN
+                    else "unknown"
+                )
                 self.finish(kind)
 
     def _send(self, action: StartAttempt) -> None:
@@ -213,11 +217,13 @@
         hop_s = run.hop_s(self.daemon.domain, server)
         if server.is_in("refuse") or server.is_gone():
             run.clock.after(
-                2 * hop_s, lambda: self._fail(action.attempt, Ran.NOT_RUN)
+                2 * hop_s,
+                lambda: self._fail(action.attempt, ExecutionStatus.NOT_RUN),
             )
             return
         run.clock.at(
-            self.deadline_s, lambda: self._fail(action.attempt, Ran.UNKNOWN)
+            self.deadline_s,
+            lambda: self._fail(action.attempt, ExecutionStatus.UNKNOWN),
         )
         if server.is_in("hang"):
             return
@@ -240,12 +246,12 @@
         self.daemon.table.apply_update(news)
         self.feed(AttemptCompleted(attempt))
 
-    def _fail(self, attempt: int, ran: Ran) -> None:
+    def _fail(self, attempt: int, ran: ExecutionStatus) -> None:
         if self._is_over or attempt not in self._open:
             return
         self._note(attempt, failed=True)
         del self._open[attempt]
-        timed_out = ran is Ran.UNKNOWN
+        timed_out = ran is ExecutionStatus.UNKNOWN
         self.feed(AttemptFailed(attempt=attempt, ran=ran, timed_out=timed_out))
 
     def _note(self, attempt: int, *, failed: bool) -> None:
--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -22,7 +22,7 @@
     connect,
     mapped_errors,
 )
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.messages import Header
 from daisyhub.settings import Address
 
@@ -345,7 +345,9 @@
             if is_recent and not conn.is_readable():
                 return conn
             await conn.aclose()
-        with mapped_errors(address, lambda: Ran.NOT_RUN, deadline_s):
+        with mapped_errors(
+            address, lambda: ExecutionStatus.NOT_RUN, deadline_s
+        ):
             return await connect(address, self._connect_timeout_s)
 
 
@@ -376,7 +378,8 @@
         size += len(chunk)
         if size > max_bytes:
             raise RequestFailedError(
-                f"the response exceeds {max_bytes} bytes", ran=Ran.RAN
+                f"the response exceeds {max_bytes} bytes",
+                ran=ExecutionStatus.RAN,
             )
         chunks.append(chunk)
     # After `aclose`, the connection of httpcore is idle.
@@ -420,7 +423,8 @@
     for name, value in response.headers:
         if name.lower() == _REQUEST_ID_HEADER and value != sent_ids[0]:
             raise RequestFailedError(
-                "the response belongs to another request", ran=Ran.UNKNOWN
+                "the response belongs to another request",
+                ran=ExecutionStatus.UNKNOWN,
             )
 
 
@@ -431,7 +435,9 @@
     names = {name.lower() for name, _ in response.headers}
     if b"content-length" in names or b"transfer-encoding" in names:
         return
-    raise RequestFailedError("the response has no length", ran=Ran.RAN)
+    raise RequestFailedError(
+        "the response has no length", ran=ExecutionStatus.RAN
+    )
 
 
 def _lower_names(headers) -> tuple[Header, ...]:
--- a/daisyhub/connections/_connection.py
+++ b/daisyhub/connections/_connection.py
@@ -10,7 +10,7 @@
 import httpcore
 from httpcore import AnyIOBackend, AsyncNetworkStream
 
-from daisyhub.exceptions import DaisyhubError, Ran
+from daisyhub.exceptions import DaisyhubError, ExecutionStatus
 from daisyhub.settings import Address
 
 __all__ = ["Connection", "RequestFailedError", "connect", "mapped_errors"]
@@ -36,7 +36,9 @@
 
     code = "request_failed"
 
-    def __init__(self, detail: str, *, ran: Ran, timed_out: bool = False):
+    def __init__(
+        self, detail: str, *, ran: ExecutionStatus, timed_out: bool = False
+    ):
         super().__init__(detail)
         self.ran = ran
         self.timed_out = timed_out
@@ -126,11 +128,15 @@
                 )
 
     @property
-    def ran(self) -> Ran:
+    def ran(self) -> ExecutionStatus:
         """Whether the current request was executed, as far as is known."""
         if self.has_response_head:
-            return Ran.RAN
-        return Ran.UNKNOWN if self._stream.has_sent else Ran.NOT_RUN
+            return ExecutionStatus.RAN
+        return (
+            ExecutionStatus.UNKNOWN
+            if self._stream.has_sent
+            else ExecutionStatus.NOT_RUN
+        )
 
     def is_reusable(self) -> bool:
         """Whether the last response was complete and no bytes followed it.
--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -15,7 +15,7 @@
 from daisyhub.connections import HttpClient, RequestFailedError
 from daisyhub.connections import _client as client_module
 from daisyhub.connections._connection import Connection
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.settings import Address
 from daisyhub.testing.hostile_server import (
     BEHAVIOURS,
@@ -138,7 +138,7 @@
         self.server.silence()
         with self.assertRaises(RequestFailedError) as caught:
             await self.get("/silent/ok", timeout_s=0.1)
-        self.assertEqual(caught.exception.ran, Ran.UNKNOWN)
+        self.assertEqual(caught.exception.ran, ExecutionStatus.UNKNOWN)
         response = await self.get("/again/ok")
         self.assertEqual(response.body, body_of("again"))
         self.assertEqual(self.server.connections, 6)
@@ -153,7 +153,7 @@
         await self.server.stop()
         with self.assertRaises(RequestFailedError) as caught:
             await self.get("/r/ok")
-        self.assertEqual(caught.exception.ran, Ran.NOT_RUN)
+        self.assertEqual(caught.exception.ran, ExecutionStatus.NOT_RUN)
 
     async def test_a_truncated_stream_raises(self):
         for behaviour in ("cut", "cut_chunked"):
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -16,7 +16,7 @@
 from msgspec.structs import replace
 
 from daisyhub.base import Core
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 from daisyhub.filters._claim_types import (
     ClaimCancelled,
     ClaimReadCompleted,
@@ -48,7 +48,11 @@
 # their response bodies.
 _MAX_PENDING = 4096
 _MAX_PENDING_BYTES = 4 << 20
-_FINAL_STATES = {Ran.NOT_RUN: "free", Ran.RAN: "ran", Ran.UNKNOWN: "unknown"}
+_FINAL_STATES = {
+    ExecutionStatus.NOT_RUN: "free",
+    ExecutionStatus.RAN: "ran",
+    ExecutionStatus.UNKNOWN: "unknown",
+}
 
 
 @dataclasses.dataclass(slots=True)
@@ -251,7 +255,7 @@
         if event.attempt in self._claiming:
             self._on_claim_written(ClaimWriteUncertain(event.attempt), now_s)
         if event.attempt in self._running:
-            self._on_ended(RequestEnded(event.attempt, Ran.UNKNOWN))
+            self._on_ended(RequestEnded(event.attempt, ExecutionStatus.UNKNOWN))
         if event.attempt in self._storing:
             self._on_final_written(ClaimWriteUncertain(event.attempt), now_s)
         return []
@@ -350,27 +354,33 @@
         case "done":
             return ReplayResponse(attempt, record.answer)
         case "ran":
-            return RefuseRequest(attempt, ErrorCode.ANSWER_NOT_KEPT, Ran.RAN)
+            return RefuseRequest(
+                attempt, ErrorCode.ANSWER_NOT_KEPT, ExecutionStatus.RAN
+            )
         case "claimed":
             # Its daemon may still be running the request, or may have died.
             return RefuseRequest(
                 attempt,
                 ErrorCode.OUTCOME_UNKNOWN,
-                Ran.UNKNOWN,
+                ExecutionStatus.UNKNOWN,
                 _IN_PROGRESS_RETRY_DELAY_S,
             )
-    return RefuseRequest(attempt, ErrorCode.OUTCOME_UNKNOWN, Ran.UNKNOWN)
+    return RefuseRequest(
+        attempt, ErrorCode.OUTCOME_UNKNOWN, ExecutionStatus.UNKNOWN
+    )
 
 
 def _refuse_mismatch(attempt: str) -> RefuseRequest:
-    return RefuseRequest(attempt, ErrorCode.CLAIM_MISMATCH, Ran.NOT_RUN)
+    return RefuseRequest(
+        attempt, ErrorCode.CLAIM_MISMATCH, ExecutionStatus.NOT_RUN
+    )
 
 
 def _refuse_in_progress(attempt: str) -> RefuseRequest:
     return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_IN_PROGRESS,
-        Ran.UNKNOWN,
+        ExecutionStatus.UNKNOWN,
         _IN_PROGRESS_RETRY_DELAY_S,
     )
 
@@ -379,6 +389,6 @@
     return RefuseRequest(
         attempt,
         ErrorCode.CLAIM_UNAVAILABLE,
-        Ran.NOT_RUN,
+        ExecutionStatus.NOT_RUN,
         _UNAVAILABLE_RETRY_DELAY_S,
     )
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 
 __all__ = [
     "ClaimRequested",
@@ -137,7 +137,7 @@
     """
 
     attempt: str
-    ran: Ran
+    ran: ExecutionStatus
     response: StoredResponse | None = None
 
 
@@ -204,7 +204,7 @@
 
     attempt: str
     error: ErrorCode
-    ran: Ran
+    ran: ExecutionStatus
     retry_after_s: float | None = None
 
 
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -18,7 +18,7 @@
     ResponseStream,
     StreamedResponse,
 )
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.filters._attempts import AttemptOutcome, run_attempts
 from daisyhub.filters._forward_core import (
     AttemptCompleted,
@@ -114,7 +114,7 @@
         """Sends the request to one endpoint and applies its reported state."""
         state = self._table.get(action.endpoint_id)
         if state is None:
-            return _make_failed_outcome(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
         self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
@@ -127,7 +127,7 @@
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
-                incomplete=exc.ran is Ran.RAN,
+                incomplete=exc.ran is ExecutionStatus.RAN,
             )
         except anyio.get_cancelled_exc_class():
             failed = False
@@ -140,7 +140,7 @@
         if _NOT_RUN_HEADER in answer.headers:
             if isinstance(answer, StreamedResponse):
                 await answer.aclose()
-            return _make_failed_outcome(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
         return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
@@ -182,7 +182,7 @@
 
 def _make_failed_outcome(
     action: StartAttempt,
-    ran: Ran,
+    ran: ExecutionStatus,
     *,
     timed_out: bool = False,
     incomplete: bool = False,
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from daisyhub.base import Core
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 
 __all__ = [
     "AttemptCompleted",
@@ -32,7 +32,11 @@
 _MAX_ATTEMPTS = 3
 _RETRY_AFTER_S = 1.0
 # The larger of two outcomes is the one that the caller must assume.
-_RAN_RANK = {Ran.NOT_RUN: 0, Ran.UNKNOWN: 1, Ran.RAN: 2}
+_RAN_RANK = {
+    ExecutionStatus.NOT_RUN: 0,
+    ExecutionStatus.UNKNOWN: 1,
+    ExecutionStatus.RAN: 2,
+}
 _NO_EXCLUSIONS: frozenset[str] = frozenset()
 
 
@@ -96,7 +100,7 @@
     """
 
     attempt: int
-    ran: Ran
+    ran: ExecutionStatus
     timed_out: bool = False
     incomplete: bool = False
     was_sent: bool = True
@@ -143,7 +147,7 @@
     """
 
     error: ErrorCode
-    ran: Ran
+    ran: ExecutionStatus
     retry_after_s: float | None = None
 
 
@@ -171,7 +175,7 @@
         self._open_attempts: set[int] = set()
         self._attempt_count = 0
         self._unsent_count = 0
-        self._ran = Ran.NOT_RUN
+        self._ran = ExecutionStatus.NOT_RUN
         self._timed_out = False
         self._incomplete = False
         self._hedge_at_s: float | None = None
@@ -221,7 +225,7 @@
 
     def _on_tick(self, now_s: float) -> list[object]:
         if now_s >= self.plan.deadline_s and self._open_attempts:
-            self._ran = _max_ran(self._ran, Ran.UNKNOWN)
+            self._ran = _max_ran(self._ran, ExecutionStatus.UNKNOWN)
             return [self._fail_request(ErrorCode.ENDPOINT_TIMEOUT)]
         if self._hedge_at_s is None or now_s < self._hedge_at_s:
             return []
@@ -255,7 +259,9 @@
         self._incomplete |= event.incomplete
         self._ran = _max_ran(self._ran, event.ran)
         self._unsent_count += not event.was_sent
-        can_repeat = self.plan.idempotent or event.ran is Ran.NOT_RUN
+        can_repeat = (
+            self.plan.idempotent or event.ran is ExecutionStatus.NOT_RUN
+        )
         actions = []
         if can_repeat:
             actions = self._start_repeat(now_s, is_uncharged=not event.was_sent)
@@ -272,7 +278,9 @@
 
     def _fail_request(self, error: ErrorCode) -> FailRequest:
         self._is_finished = True
-        is_retry_safe = self.plan.idempotent or self._ran is Ran.NOT_RUN
+        is_retry_safe = (
+            self.plan.idempotent or self._ran is ExecutionStatus.NOT_RUN
+        )
         return FailRequest(
             error=error,
             ran=self._ran,
@@ -280,5 +288,5 @@
         )
 
 
-def _max_ran(one: Ran, other: Ran) -> Ran:
+def _max_ran(one: ExecutionStatus, other: ExecutionStatus) -> ExecutionStatus:
     return max(one, other, key=_RAN_RANK.__getitem__)
--- a/daisyhub/filters/_idempotency.py
+++ b/daisyhub/filters/_idempotency.py
@@ -8,7 +8,7 @@
 import hashlib
 
 from daisyhub.base import Filter, Handler
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.filters._claim_controller import ClaimController
 from daisyhub.filters._claim_types import (
     ClaimRequested,
@@ -89,7 +89,7 @@
             await self._claims.store_outcome(ended, req.deadline_s)
             raise
         ended = RequestEnded(
-            req.request_id, Ran.RAN, _make_stored_response(resp)
+            req.request_id, ExecutionStatus.RAN, _make_stored_response(resp)
         )
         await self._claims.store_outcome(ended, req.deadline_s)
         return resp
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, rule
 
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 from daisyhub.filters import (
     ClaimCancelled,
     ClaimCore,
@@ -87,9 +87,15 @@
         del self.next_actions[action.attempt]
         if isinstance(action, ReplayResponse):
             assert action.response == self.responses[key]
-        if isinstance(action, RefuseRequest) and action.ran is Ran.NOT_RUN:
+        if (
+            isinstance(action, RefuseRequest)
+            and action.ran is ExecutionStatus.NOT_RUN
+        ):
             assert action.attempt not in self.executed
-        if isinstance(action, RefuseRequest) and action.ran is Ran.RAN:
+        if (
+            isinstance(action, RefuseRequest)
+            and action.ran is ExecutionStatus.RAN
+        ):
             assert self.run_counts[key] == 1
 
     @rule(
@@ -155,7 +161,11 @@
 
     def run_request(self, attempt, key, request_outcome):
         if request_outcome in ("not_run", "lost"):
-            ran = Ran.NOT_RUN if request_outcome == "not_run" else Ran.UNKNOWN
+            ran = (
+                ExecutionStatus.NOT_RUN
+                if request_outcome == "not_run"
+                else ExecutionStatus.UNKNOWN
+            )
             if request_outcome == "lost":
                 self.blocked.add(key)
             return RequestEnded(attempt, ran)
@@ -163,13 +173,13 @@
         self.run_counts[key] += 1
         assert self.run_counts[key] <= 1, f"{key} ran twice"
         if request_outcome == "response_lost":
-            return RequestEnded(attempt, Ran.UNKNOWN)
+            return RequestEnded(attempt, ExecutionStatus.UNKNOWN)
         if request_outcome == "large":
-            return RequestEnded(attempt, Ran.RAN)
+            return RequestEnded(attempt, ExecutionStatus.RAN)
         if request_outcome == "cancelled":
             return ClaimCancelled(attempt)
         self.responses[key] = StoredResponse(status=201, body=attempt.encode())
-        return RequestEnded(attempt, Ran.RAN, self.responses[key])
+        return RequestEnded(attempt, ExecutionStatus.RAN, self.responses[key])
 
     @rule(data=st.data())
     def apply_late_write(self, data):
@@ -251,8 +261,8 @@
     """Broken: a request with an unknown outcome frees its key."""
 
     def _on_ended(self, event):
-        if event.ran is Ran.UNKNOWN:
-            event = RequestEnded(event.attempt, Ran.NOT_RUN)
+        if event.ran is ExecutionStatus.UNKNOWN:
+            event = RequestEnded(event.attempt, ExecutionStatus.NOT_RUN)
         return super()._on_ended(event)
 
 
@@ -295,7 +305,7 @@
         response = StoredResponse(status=201, body=b"one")
         core.handle(ClaimRequested("a1", "k", "digest"), 0.0)
         core.handle(ClaimStored("a1", 1), 0.0)
-        core.handle(RequestEnded("a1", Ran.RAN, response), 0.0)
+        core.handle(RequestEnded("a1", ExecutionStatus.RAN, response), 0.0)
         actions = core.handle(ClaimWriteUncertain("a1"), 0.0)
         self.assertEqual(actions, [ReturnOutcome("a1")])
         (action,) = core.handle(ClaimRequested("a2", "k", "digest"), 1.0)
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -15,7 +15,7 @@
     rule,
 )
 
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 from daisyhub.filters import (
     AttemptCompleted,
     AttemptFailed,
@@ -33,10 +33,10 @@
 RETRY_SHARE, RETRY_RESERVE = 0.1, 10
 # The outcome that the daemon observes, and whether the request really ran.
 FAILURES = (
-    (Ran.NOT_RUN, False),
-    (Ran.UNKNOWN, False),
-    (Ran.UNKNOWN, True),
-    (Ran.RAN, True),
+    (ExecutionStatus.NOT_RUN, False),
+    (ExecutionStatus.UNKNOWN, False),
+    (ExecutionStatus.UNKNOWN, True),
+    (ExecutionStatus.RAN, True),
 )
 
 
@@ -98,7 +98,7 @@
         if isinstance(action, DeliverResponse):
             return
         assert isinstance(action, FailRequest)
-        if action.ran is Ran.NOT_RUN:
+        if action.ran is ExecutionStatus.NOT_RUN:
             assert not request.run_count, "refused as not run though it ran"
             assert not any(request.open_attempts.values())
             assert action.retry_after_s
@@ -190,8 +190,10 @@
     """Broken: an unknown outcome counts as not run."""
 
     def _on_failed(self, event, now_s):
-        if event.ran is Ran.UNKNOWN:
-            event = AttemptFailed(attempt=event.attempt, ran=Ran.NOT_RUN)
+        if event.ran is ExecutionStatus.UNKNOWN:
+            event = AttemptFailed(
+                attempt=event.attempt, ran=ExecutionStatus.NOT_RUN
+            )
         return super()._on_failed(event, now_s)
 
 
--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -7,7 +7,7 @@
 
 from daisyhub.base import Handler
 from daisyhub.connections import RequestFailedError
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.gateway._wire import CallerWire
 from daisyhub.logs import DecisionLog
 from daisyhub.messages import Request, Response
@@ -99,7 +99,7 @@
                 refusal = Refusal(
                     ErrorCode.INTERNAL,
                     "an internal error occurred",
-                    ran=Ran.UNKNOWN,
+                    ran=ExecutionStatus.UNKNOWN,
                 )
                 resp = self._refuse(refusal, req)
             tasks.cancel_scope.cancel()
--- a/daisyhub/gateway/_send_filter.py
+++ b/daisyhub/gateway/_send_filter.py
@@ -3,7 +3,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.billing import UsageMeter
 from daisyhub.catalog import RouteKind
-from daisyhub.exceptions import Ran, Refusal
+from daisyhub.exceptions import ExecutionStatus, Refusal
 from daisyhub.gateway._sender import Sender, SendTask
 from daisyhub.messages import Request, Response
 
@@ -47,7 +47,7 @@
         try:
             return await self._sender.send(task)
         except Refusal as exc:
-            has_run = exc.ran is not Ran.NOT_RUN
+            has_run = exc.ran is not ExecutionStatus.NOT_RUN
             raise
         finally:
             self._meter.close(token, has_run=has_run)
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -15,7 +15,7 @@
     ResponseStream,
     StreamedResponse,
 )
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.filters import (
     AttemptCompleted,
     AttemptFailed,
@@ -194,7 +194,7 @@
         """Sends the request to one endpoint and records the result."""
         endpoint = self._directory.get(action.endpoint_id)
         if endpoint is None:
-            return _make_failed_outcome(action, Ran.NOT_RUN)
+            return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
         sent_s = time.monotonic()
         endpoint_id = action.endpoint_id
         load = endpoint.load(sent_s)
@@ -214,8 +214,8 @@
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
-                incomplete=exc.ran is Ran.RAN,
-                was_sent=exc.ran is not Ran.NOT_RUN,
+                incomplete=exc.ran is ExecutionStatus.RAN,
+                was_sent=exc.ran is not ExecutionStatus.NOT_RUN,
             )
         except anyio.get_cancelled_exc_class():
             now_s = time.monotonic()
@@ -278,7 +278,7 @@
             self._directory.record_failed(endpoint_id, token, now_s)
         else:
             self._directory.record_closed(endpoint_id, token)
-        return _make_failed_outcome(action, Ran.NOT_RUN)
+        return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
 
     def _update_load(
         self, endpoint_id: str, head: EndpointResponseHead, now_s: float
@@ -319,7 +319,7 @@
 
 def _make_failed_outcome(
     action: StartAttempt,
-    ran: Ran,
+    ran: ExecutionStatus,
     *,
     timed_out: bool = False,
     incomplete: bool = False,
@@ -343,11 +343,11 @@
     the code OVERLOADED (or NO_ENDPOINT) and states when to retry.
     """
     error = action.error
-    if action.ran is Ran.NOT_RUN:
+    if action.ran is ExecutionStatus.NOT_RUN:
         has_endpoint = error is not ErrorCode.NO_ENDPOINT
         error = ErrorCode.OVERLOADED if has_endpoint else error
     retry_after_s = None
-    if action.ran is Ran.NOT_RUN:
+    if action.ran is ExecutionStatus.NOT_RUN:
         retry_after_s = max(_MIN_RETRY_AFTER_S, _RETRY_AFTER_FACTOR * median_s)
     return Refusal(
         error, _DETAILS[error], ran=action.ran, retry_after_s=retry_after_s
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from daisyhub.exceptions import ErrorCode, Ran
+from daisyhub.exceptions import ErrorCode, ExecutionStatus
 from daisyhub.filters import (
     AttemptFailed,
     FailRequest,
@@ -26,12 +26,12 @@
 
 def unsent_failure(action):
     return AttemptFailed(
-        attempt=action.attempt, ran=Ran.NOT_RUN, was_sent=False
+        attempt=action.attempt, ran=ExecutionStatus.NOT_RUN, was_sent=False
     )
 
 
 def refused_failure(action):
-    return AttemptFailed(attempt=action.attempt, ran=Ran.NOT_RUN)
+    return AttemptFailed(attempt=action.attempt, ran=ExecutionStatus.NOT_RUN)
 
 
 class UnsentAttemptsTest(unittest.TestCase):
@@ -55,7 +55,7 @@
             (action,) = forward.handle(unsent_failure(action), 0.0)
             tries += 1
         self.assertIsInstance(action, FailRequest)
-        self.assertIs(action.ran, Ran.NOT_RUN)
+        self.assertIs(action.ran, ExecutionStatus.NOT_RUN)
         self.assertLessEqual(tries, 6)
 
     def test_attempts_that_an_endpoint_refused_count(self):
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -4,7 +4,7 @@
 
 from daisyhub.billing import OrderDeskClient, OrderDeskOutcome
 from daisyhub.connections import HttpClient, RequestFailedError
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 
@@ -73,7 +73,7 @@
             )
         except RequestFailedError as exc:
             self._log.record("desk_call_failed", path=path, reason=str(exc))
-            is_sent = exc.ran is not Ran.NOT_RUN
+            is_sent = exc.ran is not ExecutionStatus.NOT_RUN
             return (
                 OrderDeskOutcome.UNKNOWN
                 if is_sent
--- a/daisyhub/serving/_callers_app.py
+++ b/daisyhub/serving/_callers_app.py
@@ -8,7 +8,7 @@
 
 from daisyhub.base import Handler
 from daisyhub.connections import RequestFailedError
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger
 from daisyhub.messages import BodyReader, Request, Response
@@ -112,7 +112,7 @@
             exc = Refusal(
                 ErrorCode.INTERNAL,
                 "an internal error occurred",
-                ran=Ran.UNKNOWN,
+                ran=ExecutionStatus.UNKNOWN,
             )
             resp = problem_response(exc, request_id)
         await self._send_response(
