--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -85,7 +85,7 @@
         """Returns the windows that ended and aren't reported yet."""
         return {"waiting": list(self._core.open_windows)}
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Runs until the duty is lost; see `DutyBoundController.hold`."""
         self._core = WindowCore(self._window_s, self._report_deadline_s)
         async with anyio.create_task_group() as tasks:
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -204,7 +204,7 @@
             "waiting": self._core.waiting_items,
         }
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Runs lots until the duty is lost."""
         watcher = KindWatcher(
             self._deps.store, LOTS_KIND, self._deps.log, self._on_lot_changed
--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -53,7 +53,7 @@
         """Tells the machines whose request isn't answered."""
         return {"waiting": sorted(self._waiting)}
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Works until the duty is lost; see `DutyBoundController.hold`."""
         watcher = KindWatcher(self._store, _KIND, self._log, self._on_request)
         async with anyio.create_task_group() as tasks:
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -118,7 +118,7 @@
             "serves": dict(self._model_by_engine),
         }
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Runs until the duty is lost; see `DutyBoundController.hold`."""
         watcher = KindWatcher(
             self._store, self._reader.kind, self._log, self._on_version_object
