--- a/daisyhub/filters/_measure.py
+++ b/daisyhub/filters/_measure.py
@@ -81,7 +81,7 @@
             return
         self._metrics.count("served", pool=req.route.pool)
         self._metrics.count("served_tokens", resp.tokens, pool=req.route.pool)
-        self._metrics.accounts.add_served(req.account, elapsed_s, now_s)
+        self._metrics.accounts.record_served(req.account, elapsed_s, now_s)
 
 
 def _route_label(req: Request) -> str:
--- a/daisyhub/metrics.py
+++ b/daisyhub/metrics.py
@@ -72,7 +72,7 @@
         self._before: dict[str, _Served] = {}
         self._period = 0
 
-    def add_served(self, account: str, took_s: float, now_s: float) -> None:
+    def record_served(self, account: str, took_s: float, now_s: float) -> None:
         """Notes a whole answer."""
         served = self._of(account, now_s)
         served.served += 1
