--- a/daisyhub/filters/_measure.py
+++ b/daisyhub/filters/_measure.py
@@ -65,7 +65,7 @@
     def _record_refusal(self, req: Request, exc: Refusal) -> None:
         route = _route_label(req)
         self._metrics.count("route_refusals", route=route, code=exc.code)
-        self._metrics.accounts.add_refused(req.account, time.monotonic())
+        self._metrics.accounts.record_refused(req.account, time.monotonic())
 
     def _record_response(self, req: Request, resp: Response) -> None:
         now_s = time.monotonic()
--- a/daisyhub/metrics.py
+++ b/daisyhub/metrics.py
@@ -79,7 +79,7 @@
         bucket = bisect.bisect_left(_BUCKET_BOUNDS_S, took_s)
         served.buckets[bucket] = served.buckets.get(bucket, 0) + 1
 
-    def add_refused(self, account: str, now_s: float) -> None:
+    def record_refused(self, account: str, now_s: float) -> None:
         """Notes a refusal."""
         self._of(account, now_s).refused += 1
 
--- a/daisyhub/tests/test_metrics.py
+++ b/daisyhub/tests/test_metrics.py
@@ -11,7 +11,7 @@
             service.record_served("archive", 0.5 if number < 3 else 0.010, 60.0)
             service.record_served("dispatch", 0.010, 60.0)
         for _ in range(25):
-            service.add_refused("dispatch", 60.0)
+            service.record_refused("dispatch", 60.0)
         service.record_served("rare", 9.0, 60.0)
         worst = service.worst(61.0)
         self.assertEqual(worst.slowest, "archive")
