--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -32,8 +32,8 @@
 from daisyhub.filters import build_chain
 from daisyhub.fleet_settings import (
     FleetSettings,
-    address_of,
     load_fleet_settings,
+    parse_address,
 )
 from daisyhub.gateway import (
     BodyFilter,
@@ -131,7 +131,7 @@
         self.network = PeerNetwork(cfg, self.incarnation, CLUSTER_PROTOCOL)
         self.peers = PeerTable(cfg.daemon_id, self.log)
         direct = PlatformStore(
-            address_of(cfg.store), self.http, cfg.call_timeout_s
+            parse_address(cfg.store), self.http, cfg.call_timeout_s
         )
         carrier = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
@@ -149,7 +149,7 @@
         self.cluster = ClusterController(
             cfg.daemon_id,
             cfg.peer_address,
-            tuple(address_of(seed) for seed in cfg.seeds),
+            tuple(parse_address(seed) for seed in cfg.seeds),
             self.network,
             self.peers,
             self.clock,
@@ -200,7 +200,10 @@
             self._live_incarnations,
             self.store,
             PlatformOrderDeskClient(
-                address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
+                parse_address(cfg.order_desk),
+                cfg.daemon_id,
+                self.http,
+                self.log,
             ),
             self.clock.now_s,
             cfg.usage_window_s,
@@ -312,12 +315,14 @@
             handler, PlatformCallerWire(), self.metrics, self.log
         )
         self.callers_server = HttpServer(
-            self.app, address_of(cfg.callers), cfg.grace_s
+            self.app, parse_address(cfg.callers), cfg.grace_s
         )
         operators = OperatorsApp(
             self.metrics, self.is_ready, self.status, "/v1/readiness"
         )
-        self.readiness_server = HttpServer(operators, address_of(cfg.readiness))
+        self.readiness_server = HttpServer(
+            operators, parse_address(cfg.readiness)
+        )
         self.metrics_server = HttpServer(operators, cfg.metrics_address)
 
     @property
--- a/daisyhub/platform/_servers.py
+++ b/daisyhub/platform/_servers.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from daisyhub.balancing import EndpointEntry
-from daisyhub.fleet_settings import address_of
+from daisyhub.fleet_settings import parse_address
 
 __all__ = ["SERVERS_KIND", "read_server"]
 
@@ -48,7 +48,7 @@
     return EndpointEntry(
         endpoint_id=endpoint_id,
         pool=found.service,
-        address=address_of(found.address),
+        address=parse_address(found.address),
         domain=found.zone,
         incarnation=found.born,
         slots=max(1, found.slots),
