--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -86,7 +86,7 @@
         return {"waiting": list(self._core.open_windows)}
 
     async def run_with_duty(self) -> None:
-        """Runs until the duty is lost; see `DutyBoundController.hold`."""
+        """Runs until the duty is lost; see the base class."""
         self._core = WindowCore(self._window_s, self._report_deadline_s)
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -119,7 +119,7 @@
         }
 
     async def run_with_duty(self) -> None:
-        """Runs until the duty is lost; see `DutyBoundController.hold`."""
+        """Runs until the duty is lost; see the base class."""
         watcher = KindWatcher(
             self._store, self._reader.kind, self._log, self._on_version_object
         )
