--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -76,7 +76,7 @@
 
 __all__ = ["FleetDaemon"]
 
-_US_PER_NS = 1000
+_NS_PER_US = 1000
 _MS_PER_S = 1000.0
 # Seconds after which a part that failed is started again.
 _RESTART_PAUSE_S = 0.5
@@ -106,7 +106,7 @@
     def __init__(self, cfg: FleetSettings, settings_path: str):
         self.cfg = cfg
         self._settings_path = settings_path
-        self.incarnation = time.time_ns() // _US_PER_NS
+        self.incarnation = time.time_ns() // _NS_PER_US
         self.log = DecisionLog(cfg.daemon_id)
         self.metrics = Metrics()
         self._endpoint_wire = PlatformEndpointWire()
