--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -1,4 +1,9 @@
-"""Usage: counts of each daemon, windows sealed once, reports."""
+"""Usage accounting and rate limits of client accounts.
+
+Each daemon counts the requests it serves, copies the counts to peers and
+flushes them to the platform. One daemon of a failure domain seals the windows
+and reports them. Daemons also share the accounts' rate limits.
+"""
 
 from daisyhub.accounting._counters import PeerUsage, UsageCounters
 from daisyhub.accounting._flush_core import (
@@ -11,9 +16,9 @@
     WriteStore,
 )
 from daisyhub.accounting._ledger import (
-    EpochMark,
     Ledger,
-    Marks,
+    SealedParts,
+    SealedRanges,
     SealedWindow,
     StoredReport,
     seal,
@@ -24,7 +29,7 @@
     PartStore,
     UsageCount,
     UsagePart,
-    window_of,
+    window_start,
 )
 from daisyhub.accounting._rate_shares import RateShares
 from daisyhub.accounting._seal_core import (
@@ -53,20 +58,18 @@
 )
 
 __all__ = [
-    "LoanRequested",
     "CallFailed",
     "EmptyStore",
-    "EpochMark",
     "FlushCore",
     "FlushTick",
-    "LoanGranted",
     "Ledger",
     "LedgerRead",
     "LedgerWriteRejected",
     "LedgerWritten",
     "ListParts",
     "ListedStore",
-    "Marks",
+    "LoanGranted",
+    "LoanRequested",
     "PartCount",
     "PartStore",
     "PartsListed",
@@ -77,9 +80,11 @@
     "ReportAccepted",
     "SealCore",
     "SealTick",
+    "SealedParts",
+    "SealedRanges",
     "SealedWindow",
-    "SendLoanRequest",
     "SendLoanGrant",
+    "SendLoanRequest",
     "SendReport",
     "ShareCore",
     "ShareTick",
@@ -94,5 +99,5 @@
     "WriteLedger",
     "WriteStore",
     "seal",
-    "window_of",
+    "window_start",
 ]
--- a/daisyhub/rollouts/_group_choice.py
+++ b/daisyhub/rollouts/_group_choice.py
@@ -1,62 +1,71 @@
-"""Chooses which groups a lot commits to the pulls that wait."""
+"""Selects the groups that a lot commits to waiting pulls."""
 
 from collections.abc import Iterable
 
 from daisyhub.rollouts._lot_events import CountUsage, PullRequested
 from daisyhub.rollouts._slot_table import SlotTable
 
-__all__ = ["choose_groups", "usage_of"]
+__all__ = ["choose_groups", "chosen_usage"]
 
-Chosen = dict[str, tuple[int, ...]]
+ChosenGroups = dict[str, tuple[int, ...]]
 
 
 def choose_groups(
     pulls: Iterable[PullRequested],
     slots: SlotTable,
-    owned: set[int],
+    committed: set[int],
     max_staleness: int,
     now_s: float,
-) -> Chosen:
-    """Returns whole, fresh groups for each pull id that has none yet.
+) -> ChosenGroups:
+    """Returns complete, fresh groups by pull id, without empty entries.
 
     Args:
-        pulls: Calls whose pull ids aren't stored. Of two with the same id the
-            one with the newer version counts.
-        slots: The samples; those found too old are dropped.
-        owned: Groups that a stored pull names.
-        max_staleness: Largest distance from the version in the call.
+        pulls: Calls whose pull ids aren't stored. Of several calls with the
+            same id the one with the newest version is used.
+        slots: The samples; stale ones are discarded.
+        committed: Groups that are committed to a stored pull.
+        max_staleness: How many versions a sample may be older than the version
+            in the call.
         now_s: Monotonic time in seconds.
     """
     waiting: dict[str, PullRequested] = {}
     for call in pulls:
-        known = waiting.get(call.pull_id)
-        if known is None or known.version < call.version:
+        previous = waiting.get(call.pull_id)
+        if previous is None or previous.version < call.version:
             waiting[call.pull_id] = call
-    free = [group for group in slots.whole_groups if group not in owned]
+    unassigned = [
+        group for group in slots.complete_groups if group not in committed
+    ]
     chosen = {}
     for pull_id, call in waiting.items():
         oldest = call.version - max_staleness
-        groups = _fresh_groups(call.max_groups, free, slots, oldest, now_s)
+        groups = _fresh_groups(
+            call.max_groups, unassigned, slots, oldest, now_s
+        )
         if groups:
             chosen[pull_id] = groups
-            free = [group for group in free if group not in groups]
+            unassigned = [group for group in unassigned if group not in groups]
     return chosen
 
 
 def _fresh_groups(
-    most: int, free: list[int], slots: SlotTable, oldest: int, now_s: float
+    max_groups: int,
+    unassigned: list[int],
+    slots: SlotTable,
+    oldest: int,
+    now_s: float,
 ) -> tuple[int, ...]:
     fresh = []
-    for group in free:
-        if len(fresh) == most:
+    for group in unassigned:
+        if len(fresh) == max_groups:
             break
-        if slots.is_fresh(group, oldest, now_s):
+        if slots.discard_stale_samples(group, oldest, now_s):
             fresh.append(group)
     return tuple(fresh)
 
 
-def usage_of(chosen: Chosen, slots: SlotTable) -> CountUsage:
-    """Returns what to bill once the chosen groups are known to be stored."""
+def chosen_usage(chosen: ChosenGroups, slots: SlotTable) -> CountUsage:
+    """Returns the usage to bill once the chosen groups are stored."""
     groups = tuple(group for part in chosen.values() for group in part)
     tokens = tuple(
         len(sample.tokens)
