--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -78,22 +78,22 @@
     """
 
     groups: dict[int, list] = dataclasses.field(default_factory=dict)
-    doubled: int = 0
-    stale: int = 0
-    mixed: int = 0
+    duplicate_groups: int = 0
+    stale_samples: int = 0
+    mixed_version_samples: int = 0
     idle_s: float = 0.0
-    repeats: int = 0
+    retries: int = 0
 
     def take(self, groups: list, version: int, max_staleness: int) -> None:
         """Takes the groups of one pull."""
         for group in groups:
             if group["group"] in self.groups:
-                self.doubled += 1
+                self.duplicate_groups += 1
             self.groups[group["group"]] = group["samples"]
             for sample in group["samples"]:
                 versions = {span["version"] for span in sample["spans"]}
-                self.stale += min(versions) < version - max_staleness
-                self.mixed += len(versions) > 1
+                self.stale_samples += min(versions) < version - max_staleness
+                self.mixed_version_samples += len(versions) > 1
 
 
 async def run_trainer(
@@ -139,7 +139,7 @@
                 if answer.status == _OK:
                     return msgspec.json.decode(answer.body)
             turn += 1
-            result.repeats += 1
+            result.retries += 1
             await anyio.sleep(0.1)
 
     async def pull(pull_id: str) -> bool:
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -171,10 +171,16 @@
         _check(len(result.groups) == 24, f"{len(result.groups)} groups of 24")
         sizes = {len(samples) for samples in result.groups.values()}
         _check(sizes == {4}, f"group sizes {sizes}")
-        _check(not result.doubled, f"{result.doubled} groups came twice")
-        _check(not result.stale, f"{result.stale} samples were stale")
+        _check(
+            not result.duplicate_groups,
+            f"{result.duplicate_groups} groups came twice",
+        )
+        _check(
+            not result.stale_samples,
+            f"{result.stale_samples} samples were stale",
+        )
         return (
-            f"24 groups of 4, {result.mixed} samples over two versions,"
+            f"24 groups of 4, {result.mixed_version_samples} samples over two versions,"
             f" idle {result.idle_s:.2f} s"
         )
 
@@ -287,7 +293,7 @@
             except (DemoError, TimeoutError) as exc:
                 print(f"demo: failed: {exc!r}")
                 for process in demo.deployment.daemons():
-                    print(demo.deployment.log_of(process.name)[-2000:])
+                    print(demo.deployment.read_log(process.name)[-2000:])
                 return 1
     except KeyboardInterrupt:
         return 1
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -16,7 +16,7 @@
 from daisyhub.serving import HttpServer
 from daisyhub.settings import Address
 
-__all__ = ["Call", "FakeApp", "Fault", "Reply", "serve_fake"]
+__all__ = ["Request", "FakeApp", "Fault", "Response", "serve_fake"]
 
 _PORT = flags.DEFINE_integer("port", 0, "Port on loopback to listen on.")
 _FOREVER_S = 3600.0
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Call:
+class Request:
     """A request to a fake."""
 
     method: str
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Reply:
+class Response:
     """A fake's answer; `value` is sent as JSON, `chunks` as a stream."""
 
     status: int = 200
@@ -78,7 +78,7 @@
         self._silent: set[tuple] = set()
 
     @abc.abstractmethod
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call without faults."""
 
     async def __call__(self, scope, receive, send) -> None:
@@ -96,32 +96,32 @@
         fault = self._take_fault(call)
         await self._serve(call, fault, send)
 
-    async def _serve(self, call: Call, fault: Fault | None, send) -> None:
+    async def _serve(self, call: Request, fault: Fault | None, send) -> None:
         kind = fault.kind if fault else ""
         if kind == "hang":
             await anyio.sleep(_FOREVER_S)
         if kind == "error":
-            await _send(send, Reply(status=500, value={"error": "injected"}))
+            await _send(send, Response(status=500, value={"error": "injected"}))
             return
-        reply = await self.answer(call)
+        reply = await self.handle(call)
         if kind == "late":
             await anyio.sleep(fault.delay_s)
         if kind == "lose":
             await anyio.sleep(_FOREVER_S)
         await _send(send, reply, truncate=kind == "truncate")
 
-    def _change_faults(self, call: Call) -> Reply:
+    def _change_faults(self, call: Request) -> Response:
         if call.method == "DELETE":
             self._faults.clear()
-            return Reply(value={})
+            return Response(value={})
         fault = call.json(Fault)
         if fault.kind == "silent":
             self._silent |= self._clients
-            return Reply(value={"connections": len(self._silent)})
+            return Response(value={"connections": len(self._silent)})
         self._faults.append([fault, fault.count])
-        return Reply(value={})
+        return Response(value={})
 
-    def _take_fault(self, call: Call) -> Fault | None:
+    def _take_fault(self, call: Request) -> Fault | None:
         for entry in self._faults:
             fault, left = entry
             if not call.path.startswith(fault.path) or not left:
@@ -133,7 +133,7 @@
         return None
 
 
-async def _read_call(scope, receive) -> Call:
+async def _read_call(scope, receive) -> Request:
     body = b""
     while True:
         message = await receive()
@@ -142,7 +142,7 @@
             break
     query = urllib.parse.parse_qsl(scope["query_string"].decode())
     headers = {k.decode(): v.decode("latin-1") for k, v in scope["headers"]}
-    return Call(
+    return Request(
         method=scope["method"],
         path=scope["path"],
         query=dict(query),
@@ -151,7 +151,7 @@
     )
 
 
-async def _send(send, reply: Reply, *, truncate: bool = False) -> None:
+async def _send(send, reply: Response, *, truncate: bool = False) -> None:
     headers = [(b"content-type", b"application/json"), *reply.headers]
     body = b"" if reply.chunks else msgspec.json.encode(reply.value)
     if not reply.chunks:
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -82,7 +82,7 @@
         for name in self.daemon_names:
             self.start_daemon(name)
         for name in self.daemon_names:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
     def stop(self) -> None:
         """Ends every process that was started here."""
@@ -115,7 +115,7 @@
         """Sends a signal to one process."""
         self.processes[name].send_signal(number)
 
-    def log_of(self, name: str) -> list[dict]:
+    def read_log(self, name: str) -> list[dict]:
         """Returns the structured lines of a daemon."""
         text = (self.folder / f"{name}.log").read_text(encoding="utf-8")
         return [
@@ -200,13 +200,13 @@
             timeout_s=5.0,
         )
 
-    async def fault(self, name: str, fault: dict | None) -> None:
+    async def inject_fault(self, name: str, inject_fault: dict | None) -> None:
         """Makes a stand-in misbehave; None ends all its faults."""
         await self.http.request(
-            "POST" if fault else "DELETE",
+            "POST" if inject_fault else "DELETE",
             self.address(name),
             "/faults",
-            body=msgspec.json.encode(fault),
+            body=msgspec.json.encode(inject_fault),
             timeout_s=5.0,
         )
 
@@ -215,7 +215,7 @@
         answer = await self._get(self.ports["platform"], "/admin/usage")
         return json.loads(answer.body)
 
-    async def ran(self) -> list[dict]:
+    async def executed_requests(self) -> list[dict]:
         """Returns what ran at the servers."""
         runs = []
         for name in self.server_names:
@@ -252,7 +252,7 @@
             fresh=True,
         )
 
-    async def hand_in(self, daemon: str, lot_id: str, groups=3) -> int:
+    async def submit_lot(self, daemon: str, lot_id: str, groups=3) -> int:
         """Hands a lot in; returns the status."""
         answer = await self.call(
             daemon,
@@ -297,7 +297,7 @@
             return None
         return json.loads(answer.body) if answer.status == 200 else None
 
-    async def until_listed(self, daemons: list[str], lot_id: str) -> list:
+    async def read_whole_lot(self, daemons: list[str], lot_id: str) -> list:
         """Reads a lot whole, from each daemon in turn; checks positions."""
         found: list[dict] = []
         with anyio.fail_after(_START_WAIT_S):
@@ -319,7 +319,7 @@
                 if len(found) == told["total"]:
                     return found
 
-    async def until_ready(self, name: str) -> None:
+    async def wait_until_ready(self, name: str) -> None:
         """Waits until a daemon is ready."""
         port = self.ports[f"{name}/ready"]
         with anyio.fail_after(_START_WAIT_S):
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -7,18 +7,26 @@
 import asyncio
 import contextlib
 
-__all__ = ["BEHAVIOURS", "GOOD", "HostileServer", "body_of"]
-
-GOOD = ("ok", "chunked", "late", "inform", "empty", "unchanged", "close")
+__all__ = ["BEHAVIOURS", "VALID_BEHAVIOURS", "HostileServer", "expected_body"]
+
+VALID_BEHAVIOURS = (
+    "ok",
+    "chunked",
+    "late",
+    "inform",
+    "empty",
+    "unchanged",
+    "close",
+)
 BEHAVIOURS = (
-    *GOOD,
+    *VALID_BEHAVIOURS,
     *("extra", "extra_late", "crossed", "cut", "cut_chunked"),
     *("no_length", "silent", "garbage", "two_lengths"),
 )
 _PAUSE_S = 0.003
 
 
-def body_of(request_id: str) -> bytes:
+def expected_body(request_id: str) -> bytes:
     """Returns the right content for a request."""
     return f"<{request_id}>".encode() * (1 + len(request_id) * 37 % 400)
 
@@ -32,8 +40,8 @@
     """
 
     def __init__(self):
-        self.faults: list[str] = []
-        self.reused: set[str] = set()
+        self.unsafe_reuses: list[str] = []
+        self.reused_ids: set[str] = set()
         self.connections = 0
         self._silent: set[int] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -67,13 +75,13 @@
                 _, request_id, behaviour = path.split("/")
                 count += 1
                 if count > 1:
-                    self.reused.add(request_id)
+                    self.reused_ids.add(request_id)
                 if is_doubtful:
-                    self.faults.append(path)
+                    self.unsafe_reuses.append(path)
                 if number in self._silent or behaviour == "silent":
                     is_doubtful = True
                     continue
-                is_doubtful = behaviour not in (*GOOD, "extra_late")
+                is_doubtful = behaviour not in (*VALID_BEHAVIOURS, "extra_late")
                 if not await self._answer(
                     writer, method, request_id, behaviour
                 ):
@@ -94,7 +102,7 @@
 
 
 def _answer_parts(method: str, request_id: str, behaviour: str) -> list[bytes]:
-    body = body_of(request_id)
+    body = expected_body(request_id)
     half = len(body) // 2
     whole = _plain(method, request_id, body)
     chunked = _head(request_id, "transfer-encoding: chunked")
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -24,17 +24,17 @@
     """What happens to one call."""
 
     REFUSED = "refused"
-    LOST = "lost"
-    LATE = "late"
-    GONE = "gone"
-    DEAF = "deaf"
+    RESPONSE_LOST = "lost"
+    DELAYED = "late"
+    HISTORY_GONE = "gone"
+    EMPTY = "deaf"
 
 
 class MemoryStore(ObjectStore):
     """Keeps objects in memory; one instance may serve many clients.
 
     `faults` holds what happens to the next calls of a verb: refused without
-    effect, done with the answer lost, done by `carry_out_late` with the
+    effect, done with the answer lost, done by `run_delayed_writes` with the
     answer lost, history gone, or a watch that hears nothing.
     """
 
@@ -51,7 +51,7 @@
         """Lets the next calls of a verb meet faults."""
         self.faults.setdefault(verb, collections.deque()).extend(faults)
 
-    def carry_out_late(self) -> None:
+    def run_delayed_writes(self) -> None:
         """Does the writes whose answers were lost before they were done."""
         late, self._late = self._late, []
         for write in late:
@@ -76,13 +76,15 @@
         """See `ObjectStore.read`."""
         if can_be_stale:
             self.calls["late read"] += 1
-            if self._next_fault("late read") is Fault.DEAF:
+            if self._next_fault("late read") is Fault.EMPTY:
                 return None
-        return self._meet("read", lambda: self.objects.get((kind, name)))
+        return self._call_with_fault(
+            "read", lambda: self.objects.get((kind, name))
+        )
 
     async def list_all(self, kind: str) -> ObjectList:
         """See `ObjectStore.list_all`."""
-        return self._meet("list_all", lambda: self._list(kind))
+        return self._call_with_fault("list_all", lambda: self._list(kind))
 
     async def watch(
         self,
@@ -95,9 +97,9 @@
         """See `ObjectStore.watch`."""
         self.calls["late watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
-        if fault is Fault.GONE:
+        if fault is Fault.HISTORY_GONE:
             raise HistoryGoneError(kind)
-        if fault is Fault.DEAF:
+        if fault is Fault.EMPTY:
             await anyio.sleep(wait_s)
             return WatchBatch(revision=after_revision, changes=())
         if fault is not None:
@@ -119,7 +121,7 @@
                 raise ObjectConflictError(f"{kind}/{name} exists", known)
             return self._store(kind, name, spec)
 
-        return self._meet("create", write)
+        return self._call_with_fault("create", write)
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
@@ -132,7 +134,7 @@
                 raise ObjectConflictError(f"{kind}/{name} differs", known)
             return self._store(kind, name, spec, known.status)
 
-        return self._meet("replace", write)
+        return self._call_with_fault("replace", write)
 
     async def set_status(
         self, kind: str, name: str, status: bytes
@@ -145,23 +147,25 @@
                 return None
             return self._store(kind, name, known.spec, status)
 
-        return self._meet("set_status", write)
+        return self._call_with_fault("set_status", write)
 
     async def delete(self, kind: str, name: str) -> None:
         """See `ObjectStore.delete`."""
-        self._meet("delete", lambda: self.drop(kind, name))
+        self._call_with_fault("delete", lambda: self.drop(kind, name))
 
-    def _meet(self, verb: str, call):
+    def _call_with_fault(self, verb: str, call):
         """Makes a call as its fault wants it."""
         self.calls[verb] += 1
         fault = self._next_fault(verb)
         if fault is None:
             return call()
-        if fault is Fault.LOST:
+        if fault is Fault.RESPONSE_LOST:
             call()
-        elif fault is Fault.LATE:
+        elif fault is Fault.DELAYED:
             self._late.append(call)
-        is_unknown = fault in (Fault.LOST, Fault.LATE) and verb not in _READS
+        is_unknown = (
+            fault in (Fault.RESPONSE_LOST, Fault.DELAYED) and verb not in _READS
+        )
         raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
 
     def _next_fault(self, verb: str) -> Fault | None:
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -35,7 +35,7 @@
     name: str
     popen: subprocess.Popen
     address: Address
-    operators: Address | None = None
+    operators_address: Address | None = None
 
     def send_signal(self, number: int) -> None:
         """Sends a signal to this process only."""
@@ -51,9 +51,9 @@
 
     Args:
         domains: Names of the failure domains.
-        daemons_each: Daemons in each.
-        engines_each: Fake engines in each.
-        services_each: Fake services in each.
+        daemons_per_domain: Daemons in each.
+        engines_per_domain: Fake engines in each.
+        services_per_domain: Fake services in each.
         timing: Overrides of `TimingSettings`, by name.
         folder: Where settings and logs go; a temporary folder if empty.
     """
@@ -61,16 +61,16 @@
     def __init__(
         self,
         domains: tuple[str, ...] = ("busan", "ulsan"),
-        daemons_each: int = 2,
-        engines_each: int = 2,
-        services_each: int = 1,
+        daemons_per_domain: int = 2,
+        engines_per_domain: int = 2,
+        services_per_domain: int = 1,
         timing: dict[str, float] | None = None,
         folder: str = "",
     ):
         self.domains = domains
-        self.daemons_each = daemons_each
-        self.engines_each = engines_each
-        self.services_each = services_each
+        self.daemons_per_domain = daemons_per_domain
+        self.engines_per_domain = engines_per_domain
+        self.services_per_domain = services_per_domain
         self.timing = {**_FAST_TIMING, **(timing or {})}
         self.processes: dict[str, Process] = {}
         self._temporary = None
@@ -104,9 +104,9 @@
         """Starts everything and waits until it listens."""
         self._start_fake("platform", "fake_platform")
         for domain in self.domains:
-            for number in range(self.engines_each):
+            for number in range(self.engines_per_domain):
                 self._start_fake(f"engine-{domain}-{number}", "fake_engine")
-            for number in range(self.services_each):
+            for number in range(self.services_per_domain):
                 name = f"service-{domain}-{number}"
                 self._start_fake(name, "fake_service", f"--name={name}")
         await self._wait_for_listeners()
@@ -184,7 +184,10 @@
             "platform_address": {"ip": platform.ip, "port": platform.port},
             "key_hash_secret": HASH_KEY,
             "daemons": {
-                d.name: {"ip": d.operators.ip, "port": d.operators.port}
+                d.name: {
+                    "ip": d.operators_address.ip,
+                    "port": d.operators_address.port,
+                }
                 for d in self.daemons()
             },
         }
@@ -192,7 +195,7 @@
         path.write_text(json.dumps(settings, indent=2), encoding="utf-8")
         return path
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Returns what a process wrote to its log."""
         return (self.folder / f"{name}.log").read_text(encoding="utf-8")
 
@@ -230,7 +233,7 @@
         self._plans: dict[str, dict] = {}
         peers = []
         for domain in self.domains:
-            for number in range(self.daemons_each):
+            for number in range(self.daemons_per_domain):
                 name = f"daemon-{domain}-{number}"
                 self._plans[name] = self._plan(name, domain)
                 peers.append(
@@ -262,12 +265,12 @@
     async def _wait_for_listeners(self) -> None:
         for process in self.processes.values():
             if process.popen.poll() is None:
-                await self.wait_until_up(process)
+                await self.wait_until_listening(process)
 
-    async def wait_until_up(self, process: Process) -> None:
+    async def wait_until_listening(self, process: Process) -> None:
         """Waits until a process listens."""
-        address = process.operators or process.address
-        target = "/healthz" if process.operators else "/load"
+        address = process.operators_address or process.address
+        target = "/healthz" if process.operators_address else "/load"
         caller = Caller(address)
         with anyio.fail_after(_READY_WAIT_S):
             while True:
@@ -296,7 +299,7 @@
             for process in self.daemons():
                 if process.name in skip:
                     continue
-                caller = Caller(process.operators)
+                caller = Caller(process.operators_address)
                 while not is_met(await caller.json("GET", "/status")):
                     await anyio.sleep(0.01)
                 await caller.aclose()
