--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -25,7 +25,7 @@
 class Cut(MemoryStore):
     """A way to the store on which every call fails without effect."""
 
-    def _meet(self, verb, call):
+    def _call_with_fault(self, verb, call):
         self.calls[verb] += 1
         raise ObjectStoreError("cut", may_be_done=False)
 
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -78,11 +78,13 @@
             self.calls["late read"] += 1
             if self._next_fault("late read") is Fault.DEAF:
                 return None
-        return self._meet("read", lambda: self.objects.get((kind, name)))
+        return self._call_with_fault(
+            "read", lambda: self.objects.get((kind, name))
+        )
 
     async def list_all(self, kind: str) -> ObjectList:
         """See `ObjectStore.list_all`."""
-        return self._meet("list_all", lambda: self._list(kind))
+        return self._call_with_fault("list_all", lambda: self._list(kind))
 
     async def watch(
         self,
@@ -119,7 +121,7 @@
                 raise ObjectConflictError(f"{kind}/{name} exists", known)
             return self._store(kind, name, spec)
 
-        return self._meet("create", write)
+        return self._call_with_fault("create", write)
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
@@ -132,7 +134,7 @@
                 raise ObjectConflictError(f"{kind}/{name} differs", known)
             return self._store(kind, name, spec, known.status)
 
-        return self._meet("replace", write)
+        return self._call_with_fault("replace", write)
 
     async def set_status(
         self, kind: str, name: str, status: bytes
@@ -145,13 +147,13 @@
                 return None
             return self._store(kind, name, known.spec, status)
 
-        return self._meet("set_status", write)
+        return self._call_with_fault("set_status", write)
 
     async def delete(self, kind: str, name: str) -> None:
         """See `ObjectStore.delete`."""
-        self._meet("delete", lambda: self.drop(kind, name))
+        self._call_with_fault("delete", lambda: self.drop(kind, name))
 
-    def _meet(self, verb: str, call):
+    def _call_with_fault(self, verb: str, call):
         """Makes a call as its fault wants it."""
         self.calls[verb] += 1
         fault = self._next_fault(verb)
