--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -71,8 +71,8 @@
                 self.assertEqual(refused.status, status)
             unknown = await fleet.call("edge-1", "GET", "/nowhere")
             self.assertEqual(unknown.status, 404)
-            self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
-            self.assertEqual(await fleet.hand_in("edge-2", "L"), 202)
+            self.assertEqual(await fleet.submit_lot("edge-0", "L"), 202)
+            self.assertEqual(await fleet.submit_lot("edge-2", "L"), 202)
             listed = await fleet.until_listed(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
             body = await fleet.call("edge-1", "GET", "/v1/items/L?id=L-0-0")
@@ -120,7 +120,7 @@
         async with running(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(0.5)
             fleet.signal(holder, signal.SIGKILL)
             fleet.processes[holder].wait()
@@ -139,7 +139,7 @@
         async with running(event_s=0.5) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(after_s)
             fleet.signal(holder, number)
             listed = await fleet.until_listed(others, "L")
@@ -151,7 +151,7 @@
         async with running(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(0.4)
             fleet.signal(holder, signal.SIGSTOP)
             listed = await fleet.until_listed(others, "L")
@@ -169,10 +169,10 @@
                     fleet.daemon_names[number % 3], "POST", "/records/7"
                 )
                 self.assertEqual(answer.status, 200)
-            self.assertIn(await fleet.hand_in("edge-0", "L"), (503, 504))
+            self.assertIn(await fleet.submit_lot("edge-0", "L"), (503, 504))
             await fleet.fault("platform", None)
             with anyio.fail_after(10):
-                while await fleet.hand_in("edge-0", "L") != 202:
+                while await fleet.submit_lot("edge-0", "L") != 202:
                     await anyio.sleep(0.2)
             listed = await fleet.until_listed(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
@@ -227,7 +227,7 @@
 
     async def test_all_daemons_killed_lose_no_accepted_lot(self):
         async with running(event_s=0.1) as fleet:
-            self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
+            self.assertEqual(await fleet.submit_lot("edge-0", "L"), 202)
             for daemon in fleet.daemon_names:
                 fleet.signal(daemon, signal.SIGKILL)
                 fleet.processes[daemon].wait()
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -252,7 +252,7 @@
             fresh=True,
         )
 
-    async def hand_in(self, daemon: str, lot_id: str, groups=3) -> int:
+    async def submit_lot(self, daemon: str, lot_id: str, groups=3) -> int:
         """Hands a lot in; returns the status."""
         answer = await self.call(
             daemon,
