--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -73,7 +73,7 @@
             self.assertEqual(unknown.status, 404)
             self.assertEqual(await fleet.submit_lot("edge-0", "L"), 202)
             self.assertEqual(await fleet.submit_lot("edge-2", "L"), 202)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
+            listed = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
             body = await fleet.call("edge-1", "GET", "/v1/items/L?id=L-0-0")
             self.assertEqual(body.body, b"prompt")
@@ -124,7 +124,7 @@
             await anyio.sleep(0.5)
             fleet.signal(holder, signal.SIGKILL)
             fleet.processes[holder].wait()
-            listed = await fleet.until_listed(others, "L")
+            listed = await fleet.read_whole_lot(others, "L")
             self.check_lot(listed, "L")
 
     async def test_a_leaving_holder_hands_its_texts_over(self):
@@ -142,7 +142,7 @@
             self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(after_s)
             fleet.signal(holder, number)
-            listed = await fleet.until_listed(others, "L")
+            listed = await fleet.read_whole_lot(others, "L")
             self.check_lot(listed, "L")
             ran = await fleet.ran()
             self.assertTrue(any(run["resumed"] for run in ran))
@@ -154,10 +154,10 @@
             self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(0.4)
             fleet.signal(holder, signal.SIGSTOP)
-            listed = await fleet.until_listed(others, "L")
+            listed = await fleet.read_whole_lot(others, "L")
             fleet.signal(holder, signal.SIGCONT)
             self.check_lot(listed, "L")
-            again = await fleet.until_listed(fleet.daemon_names, "L")
+            again = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.assertEqual(again, listed)
 
     async def test_look_ups_go_on_without_the_store_and_lots_wait(self):
@@ -174,7 +174,7 @@
             with anyio.fail_after(10):
                 while await fleet.submit_lot("edge-0", "L") != 202:
                     await anyio.sleep(0.2)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
+            listed = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
 
     async def test_sigterm_cuts_no_request(self):
@@ -235,5 +235,5 @@
                 fleet.start_daemon(daemon)
             for daemon in fleet.daemon_names:
                 await fleet.until_ready(daemon)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
+            listed = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -297,7 +297,7 @@
             return None
         return json.loads(answer.body) if answer.status == 200 else None
 
-    async def until_listed(self, daemons: list[str], lot_id: str) -> list:
+    async def read_whole_lot(self, daemons: list[str], lot_id: str) -> list:
         """Reads a lot whole, from each daemon in turn; checks positions."""
         found: list[dict] = []
         with anyio.fail_after(_START_WAIT_S):
