--- a/benchmarks/fleet_daemon.py
+++ b/benchmarks/fleet_daemon.py
@@ -67,7 +67,7 @@
     fleet.processes[name].wait()
     started_s = time.monotonic()
     fleet.start_daemon(name)
-    await fleet.until_ready(name)
+    await fleet.wait_until_ready(name)
     return {
         "ready after, s": time.monotonic() - started_s,
         "at rest, % of a core": 100 * rest_s / _REST_S,
--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -234,6 +234,6 @@
             for daemon in fleet.daemon_names:
                 fleet.start_daemon(daemon)
             for daemon in fleet.daemon_names:
-                await fleet.until_ready(daemon)
+                await fleet.wait_until_ready(daemon)
             listed = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(listed, "L")
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -82,7 +82,7 @@
         for name in self.daemon_names:
             self.start_daemon(name)
         for name in self.daemon_names:
-            await self.until_ready(name)
+            await self.wait_until_ready(name)
 
     def stop(self) -> None:
         """Ends every process that was started here."""
@@ -319,7 +319,7 @@
                 if len(found) == told["total"]:
                     return found
 
-    async def until_ready(self, name: str) -> None:
+    async def wait_until_ready(self, name: str) -> None:
         """Waits until a daemon is ready."""
         port = self.ports[f"{name}/ready"]
         with anyio.fail_after(_START_WAIT_S):
