--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -203,7 +203,7 @@
                     fleet.signal("edge-0", again[number % 3])
             self.assertEqual(statuses, [200] * 12)
             self.assertEqual(fleet.processes["edge-0"].wait(10), 0)
-            events = [line["event"] for line in fleet.log_of("edge-0")]
+            events = [line["event"] for line in fleet.read_log("edge-0")]
             self.assertIn("stopped", events)
 
     async def test_a_request_half_sent_at_the_end_of_the_notice_is_served(self):
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -287,7 +287,7 @@
             except (DemoError, TimeoutError) as exc:
                 print(f"demo: failed: {exc!r}")
                 for process in demo.deployment.daemons():
-                    print(demo.deployment.log_of(process.name)[-2000:])
+                    print(demo.deployment.read_log(process.name)[-2000:])
                 return 1
     except KeyboardInterrupt:
         return 1
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -115,7 +115,7 @@
         """Sends a signal to one process."""
         self.processes[name].send_signal(number)
 
-    def log_of(self, name: str) -> list[dict]:
+    def read_log(self, name: str) -> list[dict]:
         """Returns the structured lines of a daemon."""
         text = (self.folder / f"{name}.log").read_text(encoding="utf-8")
         return [
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -192,7 +192,7 @@
         path.write_text(json.dumps(settings, indent=2), encoding="utf-8")
         return path
 
-    def log_of(self, name: str) -> str:
+    def read_log(self, name: str) -> str:
         """Returns what a process wrote to its log."""
         return (self.folder / f"{name}.log").read_text(encoding="utf-8")
 
