--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -21,7 +21,7 @@
     BEHAVIOURS,
     GOOD,
     HostileServer,
-    body_of,
+    expected_body,
 )
 
 TASKS = 12
@@ -80,7 +80,7 @@
             return
         self.completed_count += 1
         is_empty = method == "HEAD" or response.status in (204, 304)
-        expected = b"" if is_empty else body_of(request_id)
+        expected = b"" if is_empty else expected_body(request_id)
         if response.body != expected:
             self.wrong.append((request_id, behaviour, response.body[:20]))
 
@@ -140,7 +140,7 @@
             await self.get("/silent/ok", timeout_s=0.1)
         self.assertEqual(caught.exception.ran, ExecutionStatus.UNKNOWN)
         response = await self.get("/again/ok")
-        self.assertEqual(response.body, body_of("again"))
+        self.assertEqual(response.body, expected_body("again"))
         self.assertEqual(self.server.connections, 6)
 
     async def test_fresh_requests_open_new_connections(self):
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -7,7 +7,7 @@
 import asyncio
 import contextlib
 
-__all__ = ["BEHAVIOURS", "GOOD", "HostileServer", "body_of"]
+__all__ = ["BEHAVIOURS", "GOOD", "HostileServer", "expected_body"]
 
 GOOD = ("ok", "chunked", "late", "inform", "empty", "unchanged", "close")
 BEHAVIOURS = (
@@ -18,7 +18,7 @@
 _PAUSE_S = 0.003
 
 
-def body_of(request_id: str) -> bytes:
+def expected_body(request_id: str) -> bytes:
     """Returns the right content for a request."""
     return f"<{request_id}>".encode() * (1 + len(request_id) * 37 % 400)
 
@@ -94,7 +94,7 @@
 
 
 def _answer_parts(method: str, request_id: str, behaviour: str) -> list[bytes]:
-    body = body_of(request_id)
+    body = expected_body(request_id)
     half = len(body) // 2
     whole = _plain(method, request_id, body)
     chunked = _head(request_id, "transfer-encoding: chunked")
