--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -19,7 +19,7 @@
 from daisyhub.settings import Address
 from daisyhub.testing.hostile_server import (
     BEHAVIOURS,
-    GOOD,
+    VALID_BEHAVIOURS,
     HostileServer,
     expected_body,
 )
@@ -28,7 +28,7 @@
 REQUESTS = int(os.environ.get("DAISYHUB_EXAMPLES", "60")) * 10
 SEED = int(os.environ.get("DAISYHUB_SEED", "1"))
 # Most responses are valid, so that connections are reused and shared.
-MIX = (*BEHAVIOURS, *GOOD * 4)
+MIX = (*BEHAVIOURS, *VALID_BEHAVIOURS * 4)
 
 
 class Fuzz:
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -7,11 +7,19 @@
 import asyncio
 import contextlib
 
-__all__ = ["BEHAVIOURS", "GOOD", "HostileServer", "expected_body"]
-
-GOOD = ("ok", "chunked", "late", "inform", "empty", "unchanged", "close")
+__all__ = ["BEHAVIOURS", "VALID_BEHAVIOURS", "HostileServer", "expected_body"]
+
+VALID_BEHAVIOURS = (
+    "ok",
+    "chunked",
+    "late",
+    "inform",
+    "empty",
+    "unchanged",
+    "close",
+)
 BEHAVIOURS = (
-    *GOOD,
+    *VALID_BEHAVIOURS,
     *("extra", "extra_late", "crossed", "cut", "cut_chunked"),
     *("no_length", "silent", "garbage", "two_lengths"),
 )
@@ -73,7 +81,7 @@
                 if number in self._silent or behaviour == "silent":
                     is_doubtful = True
                     continue
-                is_doubtful = behaviour not in (*GOOD, "extra_late")
+                is_doubtful = behaviour not in (*VALID_BEHAVIOURS, "extra_late")
                 if not await self._answer(
                     writer, method, request_id, behaviour
                 ):
