--- a/daisyhub/objects/tests/test_kind_watcher.py
+++ b/daisyhub/objects/tests/test_kind_watcher.py
@@ -74,7 +74,7 @@
         self,
     ):
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
         watcher = self.new_watcher(store, can_be_stale=lambda: True)
 
         async def test():
@@ -142,7 +142,7 @@
     async def test_a_deaf_watch_is_found_out_by_a_list_beside_it(self):
         """A key taken away stayed in force for 5 s."""
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
 
         async def test(watched):
             await watched.until(lambda: store.calls["watch"] == 1)
@@ -155,7 +155,7 @@
 
     async def test_a_peer_that_stays_ahead_makes_it_list(self):
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
 
         async def test(watched):
             await watched.until(lambda: store.calls["watch"] == 1)
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -27,7 +27,7 @@
     LOST = "lost"
     LATE = "late"
     GONE = "gone"
-    DEAF = "deaf"
+    EMPTY = "deaf"
 
 
 class MemoryStore(ObjectStore):
@@ -76,7 +76,7 @@
         """See `ObjectStore.read`."""
         if can_be_stale:
             self.calls["late read"] += 1
-            if self._next_fault("late read") is Fault.DEAF:
+            if self._next_fault("late read") is Fault.EMPTY:
                 return None
         return self._call_with_fault(
             "read", lambda: self.objects.get((kind, name))
@@ -99,7 +99,7 @@
         fault = self._next_fault("watch")
         if fault is Fault.GONE:
             raise HistoryGoneError(kind)
-        if fault is Fault.DEAF:
+        if fault is Fault.EMPTY:
             await anyio.sleep(wait_s)
             return WatchBatch(revision=after_revision, changes=())
         if fault is not None:
