--- a/daisyhub/objects/tests/test_kind_watcher.py
+++ b/daisyhub/objects/tests/test_kind_watcher.py
@@ -121,7 +121,7 @@
 
     async def test_a_lost_history_is_followed_by_a_list(self):
         store = MemoryStore()
-        store.fail_next("watch", Fault.GONE)
+        store.fail_next("watch", Fault.HISTORY_GONE)
         store.put("k", "a", b"1")
 
         async def test(watched):
@@ -207,7 +207,7 @@
             async def test(watched, rng=rng, store=store):
                 for step in range(60):
                     verb = rng.choice(["watch", "list_all"])
-                    kinds = [Fault.GONE, Fault.REFUSED]
+                    kinds = [Fault.HISTORY_GONE, Fault.REFUSED]
                     if rng.random() < 0.3:
                         fault = rng.choice(kinds)
                         if verb == "list_all":
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -26,7 +26,7 @@
     REFUSED = "refused"
     LOST = "lost"
     LATE = "late"
-    GONE = "gone"
+    HISTORY_GONE = "gone"
     EMPTY = "deaf"
 
 
@@ -97,7 +97,7 @@
         """See `ObjectStore.watch`."""
         self.calls["late watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
-        if fault is Fault.GONE:
+        if fault is Fault.HISTORY_GONE:
             raise HistoryGoneError(kind)
         if fault is Fault.EMPTY:
             await anyio.sleep(wait_s)
