--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -45,7 +45,7 @@
     async def test_a_create_whose_answer_was_lost_counts_as_done(self):
         shared = MemoryStore()
         store = RelayedStore(shared, Carrier(shared), quiet_log())
-        shared.fail_next("create", Fault.LOST)
+        shared.fail_next("create", Fault.RESPONSE_LOST)
         found = await store.create("k", "n", b'{"a":1}')
         self.assertEqual(found.spec, b'{"a":1}')
 
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -24,7 +24,7 @@
     """What happens to one call."""
 
     REFUSED = "refused"
-    LOST = "lost"
+    RESPONSE_LOST = "lost"
     LATE = "late"
     HISTORY_GONE = "gone"
     EMPTY = "deaf"
@@ -159,11 +159,13 @@
         fault = self._next_fault(verb)
         if fault is None:
             return call()
-        if fault is Fault.LOST:
+        if fault is Fault.RESPONSE_LOST:
             call()
         elif fault is Fault.LATE:
             self._late.append(call)
-        is_unknown = fault in (Fault.LOST, Fault.LATE) and verb not in _READS
+        is_unknown = (
+            fault in (Fault.RESPONSE_LOST, Fault.LATE) and verb not in _READS
+        )
         raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
 
     def _next_fault(self, verb: str) -> Fault | None:
