--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -60,7 +60,7 @@
     async def test_an_unknown_outcome_stays_unknown_if_peers_refuse(self):
         shared, peer = MemoryStore(), MemoryStore()
         store = RelayedStore(shared, Carrier(peer), quiet_log())
-        shared.fail_next("create", Fault.LATE)
+        shared.fail_next("create", Fault.DELAYED)
         peer.fail_next("create", Fault.REFUSED)
         with self.assertRaises(ObjectStoreError) as caught:
             await store.create("k", "n", b"1")
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -25,7 +25,7 @@
 
     REFUSED = "refused"
     RESPONSE_LOST = "lost"
-    LATE = "late"
+    DELAYED = "late"
     HISTORY_GONE = "gone"
     EMPTY = "deaf"
 
@@ -161,10 +161,10 @@
             return call()
         if fault is Fault.RESPONSE_LOST:
             call()
-        elif fault is Fault.LATE:
+        elif fault is Fault.DELAYED:
             self._late.append(call)
         is_unknown = (
-            fault in (Fault.RESPONSE_LOST, Fault.LATE) and verb not in _READS
+            fault in (Fault.RESPONSE_LOST, Fault.DELAYED) and verb not in _READS
         )
         raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
 
