--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -34,7 +34,7 @@
     """Keeps objects in memory; one instance may serve many clients.
 
     `faults` holds what happens to the next calls of a verb: refused without
-    effect, done with the answer lost, done by `carry_out_late` with the
+    effect, done with the answer lost, done by `run_delayed_writes` with the
     answer lost, history gone, or a watch that hears nothing.
     """
 
@@ -51,7 +51,7 @@
         """Lets the next calls of a verb meet faults."""
         self.faults.setdefault(verb, collections.deque()).extend(faults)
 
-    def carry_out_late(self) -> None:
+    def run_delayed_writes(self) -> None:
         """Does the writes whose answers were lost before they were done."""
         late, self._late = self._late, []
         for write in late:
