--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -78,7 +78,7 @@
     """
 
     groups: dict[int, list] = dataclasses.field(default_factory=dict)
-    doubled: int = 0
+    duplicate_groups: int = 0
     stale: int = 0
     mixed: int = 0
     idle_s: float = 0.0
@@ -88,7 +88,7 @@
         """Takes the groups of one pull."""
         for group in groups:
             if group["group"] in self.groups:
-                self.doubled += 1
+                self.duplicate_groups += 1
             self.groups[group["group"]] = group["samples"]
             for sample in group["samples"]:
                 versions = {span["version"] for span in sample["spans"]}
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -171,7 +171,10 @@
         _check(len(result.groups) == 24, f"{len(result.groups)} groups of 24")
         sizes = {len(samples) for samples in result.groups.values()}
         _check(sizes == {4}, f"group sizes {sizes}")
-        _check(not result.doubled, f"{result.doubled} groups came twice")
+        _check(
+            not result.duplicate_groups,
+            f"{result.duplicate_groups} groups came twice",
+        )
         _check(not result.stale, f"{result.stale} samples were stale")
         return (
             f"24 groups of 4, {result.mixed} samples over two versions,"
