--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -89,7 +89,7 @@
     def check(self, result):
         self.assertEqual(sorted(result.groups), list(range(GROUPS)))
         self.assertEqual(result.duplicate_groups, 0)
-        self.assertEqual(result.stale, 0)
+        self.assertEqual(result.stale_samples, 0)
         for samples in result.groups.values():
             indexes = [sample["index"] for sample in samples]
             self.assertEqual(indexes, list(range(GROUP_SIZE)))
--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -79,7 +79,7 @@
 
     groups: dict[int, list] = dataclasses.field(default_factory=dict)
     duplicate_groups: int = 0
-    stale: int = 0
+    stale_samples: int = 0
     mixed: int = 0
     idle_s: float = 0.0
     repeats: int = 0
@@ -92,7 +92,7 @@
             self.groups[group["group"]] = group["samples"]
             for sample in group["samples"]:
                 versions = {span["version"] for span in sample["spans"]}
-                self.stale += min(versions) < version - max_staleness
+                self.stale_samples += min(versions) < version - max_staleness
                 self.mixed += len(versions) > 1
 
 
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -175,7 +175,10 @@
             not result.duplicate_groups,
             f"{result.duplicate_groups} groups came twice",
         )
-        _check(not result.stale, f"{result.stale} samples were stale")
+        _check(
+            not result.stale_samples,
+            f"{result.stale_samples} samples were stale",
+        )
         return (
             f"24 groups of 4, {result.mixed} samples over two versions,"
             f" idle {result.idle_s:.2f} s"
