--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -80,7 +80,7 @@
     groups: dict[int, list] = dataclasses.field(default_factory=dict)
     duplicate_groups: int = 0
     stale_samples: int = 0
-    mixed: int = 0
+    mixed_version_samples: int = 0
     idle_s: float = 0.0
     repeats: int = 0
 
@@ -93,7 +93,7 @@
             for sample in group["samples"]:
                 versions = {span["version"] for span in sample["spans"]}
                 self.stale_samples += min(versions) < version - max_staleness
-                self.mixed += len(versions) > 1
+                self.mixed_version_samples += len(versions) > 1
 
 
 async def run_trainer(
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -180,7 +180,7 @@
             f"{result.stale_samples} samples were stale",
         )
         return (
-            f"24 groups of 4, {result.mixed} samples over two versions,"
+            f"24 groups of 4, {result.mixed_version_samples} samples over two versions,"
             f" idle {result.idle_s:.2f} s"
         )
 
