--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -99,7 +99,7 @@
             holder.send_signal(signal.SIGKILL)
 
         result = await self.train(inject_fault)
-        self.assertGreater(result.repeats, 0)
+        self.assertGreater(result.retries, 0)
 
     async def test_no_group_is_duplicated_when_a_frozen_holder_resumes(self):
         async def inject_fault(holder):
--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -82,7 +82,7 @@
     stale_samples: int = 0
     mixed_version_samples: int = 0
     idle_s: float = 0.0
-    repeats: int = 0
+    retries: int = 0
 
     def take(self, groups: list, version: int, max_staleness: int) -> None:
         """Takes the groups of one pull."""
@@ -139,7 +139,7 @@
                 if answer.status == _OK:
                     return msgspec.json.decode(answer.body)
             turn += 1
-            result.repeats += 1
+            result.retries += 1
             await anyio.sleep(0.1)
 
     async def pull(pull_id: str) -> bool:
