--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -51,7 +51,7 @@
 
     Args:
         domains: Names of the failure domains.
-        daemons_each: Daemons in each.
+        daemons_per_domain: Daemons in each.
         engines_each: Fake engines in each.
         services_each: Fake services in each.
         timing: Overrides of `TimingSettings`, by name.
@@ -61,14 +61,14 @@
     def __init__(
         self,
         domains: tuple[str, ...] = ("busan", "ulsan"),
-        daemons_each: int = 2,
+        daemons_per_domain: int = 2,
         engines_each: int = 2,
         services_each: int = 1,
         timing: dict[str, float] | None = None,
         folder: str = "",
     ):
         self.domains = domains
-        self.daemons_each = daemons_each
+        self.daemons_per_domain = daemons_per_domain
         self.engines_each = engines_each
         self.services_each = services_each
         self.timing = {**_FAST_TIMING, **(timing or {})}
@@ -230,7 +230,7 @@
         self._plans: dict[str, dict] = {}
         peers = []
         for domain in self.domains:
-            for number in range(self.daemons_each):
+            for number in range(self.daemons_per_domain):
                 name = f"daemon-{domain}-{number}"
                 self._plans[name] = self._plan(name, domain)
                 peers.append(
