--- a/daisyhub/controllers/tests/test_membership_processes.py
+++ b/daisyhub/controllers/tests/test_membership_processes.py
@@ -19,7 +19,7 @@
 class MembershipProcessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.keys = DemoKeys.make()
-        self.deployment = Deployment(engines_each=1)
+        self.deployment = Deployment(engines_per_domain=1)
         self.addCleanup(self.deployment.stop)
         await self.deployment.start()
         self.caller = Caller(self.deployment.platform.address)
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -52,7 +52,7 @@
     Args:
         domains: Names of the failure domains.
         daemons_per_domain: Daemons in each.
-        engines_each: Fake engines in each.
+        engines_per_domain: Fake engines in each.
         services_each: Fake services in each.
         timing: Overrides of `TimingSettings`, by name.
         folder: Where settings and logs go; a temporary folder if empty.
@@ -62,14 +62,14 @@
         self,
         domains: tuple[str, ...] = ("busan", "ulsan"),
         daemons_per_domain: int = 2,
-        engines_each: int = 2,
+        engines_per_domain: int = 2,
         services_each: int = 1,
         timing: dict[str, float] | None = None,
         folder: str = "",
     ):
         self.domains = domains
         self.daemons_per_domain = daemons_per_domain
-        self.engines_each = engines_each
+        self.engines_per_domain = engines_per_domain
         self.services_each = services_each
         self.timing = {**_FAST_TIMING, **(timing or {})}
         self.processes: dict[str, Process] = {}
@@ -104,7 +104,7 @@
         """Starts everything and waits until it listens."""
         self._start_fake("platform", "fake_platform")
         for domain in self.domains:
-            for number in range(self.engines_each):
+            for number in range(self.engines_per_domain):
                 self._start_fake(f"engine-{domain}-{number}", "fake_engine")
             for number in range(self.services_each):
                 name = f"service-{domain}-{number}"
