--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -23,7 +23,7 @@
     async def asyncSetUp(self):
         self.keys = DemoKeys.make()
         self.deployment = Deployment(
-            domains=(DOMAIN,), daemons_per_domain=2, services_each=0
+            domains=(DOMAIN,), daemons_per_domain=2, services_per_domain=0
         )
         self.addCleanup(self.deployment.stop)
         await self.deployment.start()
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -53,7 +53,7 @@
         domains: Names of the failure domains.
         daemons_per_domain: Daemons in each.
         engines_per_domain: Fake engines in each.
-        services_each: Fake services in each.
+        services_per_domain: Fake services in each.
         timing: Overrides of `TimingSettings`, by name.
         folder: Where settings and logs go; a temporary folder if empty.
     """
@@ -63,14 +63,14 @@
         domains: tuple[str, ...] = ("busan", "ulsan"),
         daemons_per_domain: int = 2,
         engines_per_domain: int = 2,
-        services_each: int = 1,
+        services_per_domain: int = 1,
         timing: dict[str, float] | None = None,
         folder: str = "",
     ):
         self.domains = domains
         self.daemons_per_domain = daemons_per_domain
         self.engines_per_domain = engines_per_domain
-        self.services_each = services_each
+        self.services_per_domain = services_per_domain
         self.timing = {**_FAST_TIMING, **(timing or {})}
         self.processes: dict[str, Process] = {}
         self._temporary = None
@@ -106,7 +106,7 @@
         for domain in self.domains:
             for number in range(self.engines_per_domain):
                 self._start_fake(f"engine-{domain}-{number}", "fake_engine")
-            for number in range(self.services_each):
+            for number in range(self.services_per_domain):
                 name = f"service-{domain}-{number}"
                 self._start_fake(name, "fake_service", f"--name={name}")
         await self._wait_for_listeners()
