--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -163,14 +163,14 @@
     async def test_look_ups_go_on_without_the_store_and_lots_wait(self):
         async with running() as fleet:
             await fleet.holder()
-            await fleet.fault("platform", {"kind": "hang"})
+            await fleet.inject_fault("platform", {"kind": "hang"})
             for number in range(10):
                 answer = await fleet.call(
                     fleet.daemon_names[number % 3], "POST", "/records/7"
                 )
                 self.assertEqual(answer.status, 200)
             self.assertIn(await fleet.submit_lot("edge-0", "L"), (503, 504))
-            await fleet.fault("platform", None)
+            await fleet.inject_fault("platform", None)
             with anyio.fail_after(10):
                 while await fleet.submit_lot("edge-0", "L") != 202:
                     await anyio.sleep(0.2)
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -200,13 +200,13 @@
             timeout_s=5.0,
         )
 
-    async def fault(self, name: str, fault: dict | None) -> None:
+    async def inject_fault(self, name: str, inject_fault: dict | None) -> None:
         """Makes a stand-in misbehave; None ends all its faults."""
         await self.http.request(
-            "POST" if fault else "DELETE",
+            "POST" if inject_fault else "DELETE",
             self.address(name),
             "/faults",
-            body=msgspec.json.encode(fault),
+            body=msgspec.json.encode(inject_fault),
             timeout_s=5.0,
         )
 
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -181,10 +181,10 @@
             case Kind.STORE_LINK | Kind.SERVER_LINK | Kind.ALL_STORE_LINKS:
                 await self._harm_links(what)
             case Kind.STORE_FAULT | Kind.SERVER_FAULT:
-                fault = {"kind": what.how, "delay_s": 0.5, "path": "/"}
-                await fleet.fault(what.target, fault)
+                inject_fault = {"kind": what.how, "delay_s": 0.5, "path": "/"}
+                await fleet.inject_fault(what.target, inject_fault)
                 await anyio.sleep(what.for_s)
-                await fleet.fault(what.target, None)
+                await fleet.inject_fault(what.target, None)
             case Kind.CONFIG:
                 await self._configure({_ACCOUNT: [KEY]})
             case Kind.KEYS:
