--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -82,9 +82,9 @@
                 self.assertEqual(ended.status, 200)
             absent = await fleet.call("edge-1", "GET", "/v1/lots/none")
             self.assertEqual(absent.status, 404)
-            ran = await fleet.ran()
-            self.assertFalse(any(run["has_key"] for run in ran))
-            items = [r for r in ran if r["id"].startswith("L-")]
+            executed_requests = await fleet.executed_requests()
+            self.assertFalse(any(run["has_key"] for run in executed_requests))
+            items = [r for r in executed_requests if r["id"].startswith("L-")]
             by_item = {r["account"] for r in items if r["id"][-1] != "r"}
             self.assertEqual(by_item, {"t"})
             await self.usage_is(fleet, 1)
@@ -144,8 +144,8 @@
             fleet.signal(holder, number)
             listed = await fleet.read_whole_lot(others, "L")
             self.check_lot(listed, "L")
-            ran = await fleet.ran()
-            self.assertTrue(any(run["resumed"] for run in ran))
+            executed_requests = await fleet.executed_requests()
+            self.assertTrue(any(run["resumed"] for run in executed_requests))
 
     async def test_a_frozen_holder_that_wakes_up_changes_nothing(self):
         async with running(event_s=0.1) as fleet:
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -215,7 +215,7 @@
         answer = await self._get(self.ports["platform"], "/admin/usage")
         return json.loads(answer.body)
 
-    async def ran(self) -> list[dict]:
+    async def executed_requests(self) -> list[dict]:
         """Returns what ran at the servers."""
         runs = []
         for name in self.server_names:
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -305,7 +305,7 @@
         await self._recover()
         await self._read_all()
         self.ledger.check_texts(_EVENTS)
-        self.ledger.check_runs(await self.fleet.ran())
+        self.ledger.check_runs(await self.fleet.executed_requests())
         self.ledger.check_usage(await self.fleet.usage())
 
     async def _read_all(self) -> None:
