--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -65,7 +65,7 @@
             headers={},
             body=body,
         )
-        reply = await self.platform.answer(call)
+        reply = await self.platform.handle(call)
         return _answer(reply.status, reply.value)
 
     async def aclose(self):
@@ -163,7 +163,7 @@
         self.apply({"client_accounts": {"a": {}}})
         row = self.run_cli("key", "create", "a", team="yard")[0]
         secret = row["key"].rpartition("_")[2]
-        objects = anyio.run(self.platform.answer, _get("/objects"))
+        objects = anyio.run(self.platform.handle, _get("/objects"))
         self.assertNotIn(secret.encode(), msgspec.json.encode(objects.value))
         self.run_cli("key", "withdraw", row["key_id"])
         listed = self.run_cli("key", "list")
@@ -177,7 +177,7 @@
         record = EndpointRecord(endpoint_id="e", pool="p", ip="::1", port=1)
         body = msgspec.json.encode([record])
         put = _get("/admin/endpoints/busan", "PUT", body)
-        anyio.run(self.platform.answer, put)
+        anyio.run(self.platform.handle, put)
         self.run_cli("endpoint", "drain", "busan", "e")
         rows = self.run_cli("endpoint", "list", "busan")
         self.assertTrue(rows[0]["drained"])
@@ -205,7 +205,7 @@
             headers={},
             body=msgspec.json.encode(ledger),
         )
-        anyio.run(self.platform.answer, call)
+        anyio.run(self.platform.handle, call)
 
     def test_a_platform_that_is_down_is_told(self):
         self.http.is_down = True
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -78,7 +78,7 @@
         self._silent: set[tuple] = set()
 
     @abc.abstractmethod
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call without faults."""
 
     async def __call__(self, scope, receive, send) -> None:
@@ -103,7 +103,7 @@
         if kind == "error":
             await _send(send, Reply(status=500, value={"error": "injected"}))
             return
-        reply = await self.answer(call)
+        reply = await self.handle(call)
         if kind == "late":
             await anyio.sleep(fault.delay_s)
         if kind == "lose":
--- a/daisyhub/testing/fake_engine.py
+++ b/daisyhub/testing/fake_engine.py
@@ -56,7 +56,7 @@
         self._is_leaving = False
         self._orders: list[_Order] = []
 
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call."""
         match call.path:
             case "/generate" if self._is_leaving:
--- a/daisyhub/testing/fake_fleet.py
+++ b/daisyhub/testing/fake_fleet.py
@@ -44,7 +44,7 @@
         self._store = MemoryStore()
         self._usage: list[dict] = []
 
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call."""
         if call.path == "/admin/usage":
             return Reply(value=self._usage)
@@ -142,7 +142,7 @@
         self._highest = 0
         self._ran: list[dict] = []
 
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call."""
         if call.path == "/admin/ran":
             return Reply(value=self._ran)
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -37,7 +37,7 @@
         self._orders: dict[str, OrderRequest] = {}
         self._highest_fencing: dict[str, int] = {}
 
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call."""
         parts = call.path.strip("/").split("/", 1)
         rest = parts[1] if len(parts) > 1 else ""
--- a/daisyhub/testing/fake_service.py
+++ b/daisyhub/testing/fake_service.py
@@ -31,7 +31,7 @@
         self._running = 0
         self._is_leaving = False
 
-    async def answer(self, call: Call) -> Reply:
+    async def handle(self, call: Call) -> Reply:
         """Serves one call."""
         if call.path == "/admin/filings":
             return Reply(value=self._filings)
