--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -24,7 +24,7 @@
 from daisyhub.connections import HttpResponse, RequestFailedError
 from daisyhub.exceptions import ExecutionStatus
 from daisyhub.hosting import EndpointRecord
-from daisyhub.testing.fake_app import Call
+from daisyhub.testing.fake_app import Request
 from daisyhub.testing.fake_platform import FakePlatform
 
 SETTINGS = {
@@ -58,7 +58,7 @@
         if address.port == 2:
             return _answer(200, STATUS)
         url = urllib.parse.urlsplit(target)
-        call = Call(
+        call = Request(
             method=method,
             path=urllib.parse.unquote(url.path),
             query=dict(urllib.parse.parse_qsl(url.query)),
@@ -198,7 +198,7 @@
         body = msgspec.json.encode(sealed).decode()
         report = StoredReport(window=60, body=body)
         ledger = Ledger(window=60, unreported=(report,))
-        call = Call(
+        call = Request(
             method="PUT",
             path="/objects/sealed/busan",
             query={"expected": "0", "write_id": "w"},
@@ -220,7 +220,7 @@
 
 
 def _get(path, method="GET", body=b""):
-    return Call(method=method, path=path, query={}, headers={}, body=body)
+    return Request(method=method, path=path, query={}, headers={}, body=body)
 
 
 def _folder():
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -16,7 +16,7 @@
 from daisyhub.serving import HttpServer
 from daisyhub.settings import Address
 
-__all__ = ["Call", "FakeApp", "Fault", "Reply", "serve_fake"]
+__all__ = ["Request", "FakeApp", "Fault", "Reply", "serve_fake"]
 
 _PORT = flags.DEFINE_integer("port", 0, "Port on loopback to listen on.")
 _FOREVER_S = 3600.0
@@ -44,7 +44,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Call:
+class Request:
     """A request to a fake."""
 
     method: str
@@ -78,7 +78,7 @@
         self._silent: set[tuple] = set()
 
     @abc.abstractmethod
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call without faults."""
 
     async def __call__(self, scope, receive, send) -> None:
@@ -96,7 +96,7 @@
         fault = self._take_fault(call)
         await self._serve(call, fault, send)
 
-    async def _serve(self, call: Call, fault: Fault | None, send) -> None:
+    async def _serve(self, call: Request, fault: Fault | None, send) -> None:
         kind = fault.kind if fault else ""
         if kind == "hang":
             await anyio.sleep(_FOREVER_S)
@@ -110,7 +110,7 @@
             await anyio.sleep(_FOREVER_S)
         await _send(send, reply, truncate=kind == "truncate")
 
-    def _change_faults(self, call: Call) -> Reply:
+    def _change_faults(self, call: Request) -> Reply:
         if call.method == "DELETE":
             self._faults.clear()
             return Reply(value={})
@@ -121,7 +121,7 @@
         self._faults.append([fault, fault.count])
         return Reply(value={})
 
-    def _take_fault(self, call: Call) -> Fault | None:
+    def _take_fault(self, call: Request) -> Fault | None:
         for entry in self._faults:
             fault, left = entry
             if not call.path.startswith(fault.path) or not left:
@@ -133,7 +133,7 @@
         return None
 
 
-async def _read_call(scope, receive) -> Call:
+async def _read_call(scope, receive) -> Request:
     body = b""
     while True:
         message = await receive()
@@ -142,7 +142,7 @@
             break
     query = urllib.parse.parse_qsl(scope["query_string"].decode())
     headers = {k.decode(): v.decode("latin-1") for k, v in scope["headers"]}
-    return Call(
+    return Request(
         method=scope["method"],
         path=scope["path"],
         query=dict(query),
--- a/daisyhub/testing/fake_engine.py
+++ b/daisyhub/testing/fake_engine.py
@@ -7,7 +7,7 @@
 from absl import app, flags
 
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import Call, FakeApp, Reply, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
 
 __all__ = ["FakeEngine"]
 
@@ -56,7 +56,7 @@
         self._is_leaving = False
         self._orders: list[_Order] = []
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call."""
         match call.path:
             case "/generate" if self._is_leaving:
--- a/daisyhub/testing/fake_fleet.py
+++ b/daisyhub/testing/fake_fleet.py
@@ -17,7 +17,7 @@
     ObjectConflictError,
     StoredObject,
 )
-from daisyhub.testing.fake_app import Call, FakeApp, Reply, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
 from daisyhub.testing.object_store import MemoryStore
 
 __all__ = ["FakePlatformStore", "FakeServer"]
@@ -44,7 +44,7 @@
         self._store = MemoryStore()
         self._usage: list[dict] = []
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call."""
         if call.path == "/admin/usage":
             return Reply(value=self._usage)
@@ -68,7 +68,7 @@
         except HistoryGoneError:
             return Reply(status=410)
 
-    async def _objects(self, call: Call, kind: str, name: str) -> Reply:
+    async def _objects(self, call: Request, kind: str, name: str) -> Reply:
         store = self._store
         if call.method == "GET" and name:
             found = await store.read(kind, name)
@@ -95,7 +95,7 @@
             return Reply(value={})
         return await self._write(call, kind, name)
 
-    async def _write(self, call: Call, kind: str, name: str) -> Reply:
+    async def _write(self, call: Request, kind: str, name: str) -> Reply:
         body = msgspec.json.decode(call.body)
         meta = body["metadata"]
         spec = msgspec.json.encode(body.get("spec"))
@@ -142,7 +142,7 @@
         self._highest = 0
         self._ran: list[dict] = []
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call."""
         if call.path == "/admin/ran":
             return Reply(value=self._ran)
@@ -187,7 +187,7 @@
         self._is_busy = False
         return Reply(status=202)
 
-    def _generate(self, call: Call) -> Reply:
+    def _generate(self, call: Request) -> Reply:
         item_id = call.headers["daisyhub-request-id"]
         first = int(call.headers.get("last-event-id", 0)) + 1
         chunks = tuple(
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -12,7 +12,7 @@
     UsageReport,
 )
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import Call, FakeApp, Reply, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
 
 __all__ = ["FakePlatform"]
 
@@ -37,7 +37,7 @@
         self._orders: dict[str, OrderRequest] = {}
         self._highest_fencing: dict[str, int] = {}
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call."""
         parts = call.path.strip("/").split("/", 1)
         rest = parts[1] if len(parts) > 1 else ""
@@ -64,7 +64,7 @@
     def _count(self, kind: str) -> None:
         self._calls[kind] = self._calls.get(kind, 0) + 1
 
-    def _on_object(self, key: str, call: Call) -> Reply:
+    def _on_object(self, key: str, call: Request) -> Reply:
         found = self._objects.get(key)
         if call.method == "GET":
             self._count("reads")
@@ -88,7 +88,7 @@
         self._changed = anyio.Event()
         return Reply(value=msgspec.structs.replace(found, value=None))
 
-    async def _on_list(self, call: Call) -> Reply:
+    async def _on_list(self, call: Request) -> Reply:
         prefix = call.query.get("prefix", "")
         after = int(call.query.get("after", "0"))
         self._count("watches" if "wait" in call.query else "reads")
@@ -139,7 +139,7 @@
         self._reports.append(report)
         return Reply(value={})
 
-    def _on_admin(self, rest: str, call: Call) -> Reply:
+    def _on_admin(self, rest: str, call: Request) -> Reply:
         if rest.startswith("endpoints/"):
             domain = rest.partition("/")[2]
             self._endpoints[domain] = call.json(list[EndpointRecord])
--- a/daisyhub/testing/fake_service.py
+++ b/daisyhub/testing/fake_service.py
@@ -4,7 +4,7 @@
 from absl import app, flags
 
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import Call, FakeApp, Reply, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
 
 __all__ = ["FakeService"]
 
@@ -31,7 +31,7 @@
         self._running = 0
         self._is_leaving = False
 
-    async def handle(self, call: Call) -> Reply:
+    async def handle(self, call: Request) -> Reply:
         """Serves one call."""
         if call.path == "/admin/filings":
             return Reply(value=self._filings)
@@ -46,7 +46,7 @@
             return self._reply(503, {}, (b"endpoint-ran", b"no"))
         return await self._work(call)
 
-    async def _work(self, call: Call) -> Reply:
+    async def _work(self, call: Request) -> Reply:
         self._running += 1
         try:
             await anyio.sleep(self.service_s)
