--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -16,7 +16,7 @@
 from daisyhub.serving import HttpServer
 from daisyhub.settings import Address
 
-__all__ = ["Request", "FakeApp", "Fault", "Reply", "serve_fake"]
+__all__ = ["Request", "FakeApp", "Fault", "Response", "serve_fake"]
 
 _PORT = flags.DEFINE_integer("port", 0, "Port on loopback to listen on.")
 _FOREVER_S = 3600.0
@@ -59,7 +59,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class Reply:
+class Response:
     """A fake's answer; `value` is sent as JSON, `chunks` as a stream."""
 
     status: int = 200
@@ -78,7 +78,7 @@
         self._silent: set[tuple] = set()
 
     @abc.abstractmethod
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call without faults."""
 
     async def __call__(self, scope, receive, send) -> None:
@@ -101,7 +101,7 @@
         if kind == "hang":
             await anyio.sleep(_FOREVER_S)
         if kind == "error":
-            await _send(send, Reply(status=500, value={"error": "injected"}))
+            await _send(send, Response(status=500, value={"error": "injected"}))
             return
         reply = await self.handle(call)
         if kind == "late":
@@ -110,16 +110,16 @@
             await anyio.sleep(_FOREVER_S)
         await _send(send, reply, truncate=kind == "truncate")
 
-    def _change_faults(self, call: Request) -> Reply:
+    def _change_faults(self, call: Request) -> Response:
         if call.method == "DELETE":
             self._faults.clear()
-            return Reply(value={})
+            return Response(value={})
         fault = call.json(Fault)
         if fault.kind == "silent":
             self._silent |= self._clients
-            return Reply(value={"connections": len(self._silent)})
+            return Response(value={"connections": len(self._silent)})
         self._faults.append([fault, fault.count])
-        return Reply(value={})
+        return Response(value={})
 
     def _take_fault(self, call: Request) -> Fault | None:
         for entry in self._faults:
@@ -151,7 +151,7 @@
     )
 
 
-async def _send(send, reply: Reply, *, truncate: bool = False) -> None:
+async def _send(send, reply: Response, *, truncate: bool = False) -> None:
     headers = [(b"content-type", b"application/json"), *reply.headers]
     body = b"" if reply.chunks else msgspec.json.encode(reply.value)
     if not reply.chunks:
--- a/daisyhub/testing/fake_engine.py
+++ b/daisyhub/testing/fake_engine.py
@@ -7,7 +7,7 @@
 from absl import app, flags
 
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Request, Response, serve_fake
 
 __all__ = ["FakeEngine"]
 
@@ -56,7 +56,7 @@
         self._is_leaving = False
         self._orders: list[_Order] = []
 
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call."""
         match call.path:
             case "/generate" if self._is_leaving:
@@ -72,9 +72,9 @@
                 return self._reply(200, {})
             case "/admin/orders":
                 return self._reply(200, self._orders)
-        return Reply(status=404)
+        return Response(status=404)
 
-    def _reply(self, status: int, value: object, *headers) -> Reply:
+    def _reply(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
         news = (
             (b"endpoint-load", str(self._running).encode()),
@@ -82,9 +82,9 @@
             (b"endpoint-weight-version", str(self._version).encode()),
             (b"endpoint-state", state),
         )
-        return Reply(status=status, value=value, headers=(*news, *headers))
+        return Response(status=status, value=value, headers=(*news, *headers))
 
-    async def _generate(self, prompt: _Prompt) -> Reply:
+    async def _generate(self, prompt: _Prompt) -> Response:
         self._running += 1
         try:
             seed = f"{prompt.prompt}/{prompt.sample}".encode()
@@ -102,7 +102,7 @@
             200, value, (b"endpoint-tokens", str(count).encode())
         )
 
-    async def _take_order(self, order: _Order) -> Reply:
+    async def _take_order(self, order: _Order) -> Response:
         if self.checks_fencing and order.fencing < self._fencing:
             return self._reply(409, {"fencing": self._fencing})
         self._fencing = max(self._fencing, order.fencing)
--- a/daisyhub/testing/fake_fleet.py
+++ b/daisyhub/testing/fake_fleet.py
@@ -17,7 +17,7 @@
     ObjectConflictError,
     StoredObject,
 )
-from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Request, Response, serve_fake
 from daisyhub.testing.object_store import MemoryStore
 
 __all__ = ["FakePlatformStore", "FakeServer"]
@@ -44,10 +44,10 @@
         self._store = MemoryStore()
         self._usage: list[dict] = []
 
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call."""
         if call.path == "/admin/usage":
-            return Reply(value=self._usage)
+            return Response(value=self._usage)
         if call.path == "/usage":
             self._usage.append(
                 {
@@ -56,23 +56,25 @@
                     **msgspec.json.decode(call.body),
                 }
             )
-            return Reply(value={})
+            return Response(value={})
         if not call.path.startswith(_OBJECTS):
-            return Reply(status=404)
+            return Response(status=404)
         kind, _, name = call.path[len(_OBJECTS) :].partition("/")
         try:
             return await self._objects(call, kind, name)
         except ObjectConflictError as exc:
             value = _shown(exc.found) if exc.found else None
-            return Reply(status=409, value=value)
+            return Response(status=409, value=value)
         except HistoryGoneError:
-            return Reply(status=410)
+            return Response(status=410)
 
-    async def _objects(self, call: Request, kind: str, name: str) -> Reply:
+    async def _objects(self, call: Request, kind: str, name: str) -> Response:
         store = self._store
         if call.method == "GET" and name:
             found = await store.read(kind, name)
-            return Reply(value=_shown(found)) if found else Reply(status=404)
+            return (
+                Response(value=_shown(found)) if found else Response(status=404)
+            )
         if call.method == "GET" and "watch" in call.query:
             batch = await store.watch(
                 kind,
@@ -83,19 +85,19 @@
                 {"deleted": c.is_deleted, "object": _shown(c)}
                 for c in batch.changes
             ]
-            return Reply(value={"events": events, "at": batch.revision})
+            return Response(value={"events": events, "at": batch.revision})
         if call.method == "GET":
             listed = await store.list_all(kind)
             items = [_shown(item) for item in listed.items]
-            return Reply(
+            return Response(
                 value={"items": items, "has-more": False, "at": listed.revision}
             )
         if call.method == "DELETE":
             await store.delete(kind, name)
-            return Reply(value={})
+            return Response(value={})
         return await self._write(call, kind, name)
 
-    async def _write(self, call: Request, kind: str, name: str) -> Reply:
+    async def _write(self, call: Request, kind: str, name: str) -> Response:
         body = msgspec.json.decode(call.body)
         meta = body["metadata"]
         spec = msgspec.json.encode(body.get("spec"))
@@ -111,7 +113,7 @@
             )
         else:
             found = self._store.put(kind, name, spec)
-        return Reply(value=_shown(found)) if found else Reply(status=404)
+        return Response(value=_shown(found)) if found else Response(status=404)
 
 
 def _shown(found: StoredObject) -> dict:
@@ -142,15 +144,15 @@
         self._highest = 0
         self._ran: list[dict] = []
 
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call."""
         if call.path == "/admin/ran":
-            return Reply(value=self._ran)
+            return Response(value=self._ran)
         expected = call.headers.get("daisyhub-expect-instance", self.name)
         if expected != self.name:
-            return Reply(status=421)
+            return Response(status=421)
         if call.path == "/v1/report":
-            return Reply(
+            return Response(
                 value={
                     "models": [{"name": "m", "version": self._version}],
                     "busy": self._is_busy,
@@ -172,22 +174,22 @@
         await anyio.sleep(self.event_s)
         return self._reply(value={"path": call.path})
 
-    async def _order(self, order: dict) -> Reply:
+    async def _order(self, order: dict) -> Response:
         if order["fencing-token"] < self._highest:
-            return Reply(status=412)
+            return Response(status=412)
         self._highest = order["fencing-token"]
         if self._is_busy or order.get("expect", self._orders) != self._orders:
-            return Reply(status=409)
+            return Response(status=409)
         if order["version"] == self._version:
-            return Reply(value={})
+            return Response(value={})
         self._orders += 1
         self._is_busy = True
         await anyio.sleep(_LOAD_S)
         self._version = order["version"]
         self._is_busy = False
-        return Reply(status=202)
+        return Response(status=202)
 
-    def _generate(self, call: Request) -> Reply:
+    def _generate(self, call: Request) -> Response:
         item_id = call.headers["daisyhub-request-id"]
         first = int(call.headers.get("last-event-id", 0)) + 1
         chunks = tuple(
@@ -203,9 +205,9 @@
             headers=((b"daisyhub-weight-versions", version),),
         )
 
-    def _reply(self, *, headers=(), **fields) -> Reply:
+    def _reply(self, *, headers=(), **fields) -> Response:
         stamp = base64.b32encode(self.name.encode()).lower()
-        return Reply(
+        return Response(
             headers=((b"daisyhub-server-stamp", stamp), *headers), **fields
         )
 
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -12,7 +12,7 @@
     UsageReport,
 )
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Request, Response, serve_fake
 
 __all__ = ["FakePlatform"]
 
@@ -37,7 +37,7 @@
         self._orders: dict[str, OrderRequest] = {}
         self._highest_fencing: dict[str, int] = {}
 
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call."""
         parts = call.path.strip("/").split("/", 1)
         rest = parts[1] if len(parts) > 1 else ""
@@ -53,28 +53,28 @@
             case "domains":
                 self._count("reads")
                 domain = rest.partition("/")[0]
-                return Reply(value=self._endpoints.get(domain, []))
+                return Response(value=self._endpoints.get(domain, []))
             case "usage":
                 self._count("writes")
                 return self._on_report(call.json(UsageReport))
             case "admin":
                 return self._on_admin(rest, call)
-        return Reply(status=404)
+        return Response(status=404)
 
     def _count(self, kind: str) -> None:
         self._calls[kind] = self._calls.get(kind, 0) + 1
 
-    def _on_object(self, key: str, call: Request) -> Reply:
+    def _on_object(self, key: str, call: Request) -> Response:
         found = self._objects.get(key)
         if call.method == "GET":
             self._count("reads")
-            return Reply(value=found) if found else Reply(status=404)
+            return Response(value=found) if found else Response(status=404)
         self._count("writes")
         if len(call.body) > _VALUE_BYTES:
-            return Reply(status=413)
+            return Response(status=413)
         version = found.version if found else 0
         if int(call.query["expected"]) != version:
-            return Reply(status=409, value={"version": version})
+            return Response(status=409, value={"version": version})
         self._revision += 1
         found = PlatformObject(
             key=key,
@@ -86,9 +86,9 @@
         self._objects[key] = found
         self._changed.set()
         self._changed = anyio.Event()
-        return Reply(value=msgspec.structs.replace(found, value=None))
+        return Response(value=msgspec.structs.replace(found, value=None))
 
-    async def _on_list(self, call: Request) -> Reply:
+    async def _on_list(self, call: Request) -> Response:
         prefix = call.query.get("prefix", "")
         after = int(call.query.get("after", "0"))
         self._count("watches" if "wait" in call.query else "reads")
@@ -96,7 +96,7 @@
             while not self._changed_since(prefix, after):
                 await self._changed.wait()
         objects = self._changed_since(prefix, after)
-        return Reply(value={"revision": self._revision, "objects": objects})
+        return Response(value={"revision": self._revision, "objects": objects})
 
     def _changed_since(self, prefix: str, after: int) -> list[PlatformObject]:
         return [
@@ -105,14 +105,14 @@
             if key.startswith(prefix) and found.revision > after
         ]
 
-    def _on_order(self, domain: str, request: OrderRequest) -> Reply:
+    def _on_order(self, domain: str, request: OrderRequest) -> Response:
         """Takes an order once by its id; refuses old fencing numbers."""
         order = request.order
         name = order.endpoint_id or f"ordered-{order.order_id}"
         if order.order_id in self._orders:
-            return Reply(value=OrderResponse(endpoint_id=name))
+            return Response(value=OrderResponse(endpoint_id=name))
         if request.fencing < self._highest_fencing.get(domain, 0):
-            return Reply(status=409, value={})
+            return Response(status=409, value={})
         self._highest_fencing[domain] = request.fencing
         self._orders[order.order_id] = request
         records = self._endpoints.setdefault(domain, [])
@@ -133,22 +133,22 @@
                 else r
                 for r in records
             ]
-        return Reply(value=OrderResponse(endpoint_id=name))
+        return Response(value=OrderResponse(endpoint_id=name))
 
-    def _on_report(self, report: UsageReport) -> Reply:
+    def _on_report(self, report: UsageReport) -> Response:
         self._reports.append(report)
-        return Reply(value={})
+        return Response(value={})
 
-    def _on_admin(self, rest: str, call: Request) -> Reply:
+    def _on_admin(self, rest: str, call: Request) -> Response:
         if rest.startswith("endpoints/"):
             domain = rest.partition("/")[2]
             self._endpoints[domain] = call.json(list[EndpointRecord])
-            return Reply(value={})
+            return Response(value={})
         if rest == "usage":
-            return Reply(value=self._reports)
+            return Response(value=self._reports)
         if rest == "orders":
-            return Reply(value=list(self._orders.values()))
-        return Reply(value=self._calls)
+            return Response(value=list(self._orders.values()))
+        return Response(value=self._calls)
 
 
 def _run(_: list[str]) -> None:
--- a/daisyhub/testing/fake_service.py
+++ b/daisyhub/testing/fake_service.py
@@ -4,7 +4,7 @@
 from absl import app, flags
 
 from daisyhub.logs import set_up_logs
-from daisyhub.testing.fake_app import FakeApp, Reply, Request, serve_fake
+from daisyhub.testing.fake_app import FakeApp, Request, Response, serve_fake
 
 __all__ = ["FakeService"]
 
@@ -31,12 +31,12 @@
         self._running = 0
         self._is_leaving = False
 
-    async def handle(self, call: Request) -> Reply:
+    async def handle(self, call: Request) -> Response:
         """Serves one call."""
         if call.path == "/admin/filings":
-            return Reply(value=self._filings)
+            return Response(value=self._filings)
         if call.path == "/admin/headers":
-            return Reply(value=sorted(self._headers))
+            return Response(value=sorted(self._headers))
         if call.path == "/admin/leave":
             self._is_leaving = True
         if call.path in ("/load", "/admin/leave"):
@@ -46,7 +46,7 @@
             return self._reply(503, {}, (b"endpoint-ran", b"no"))
         return await self._work(call)
 
-    async def _work(self, call: Request) -> Reply:
+    async def _work(self, call: Request) -> Response:
         self._running += 1
         try:
             await anyio.sleep(self.service_s)
@@ -56,7 +56,7 @@
             chunks = tuple(
                 f"chunk {i}\n".encode() for i in range(_STREAM_CHUNKS)
             )
-            return Reply(chunks=chunks, chunk_pause_s=_STREAM_PAUSE_S)
+            return Response(chunks=chunks, chunk_pause_s=_STREAM_PAUSE_S)
         if call.method == "POST":
             self._filings.append(call.body.decode())
             number = len(self._filings)
@@ -65,13 +65,13 @@
         value = {"path": call.path, "account": account, "by": self.name}
         return self._reply(200, value)
 
-    def _reply(self, status: int, value: object, *headers) -> Reply:
+    def _reply(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
         news = (
             (b"endpoint-load", str(self._running).encode()),
             (b"endpoint-state", state),
         )
-        return Reply(status=status, value=value, headers=(*news, *headers))
+        return Response(status=status, value=value, headers=(*news, *headers))
 
 
 def _run(_: list[str]) -> None:
