--- a/daisyhub/controllers/tests/test_orders_processes.py
+++ b/daisyhub/controllers/tests/test_orders_processes.py
@@ -41,7 +41,7 @@
             for process in deployment.daemons():
                 if process.popen.poll() is not None:
                     continue
-                caller = Caller(process.operators)
+                caller = Caller(process.operators_address)
                 status = await caller.json("GET", "/status")
                 await caller.aclose()
                 if status["orders"]["fencing"]:
--- a/daisyhub/controllers/tests/test_usage_failures.py
+++ b/daisyhub/controllers/tests/test_usage_failures.py
@@ -57,7 +57,7 @@
         await caller.aclose()
 
     async def status_of(self, daemon):
-        caller = Caller(daemon.operators)
+        caller = Caller(daemon.operators_address)
         status = await caller.json("GET", "/status")
         await caller.aclose()
         return status["usage"]
@@ -139,7 +139,7 @@
         self.run_with(scenario, {"requests_per_s": 60.0, "burst": 60})
 
     async def share_at(self, daemon):
-        caller = Caller(daemon.operators)
+        caller = Caller(daemon.operators_address)
         status = await caller.json("GET", "/status")
         await caller.aclose()
         return status["peers"]["rate_shares"].get("archive", 0.0)
--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -78,7 +78,7 @@
                 for daemon in self.deployment.daemons():
                     if daemon is skip:
                         continue
-                    caller = Caller(daemon.operators)
+                    caller = Caller(daemon.operators_address)
                     status = await caller.json("GET", "/status")
                     await caller.aclose()
                     lot = status["lots"].get("lot", {})
--- a/daisyhub/testing/playground.py
+++ b/daisyhub/testing/playground.py
@@ -30,7 +30,7 @@
     settings = deployment.write_operator_settings()
     daemon = deployment.daemons()[0]
     print(f"daemon:   http://{daemon.address}")
-    print(f"metrics:  http://{daemon.operators}/metrics")
+    print(f"metrics:  http://{daemon.operators_address}/metrics")
     print(f"key:      {DemoKeys.text(keys.yard)}")
     print(f"settings: {settings}")
     print(f"document: {path}")
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -35,7 +35,7 @@
     name: str
     popen: subprocess.Popen
     address: Address
-    operators: Address | None = None
+    operators_address: Address | None = None
 
     def send_signal(self, number: int) -> None:
         """Sends a signal to this process only."""
@@ -184,7 +184,10 @@
             "platform_address": {"ip": platform.ip, "port": platform.port},
             "key_hash_secret": HASH_KEY,
             "daemons": {
-                d.name: {"ip": d.operators.ip, "port": d.operators.port}
+                d.name: {
+                    "ip": d.operators_address.ip,
+                    "port": d.operators_address.port,
+                }
                 for d in self.daemons()
             },
         }
@@ -266,8 +269,8 @@
 
     async def wait_until_up(self, process: Process) -> None:
         """Waits until a process listens."""
-        address = process.operators or process.address
-        target = "/healthz" if process.operators else "/load"
+        address = process.operators_address or process.address
+        target = "/healthz" if process.operators_address else "/load"
         caller = Caller(address)
         with anyio.fail_after(_READY_WAIT_S):
             while True:
@@ -296,7 +299,7 @@
             for process in self.daemons():
                 if process.name in skip:
                     continue
-                caller = Caller(process.operators)
+                caller = Caller(process.operators_address)
                 while not is_met(await caller.json("GET", "/status")):
                     await anyio.sleep(0.01)
                 await caller.aclose()
