--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -95,7 +95,7 @@
     def test_each_request_gets_its_own_complete_response(self):
         fuzz = anyio.run(run_fuzz, SEED)
         self.assertEqual(fuzz.wrong, [])
-        self.assertEqual(fuzz.server.faults, [])
+        self.assertEqual(fuzz.server.unsafe_reuses, [])
         self.assertFalse(fuzz.fresh_ids & fuzz.server.reused)
         self.assertGreater(fuzz.completed_count, REQUESTS / 4)
         self.assertGreater(fuzz.failed_count, REQUESTS / 20)
@@ -115,7 +115,7 @@
             ),
         ):
             fuzz = anyio.run(run_fuzz, SEED)
-        self.assertTrue(fuzz.wrong or fuzz.server.faults)
+        self.assertTrue(fuzz.wrong or fuzz.server.unsafe_reuses)
 
     async def asyncSetUp(self):
         self.server = HostileServer()
@@ -166,4 +166,4 @@
             await response.aclose()
             with contextlib.suppress(RequestFailedError):
                 await self.get("/r2/ok")
-            self.assertFalse(self.server.faults)
+            self.assertFalse(self.server.unsafe_reuses)
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -40,7 +40,7 @@
     """
 
     def __init__(self):
-        self.faults: list[str] = []
+        self.unsafe_reuses: list[str] = []
         self.reused: set[str] = set()
         self.connections = 0
         self._silent: set[int] = set()
@@ -77,7 +77,7 @@
                 if count > 1:
                     self.reused.add(request_id)
                 if is_doubtful:
-                    self.faults.append(path)
+                    self.unsafe_reuses.append(path)
                 if number in self._silent or behaviour == "silent":
                     is_doubtful = True
                     continue
