--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -96,10 +96,10 @@
         fuzz = anyio.run(run_fuzz, SEED)
         self.assertEqual(fuzz.wrong, [])
         self.assertEqual(fuzz.server.unsafe_reuses, [])
-        self.assertFalse(fuzz.fresh_ids & fuzz.server.reused)
+        self.assertFalse(fuzz.fresh_ids & fuzz.server.reused_ids)
         self.assertGreater(fuzz.completed_count, REQUESTS / 4)
         self.assertGreater(fuzz.failed_count, REQUESTS / 20)
-        self.assertGreater(len(fuzz.server.reused), REQUESTS / 10)
+        self.assertGreater(len(fuzz.server.reused_ids), REQUESTS / 10)
 
     def test_the_fuzz_detects_a_client_that_checks_no_connection(self):
         """Without the client's checks, the fuzz must find faults."""
@@ -147,7 +147,7 @@
         for number in range(3):
             await self.get(f"/r{number}/ok", fresh=True)
         self.assertEqual(self.server.connections, 3)
-        self.assertFalse(self.server.reused)
+        self.assertFalse(self.server.reused_ids)
 
     async def test_a_refused_connection_is_reported_as_not_run(self):
         await self.server.stop()
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -41,7 +41,7 @@
 
     def __init__(self):
         self.unsafe_reuses: list[str] = []
-        self.reused: set[str] = set()
+        self.reused_ids: set[str] = set()
         self.connections = 0
         self._silent: set[int] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -75,7 +75,7 @@
                 _, request_id, behaviour = path.split("/")
                 count += 1
                 if count > 1:
-                    self.reused.add(request_id)
+                    self.reused_ids.add(request_id)
                 if is_doubtful:
                     self.unsafe_reuses.append(path)
                 if number in self._silent or behaviour == "silent":
