--- a/daisyhub/controllers/tests/test_membership_processes.py
+++ b/daisyhub/controllers/tests/test_membership_processes.py
@@ -66,7 +66,7 @@
         await self.caller.send("POST", "/faults", {"kind": "hang"})
         self.deployment.start_daemon(killed.name)
         started = self.deployment.processes[killed.name]
-        await self.deployment.wait_until_up(started)
+        await self.deployment.wait_until_listening(started)
         await self.wait()
         await self.deployment.wait_for_status(
             lambda status: status["config"]["withdrawn_keys"] == 1
--- a/daisyhub/filters/tests/test_process_requests.py
+++ b/daisyhub/filters/tests/test_process_requests.py
@@ -182,7 +182,7 @@
         answer = await self.file(1, "killed")
         self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
         self.deployment.start_daemon(self.daemons[0].name)
-        await self.deployment.wait_until_up(self.deployment.daemons()[0])
+        await self.deployment.wait_until_listening(self.deployment.daemons()[0])
         await self.deployment.wait_for_version(1)
         answer = await self.file(0, "killed")
         self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -52,7 +52,7 @@
             daemon.wait()
             self.deployment.start_daemon(daemon.name)
         for daemon in self.deployment.daemons():
-            await self.deployment.wait_until_up(daemon)
+            await self.deployment.wait_until_listening(daemon)
 
     def caller(self, number, key):
         daemon = self.deployment.daemons()[number]
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -265,9 +265,9 @@
     async def _wait_for_listeners(self) -> None:
         for process in self.processes.values():
             if process.popen.poll() is None:
-                await self.wait_until_up(process)
+                await self.wait_until_listening(process)
 
-    async def wait_until_up(self, process: Process) -> None:
+    async def wait_until_listening(self, process: Process) -> None:
         """Waits until a process listens."""
         address = process.operators_address or process.address
         target = "/healthz" if process.operators_address else "/load"
