--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -19,16 +19,16 @@
 from daisyhub.settings import Address
 from daisyhub.testing.hostile_server import (
     BEHAVIOURS,
-    GOOD,
+    VALID_BEHAVIOURS,
     HostileServer,
-    body_of,
+    expected_body,
 )
 
 TASKS = 12
 REQUESTS = int(os.environ.get("DAISYHUB_EXAMPLES", "60")) * 10
 SEED = int(os.environ.get("DAISYHUB_SEED", "1"))
 # Most responses are valid, so that connections are reused and shared.
-MIX = (*BEHAVIOURS, *GOOD * 4)
+MIX = (*BEHAVIOURS, *VALID_BEHAVIOURS * 4)
 
 
 class Fuzz:
@@ -80,7 +80,7 @@
             return
         self.completed_count += 1
         is_empty = method == "HEAD" or response.status in (204, 304)
-        expected = b"" if is_empty else body_of(request_id)
+        expected = b"" if is_empty else expected_body(request_id)
         if response.body != expected:
             self.wrong.append((request_id, behaviour, response.body[:20]))
 
@@ -95,11 +95,11 @@
     def test_each_request_gets_its_own_complete_response(self):
         fuzz = anyio.run(run_fuzz, SEED)
         self.assertEqual(fuzz.wrong, [])
-        self.assertEqual(fuzz.server.faults, [])
-        self.assertFalse(fuzz.fresh_ids & fuzz.server.reused)
+        self.assertEqual(fuzz.server.unsafe_reuses, [])
+        self.assertFalse(fuzz.fresh_ids & fuzz.server.reused_ids)
         self.assertGreater(fuzz.completed_count, REQUESTS / 4)
         self.assertGreater(fuzz.failed_count, REQUESTS / 20)
-        self.assertGreater(len(fuzz.server.reused), REQUESTS / 10)
+        self.assertGreater(len(fuzz.server.reused_ids), REQUESTS / 10)
 
     def test_the_fuzz_detects_a_client_that_checks_no_connection(self):
         """Without the client's checks, the fuzz must find faults."""
@@ -115,7 +115,7 @@
             ),
         ):
             fuzz = anyio.run(run_fuzz, SEED)
-        self.assertTrue(fuzz.wrong or fuzz.server.faults)
+        self.assertTrue(fuzz.wrong or fuzz.server.unsafe_reuses)
 
     async def asyncSetUp(self):
         self.server = HostileServer()
@@ -140,14 +140,14 @@
             await self.get("/silent/ok", timeout_s=0.1)
         self.assertEqual(caught.exception.ran, ExecutionStatus.UNKNOWN)
         response = await self.get("/again/ok")
-        self.assertEqual(response.body, body_of("again"))
+        self.assertEqual(response.body, expected_body("again"))
         self.assertEqual(self.server.connections, 6)
 
     async def test_fresh_requests_open_new_connections(self):
         for number in range(3):
             await self.get(f"/r{number}/ok", fresh=True)
         self.assertEqual(self.server.connections, 3)
-        self.assertFalse(self.server.reused)
+        self.assertFalse(self.server.reused_ids)
 
     async def test_a_refused_connection_is_reported_as_not_run(self):
         await self.server.stop()
@@ -166,4 +166,4 @@
             await response.aclose()
             with contextlib.suppress(RequestFailedError):
                 await self.get("/r2/ok")
-            self.assertFalse(self.server.faults)
+            self.assertFalse(self.server.unsafe_reuses)
