--- a/daisyhub/testing/__init__.py
+++ b/daisyhub/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Small fakes of the systems around the daemon, and tools to run them."""
+"""Fakes of the systems around the daemon, and tools to run them."""
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -1,7 +1,7 @@
-"""What all fakes share: routing, JSON, and faults on demand.
+"""The base of all fakes: an ASGI app with JSON bodies and injected faults.
 
-`POST /faults` with a `Fault` makes the next matching calls fail; `DELETE
-/faults` ends all faults.
+`POST /faults` with a `Fault` as JSON makes matching requests fail; `DELETE
+/faults` removes the faults, but connections that were made silent stay silent.
 """
 
 import abc
@@ -23,17 +23,20 @@
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
-    """A fault of a fake.
+    """A fault to inject into a fake.
 
     Attributes:
-        kind: `hang` never answers; `late` answers after `delay_s`; `lose`
-            takes effect and never answers; `truncate` cuts the answer in the
-            middle; `error` answers with status 500 and no effect; `silent`
-            makes connections that are open now silent for good.
-        path: Prefix of the paths that it applies to.
-        method: Method that it applies to; empty for all.
-        count: How many calls it applies to.
-        delay_s: Delay of a late answer.
+        kind: `hang` has no effect and sends no response; `late` takes effect
+            and responds after `delay_s`; `lose` takes effect and sends no
+            response; `truncate` takes effect and cuts the response in the
+            middle; `error` has no effect and responds with status 500;
+            `silent` stops all responses on the connections that have carried
+            a request so far.
+        path: Prefix of the paths to which it applies; `silent` ignores it, as
+            it does `method` and `count`.
+        method: Method to which it applies; empty for all.
+        count: Number of requests to which it applies.
+        delay_s: Delay of a late response.
     """
 
     kind: Literal["hang", "late", "lose", "truncate", "error", "silent"]
@@ -45,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A request to a fake."""
+    """An HTTP request to a fake."""
 
     method: str
     path: str
@@ -54,13 +57,21 @@
     body: bytes
 
     def json(self, kind: type):
-        """Returns the body as `kind`."""
+        """Decodes the body from JSON as the type `kind`."""
         return msgspec.json.decode(self.body, type=kind)
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Response:
-    """A fake's answer; `value` is sent as JSON, `chunks` as a stream."""
+    """An HTTP response of a fake.
+
+    Attributes:
+        status: The status code.
+        value: The body, encoded as JSON; ignored if there are chunks.
+        headers: Headers besides content type and length.
+        chunks: Parts of a streamed body.
+        chunk_pause_s: Pause after each chunk.
+    """
 
     status: int = 200
     value: object = None
@@ -70,70 +81,70 @@
 
 
 class FakeApp(abc.ABC):
-    """An ASGI app with faults."""
+    """An ASGI app into which faults can be injected."""
 
     def __init__(self):
         self._faults: list[list] = []
         self._clients: set[tuple] = set()
-        self._silent: set[tuple] = set()
+        self._silenced_clients: set[tuple] = set()
 
     @abc.abstractmethod
-    async def handle(self, call: Request) -> Response:
-        """Serves one call without faults."""
+    async def handle(self, request: Request) -> Response:
+        """Handles one request without faults."""
 
     async def __call__(self, scope, receive, send) -> None:
-        """Serves one call, with faults."""
+        """Handles one request, with the faults that apply to it."""
         if scope["type"] != "http":
             return
         client = tuple(scope["client"])
-        call = await _read_call(scope, receive)
-        if call.path == "/faults":
-            await _send(send, self._change_faults(call))
+        request = await _read_request(scope, receive)
+        if request.path == "/faults":
+            await _send(send, self._change_faults(request))
             return
         self._clients.add(client)
-        if client in self._silent:
+        if client in self._silenced_clients:
             await anyio.sleep(_FOREVER_S)
-        fault = self._take_fault(call)
-        await self._serve(call, fault, send)
+        fault = self._consume_fault(request)
+        await self._serve(request, fault, send)
 
-    async def _serve(self, call: Request, fault: Fault | None, send) -> None:
+    async def _serve(self, request: Request, fault: Fault | None, send) -> None:
         kind = fault.kind if fault else ""
         if kind == "hang":
             await anyio.sleep(_FOREVER_S)
         if kind == "error":
             await _send(send, Response(status=500, value={"error": "injected"}))
             return
-        reply = await self.handle(call)
+        response = await self.handle(request)
         if kind == "late":
             await anyio.sleep(fault.delay_s)
         if kind == "lose":
             await anyio.sleep(_FOREVER_S)
-        await _send(send, reply, truncate=kind == "truncate")
+        await _send(send, response, truncate=kind == "truncate")
 
-    def _change_faults(self, call: Request) -> Response:
-        if call.method == "DELETE":
+    def _change_faults(self, request: Request) -> Response:
+        if request.method == "DELETE":
             self._faults.clear()
             return Response(value={})
-        fault = call.json(Fault)
+        fault = request.json(Fault)
         if fault.kind == "silent":
-            self._silent |= self._clients
-            return Response(value={"connections": len(self._silent)})
+            self._silenced_clients |= self._clients
+            return Response(value={"connections": len(self._silenced_clients)})
         self._faults.append([fault, fault.count])
         return Response(value={})
 
-    def _take_fault(self, call: Request) -> Fault | None:
+    def _consume_fault(self, request: Request) -> Fault | None:
         for entry in self._faults:
-            fault, left = entry
-            if not call.path.startswith(fault.path) or not left:
+            fault, remaining_count = entry
+            if not request.path.startswith(fault.path) or not remaining_count:
                 continue
-            if fault.method not in ("", call.method):
+            if fault.method not in ("", request.method):
                 continue
             entry[1] -= 1
             return fault
         return None
 
 
-async def _read_call(scope, receive) -> Request:
+async def _read_request(scope, receive) -> Request:
     body = b""
     while True:
         message = await receive()
@@ -151,28 +162,28 @@
     )
 
 
-async def _send(send, reply: Response, *, truncate: bool = False) -> None:
-    headers = [(b"content-type", b"application/json"), *reply.headers]
-    body = b"" if reply.chunks else msgspec.json.encode(reply.value)
-    if not reply.chunks:
+async def _send(send, response: Response, *, truncate: bool = False) -> None:
+    headers = [(b"content-type", b"application/json"), *response.headers]
+    body = b"" if response.chunks else msgspec.json.encode(response.value)
+    if not response.chunks:
         headers.append((b"content-length", str(len(body)).encode()))
-    start = {"type": "http.response.start", "status": reply.status}
+    start = {"type": "http.response.start", "status": response.status}
     await send({**start, "headers": headers})
     if truncate:
-        part = body[: len(body) // 2] or b"".join(reply.chunks[:1])
+        part = body[: len(body) // 2] or b"".join(response.chunks[:1])
         await send(
             {"type": "http.response.body", "body": part, "more_body": True}
         )
         raise ConnectionAbortedError
-    for chunk in reply.chunks:
+    for chunk in response.chunks:
         await send(
             {"type": "http.response.body", "body": chunk, "more_body": True}
         )
-        await anyio.sleep(reply.chunk_pause_s)
+        await anyio.sleep(response.chunk_pause_s)
     await send({"type": "http.response.body", "body": body})
 
 
 def serve_fake(app: FakeApp) -> None:
-    """Serves a fake on the port of the command line until it is killed."""
+    """Serves a fake on the port given by `--port` until it is stopped."""
     server = HttpServer(app, Address(ip="127.0.0.1", port=_PORT.value))
     anyio.run(server.run_until_stopped)
--- a/daisyhub/testing/fake_engine.py
+++ b/daisyhub/testing/fake_engine.py
@@ -1,4 +1,4 @@
-"""A fake model engine: generation with weight versions, orders, load."""
+"""A fake model engine: generation, weight orders and load reports."""
 
 import hashlib
 
@@ -11,15 +11,19 @@
 
 __all__ = ["FakeEngine"]
 
-_TOKEN_S = flags.DEFINE_float("token_s", 0.002, "Seconds a token.")
-_SWAP_S = flags.DEFINE_float("swap_s", 0.05, "Seconds a weight swap.")
-_CAPACITY = flags.DEFINE_integer("capacity", 16, "Samples at one time.")
+_TOKEN_S = flags.DEFINE_float("token_s", 0.002, "Seconds per generated token.")
+_SWAP_S = flags.DEFINE_float("swap_s", 0.05, "Seconds per weight swap.")
+_CAPACITY = flags.DEFINE_integer(
+    "capacity", 16, "Maximum number of concurrent samples."
+)
 _CHECKS_FENCING = flags.DEFINE_bool(
-    "checks_fencing", True, "Whether old fencing numbers are refused."
+    "checks_fencing",
+    True,
+    "Whether orders with stale fencing numbers are rejected.",
 )
 
 
-class _Prompt(msgspec.Struct, frozen=True, kw_only=True):
+class _GenerateRequest(msgspec.Struct, frozen=True, kw_only=True):
     prompt: str
     max_tokens: int
     sample: int = 0
@@ -32,10 +36,17 @@
 
 
 class FakeEngine(FakeApp):
-    """Generates made-up tokens under the weight version of each moment.
+    """Generates tokens from a hash of the prompt.
+
+    Each token is labelled with the weight version that is active when it is
+    generated. `POST /admin/leave` sets the state to leaving; `GET
+    /admin/orders` returns the accepted orders.
 
-    `POST /admin/leave` makes it leaving; `GET /admin/orders` tells the
-    orders taken.
+    Args:
+        token_s: Seconds per token.
+        swap_s: Seconds per weight swap.
+        capacity: Reported capacity; it isn't enforced.
+        checks_fencing: Whether orders with stale fencing numbers are rejected.
     """
 
     def __init__(
@@ -56,35 +67,37 @@
         self._is_leaving = False
         self._orders: list[_Order] = []
 
-    async def handle(self, call: Request) -> Response:
-        """Serves one call."""
-        match call.path:
+    async def handle(self, request: Request) -> Response:
+        """Handles one request."""
+        match request.path:
             case "/generate" if self._is_leaving:
-                return self._reply(503, {}, (b"endpoint-ran", b"no"))
+                return self._respond(503, {}, (b"endpoint-ran", b"no"))
             case "/generate":
-                return await self._generate(call.json(_Prompt))
+                return await self._generate(request.json(_GenerateRequest))
             case "/orders":
-                return await self._take_order(call.json(_Order))
+                return await self._handle_order(request.json(_Order))
             case "/load":
-                return self._reply(200, {})
+                return self._respond(200, {})
             case "/admin/leave":
                 self._is_leaving = True
-                return self._reply(200, {})
+                return self._respond(200, {})
             case "/admin/orders":
-                return self._reply(200, self._orders)
+                return self._respond(200, self._orders)
         return Response(status=404)
 
-    def _reply(self, status: int, value: object, *headers) -> Response:
+    def _respond(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
-        news = (
+        endpoint_headers = (
             (b"endpoint-load", str(self._running).encode()),
             (b"endpoint-capacity", str(self.capacity).encode()),
             (b"endpoint-weight-version", str(self._version).encode()),
             (b"endpoint-state", state),
         )
-        return Response(status=status, value=value, headers=(*news, *headers))
+        return Response(
+            status=status, value=value, headers=(*endpoint_headers, *headers)
+        )
 
-    async def _generate(self, prompt: _Prompt) -> Response:
+    async def _generate(self, prompt: _GenerateRequest) -> Response:
         self._running += 1
         try:
             seed = f"{prompt.prompt}/{prompt.sample}".encode()
@@ -97,28 +110,30 @@
         finally:
             self._running -= 1
         tokens = [digest[i % len(digest)] for i in range(count)]
-        value = {"tokens": tokens, "spans": _spans(versions)}
-        return self._reply(
+        value = {"tokens": tokens, "spans": _version_spans(versions)}
+        return self._respond(
             200, value, (b"endpoint-tokens", str(count).encode())
         )
 
-    async def _take_order(self, order: _Order) -> Response:
+    async def _handle_order(self, order: _Order) -> Response:
         if self.checks_fencing and order.fencing < self._fencing:
-            return self._reply(409, {"fencing": self._fencing})
+            return self._respond(409, {"fencing": self._fencing})
         self._fencing = max(self._fencing, order.fencing)
         self._orders.append(order)
         await anyio.sleep(self.swap_s)
         self._version = max(self._version, order.version)
-        return self._reply(200, {"version": self._version})
+        return self._respond(200, {"version": self._version})
 
 
-def _spans(versions: list[int]) -> list[dict[str, int]]:
+def _version_spans(versions: list[int]) -> list[dict[str, int]]:
     spans = []
-    for place, version in enumerate(versions):
+    for position, version in enumerate(versions):
         if spans and spans[-1]["version"] == version:
-            spans[-1]["end"] = place + 1
+            spans[-1]["end"] = position + 1
             continue
-        spans.append({"version": version, "start": place, "end": place + 1})
+        spans.append(
+            {"version": version, "start": position, "end": position + 1}
+        )
     return spans
 
 
--- a/daisyhub/testing/fake_fleet.py
+++ b/daisyhub/testing/fake_fleet.py
@@ -1,7 +1,7 @@
-"""Stand-ins for the users' platform: its store, order desk and servers.
+"""Fakes of the users' platform: its object store, usage API and servers.
 
-One process serves one of them: `--role=platform` the store of objects and the
-calls for usage, `--role=server` an engine and a plain service at one address.
+A process has one role: `--role=platform` is the object store and the usage
+API, `--role=server` an engine and a plain service at one address.
 """
 
 import base64
@@ -23,20 +23,20 @@
 __all__ = ["FakePlatformStore", "FakeServer"]
 
 _ROLE = flags.DEFINE_enum(
-    "role", "platform", ["platform", "server"], "What to stand in for."
+    "role", "platform", ["platform", "server"], "Which fake to run."
 )
-_NAME = flags.DEFINE_string("name", "i-1", "Id of a server.")
-_EVENT_S = flags.DEFINE_float("event_s", 0.02, "Seconds an event takes.")
-_EVENTS = 6
-_LOAD_S = 0.2
-_OBJECTS = "/v1/objects/"
+_NAME = flags.DEFINE_string("name", "i-1", "Instance id of a server.")
+_EVENT_S = flags.DEFINE_float("event_s", 0.02, "Seconds per event or look-up.")
+_EVENT_COUNT = 6
+_WEIGHT_LOAD_S = 0.2
+_OBJECTS_PATH = "/v1/objects/"
 _MS_PER_S = 1000.0
 
 
 class FakePlatformStore(FakeApp):
-    """The store over HTTP, and the order desk.
+    """The object store over HTTP, and the usage API of the order desk.
 
-    `GET /admin/usage` tells all usage calls that were accepted.
+    `GET /admin/usage` returns all accepted usage reports.
     """
 
     def __init__(self):
@@ -44,68 +44,74 @@
         self._store = MemoryStore()
         self._usage: list[dict] = []
 
-    async def handle(self, call: Request) -> Response:
-        """Serves one call."""
-        if call.path == "/admin/usage":
+    async def handle(self, request: Request) -> Response:
+        """Handles one request."""
+        if request.path == "/admin/usage":
             return Response(value=self._usage)
-        if call.path == "/usage":
+        if request.path == "/usage":
             self._usage.append(
                 {
-                    "holder": call.headers["daisyhub-duty-holder"],
-                    "fencing": int(call.headers["daisyhub-fencing-token"]),
-                    **msgspec.json.decode(call.body),
+                    "holder": request.headers["daisyhub-duty-holder"],
+                    "fencing": int(request.headers["daisyhub-fencing-token"]),
+                    **msgspec.json.decode(request.body),
                 }
             )
             return Response(value={})
-        if not call.path.startswith(_OBJECTS):
+        if not request.path.startswith(_OBJECTS_PATH):
             return Response(status=404)
-        kind, _, name = call.path[len(_OBJECTS) :].partition("/")
+        kind, _, name = request.path[len(_OBJECTS_PATH) :].partition("/")
         try:
-            return await self._objects(call, kind, name)
+            return await self._handle_objects(request, kind, name)
         except ObjectConflictError as exc:
-            value = _shown(exc.found) if exc.found else None
+            value = _encode_object(exc.found) if exc.found else None
             return Response(status=409, value=value)
         except HistoryGoneError:
             return Response(status=410)
 
-    async def _objects(self, call: Request, kind: str, name: str) -> Response:
+    async def _handle_objects(
+        self, request: Request, kind: str, name: str
+    ) -> Response:
         store = self._store
-        if call.method == "GET" and name:
+        if request.method == "GET" and name:
             found = await store.read(kind, name)
             return (
-                Response(value=_shown(found)) if found else Response(status=404)
+                Response(value=_encode_object(found))
+                if found
+                else Response(status=404)
             )
-        if call.method == "GET" and "watch" in call.query:
+        if request.method == "GET" and "watch" in request.query:
             batch = await store.watch(
                 kind,
-                after_revision=int(call.query["watch"]),
-                wait_s=int(call.query["wait-ms"]) / _MS_PER_S,
+                after_revision=int(request.query["watch"]),
+                wait_s=int(request.query["wait-ms"]) / _MS_PER_S,
             )
             events = [
-                {"deleted": c.is_deleted, "object": _shown(c)}
+                {"deleted": c.is_deleted, "object": _encode_object(c)}
                 for c in batch.changes
             ]
             return Response(value={"events": events, "at": batch.revision})
-        if call.method == "GET":
+        if request.method == "GET":
             listed = await store.list_all(kind)
-            items = [_shown(item) for item in listed.items]
+            items = [_encode_object(item) for item in listed.items]
             return Response(
                 value={"items": items, "has-more": False, "at": listed.revision}
             )
-        if call.method == "DELETE":
+        if request.method == "DELETE":
             await store.delete(kind, name)
             return Response(value={})
-        return await self._write(call, kind, name)
+        return await self._handle_write(request, kind, name)
 
-    async def _write(self, call: Request, kind: str, name: str) -> Response:
-        body = msgspec.json.decode(call.body)
+    async def _handle_write(
+        self, request: Request, kind: str, name: str
+    ) -> Response:
+        body = msgspec.json.decode(request.body)
         meta = body["metadata"]
         spec = msgspec.json.encode(body.get("spec"))
         if name.endswith("/status"):
             status = msgspec.json.encode(body["status"])
             name = name.removesuffix("/status")
             found = await self._store.set_status(kind, name, status)
-        elif call.method == "POST":
+        elif request.method == "POST":
             found = await self._store.create(kind, meta["name"], spec)
         elif "revision" in meta:
             found = await self._store.replace(
@@ -113,10 +119,14 @@
             )
         else:
             found = self._store.put(kind, name, spec)
-        return Response(value=_shown(found)) if found else Response(status=404)
+        return (
+            Response(value=_encode_object(found))
+            if found
+            else Response(status=404)
+        )
 
 
-def _shown(found: StoredObject) -> dict:
+def _encode_object(found: StoredObject) -> dict:
     return {
         "metadata": {
             "name": found.name,
@@ -129,9 +139,16 @@
 
 
 class FakeServer(FakeApp):
-    """An engine whose texts depend on the item only, and a record service.
+    """An engine and a plain service at one address.
+
+    A generated text depends on the item id only, so that it can be checked
+    wherever and however often the item runs. `GET /admin/ran` returns the
+    executed requests: id, account, whether the client's API key was
+    forwarded, and whether a stream was resumed.
 
-    `GET /admin/ran` tells the request ids that ran, with what they carried.
+    Args:
+        name: Instance id.
+        event_s: Seconds per event or look-up.
     """
 
     def __init__(self, name: str, event_s: float):
@@ -141,17 +158,17 @@
         self._version = 1
         self._orders = 0
         self._is_busy = False
-        self._highest = 0
-        self._ran: list[dict] = []
-
-    async def handle(self, call: Request) -> Response:
-        """Serves one call."""
-        if call.path == "/admin/ran":
-            return Response(value=self._ran)
-        expected = call.headers.get("daisyhub-expect-instance", self.name)
+        self._highest_fencing = 0
+        self._executed_requests: list[dict] = []
+
+    async def handle(self, request: Request) -> Response:
+        """Handles one request."""
+        if request.path == "/admin/ran":
+            return Response(value=self._executed_requests)
+        expected = request.headers.get("daisyhub-expect-instance", self.name)
         if expected != self.name:
             return Response(status=421)
-        if call.path == "/v1/report":
+        if request.path == "/v1/report":
             return Response(
                 value={
                     "models": [{"name": "m", "version": self._version}],
@@ -159,53 +176,53 @@
                     "sequence": self._orders,
                 }
             )
-        if call.path == "/v1/order":
-            return await self._order(msgspec.json.decode(call.body))
-        self._ran.append(
+        if request.path == "/v1/order":
+            return await self._handle_order(msgspec.json.decode(request.body))
+        self._executed_requests.append(
             {
-                "id": call.headers["daisyhub-request-id"],
-                "account": call.headers.get("daisyhub-tenant", ""),
-                "has_key": "api-key" in call.headers,
-                "resumed": "last-event-id" in call.headers,
+                "id": request.headers["daisyhub-request-id"],
+                "account": request.headers.get("daisyhub-tenant", ""),
+                "has_key": "api-key" in request.headers,
+                "resumed": "last-event-id" in request.headers,
             }
         )
-        if call.path.startswith("/gen/"):
-            return self._generate(call)
+        if request.path.startswith("/gen/"):
+            return self._generate(request)
         await anyio.sleep(self.event_s)
-        return self._reply(value={"path": call.path})
+        return self._respond(value={"path": request.path})
 
-    async def _order(self, order: dict) -> Response:
-        if order["fencing-token"] < self._highest:
+    async def _handle_order(self, order: dict) -> Response:
+        if order["fencing-token"] < self._highest_fencing:
             return Response(status=412)
-        self._highest = order["fencing-token"]
+        self._highest_fencing = order["fencing-token"]
         if self._is_busy or order.get("expect", self._orders) != self._orders:
             return Response(status=409)
         if order["version"] == self._version:
             return Response(value={})
         self._orders += 1
         self._is_busy = True
-        await anyio.sleep(_LOAD_S)
+        await anyio.sleep(_WEIGHT_LOAD_S)
         self._version = order["version"]
         self._is_busy = False
         return Response(status=202)
 
-    def _generate(self, call: Request) -> Response:
-        item_id = call.headers["daisyhub-request-id"]
-        first = int(call.headers.get("last-event-id", 0)) + 1
+    def _generate(self, request: Request) -> Response:
+        item_id = request.headers["daisyhub-request-id"]
+        first = int(request.headers.get("last-event-id", 0)) + 1
         chunks = tuple(
             f"id: {n}\ndata: {item_id}-{n}\n\n".encode()
-            for n in range(first, _EVENTS + 1)
+            for n in range(first, _EVENT_COUNT + 1)
         )
         version = str(self._version).encode()
-        return self._reply(
-            # A stream that has nothing more to tell is empty, and whole.
+        return self._respond(
+            # A stream resumed after its last event is empty but complete.
             chunks=chunks or (b"",),
-            # Items end in another order each time that they run.
+            # Random pauses, so that items finish in a different order each run.
             chunk_pause_s=self.event_s * random.uniform(0.7, 1.3),
             headers=((b"daisyhub-weight-versions", version),),
         )
 
-    def _reply(self, *, headers=(), **fields) -> Response:
+    def _respond(self, *, headers=(), **fields) -> Response:
         stamp = base64.b32encode(self.name.encode()).lower()
         return Response(
             headers=((b"daisyhub-server-stamp", stamp), *headers), **fields
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -1,4 +1,4 @@
-"""A fake of the platform: objects, watches, endpoint lists, usage reports."""
+"""A fake platform: objects, watches, endpoint lists, orders, usage reports."""
 
 import anyio
 import msgspec
@@ -16,14 +16,16 @@
 
 __all__ = ["FakePlatform"]
 
-_VALUE_BYTES = 1_000_000
+_MAX_VALUE_BYTES = 1_000_000
 
 
 class FakePlatform(FakeApp):
-    """Keeps everything in memory; counts its calls.
+    """Stores everything in memory and counts requests.
 
-    `PUT /admin/endpoints/DOMAIN` sets a list of `EndpointRecord`; `GET
-    /admin/usage` tells the reports taken; `GET /admin/calls` the calls.
+    `PUT /admin/endpoints/DOMAIN` sets the list of `EndpointRecord` of a failure
+    domain; `GET /admin/usage` returns the accepted usage reports, `GET
+    /admin/orders` the accepted orders, and `GET /admin/calls` the number of
+    requests by kind: reads, writes, watches.
     """
 
     def __init__(self):
@@ -37,62 +39,62 @@
         self._orders: dict[str, OrderRequest] = {}
         self._highest_fencing: dict[str, int] = {}
 
-    async def handle(self, call: Request) -> Response:
-        """Serves one call."""
-        parts = call.path.strip("/").split("/", 1)
+    async def handle(self, request: Request) -> Response:
+        """Handles one request."""
+        parts = request.path.strip("/").split("/", 1)
         rest = parts[1] if len(parts) > 1 else ""
         match parts[0]:
             case "objects" if rest:
-                return self._on_object(rest, call)
+                return self._handle_object(rest, request)
             case "objects":
-                return await self._on_list(call)
-            case "domains" if call.method == "POST":
+                return await self._handle_list(request)
+            case "domains" if request.method == "POST":
                 self._count("writes")
                 domain = rest.partition("/")[0]
-                return self._on_order(domain, call.json(OrderRequest))
+                return self._handle_order(domain, request.json(OrderRequest))
             case "domains":
                 self._count("reads")
                 domain = rest.partition("/")[0]
                 return Response(value=self._endpoints.get(domain, []))
             case "usage":
                 self._count("writes")
-                return self._on_report(call.json(UsageReport))
+                return self._handle_report(request.json(UsageReport))
             case "admin":
-                return self._on_admin(rest, call)
+                return self._handle_admin(rest, request)
         return Response(status=404)
 
     def _count(self, kind: str) -> None:
         self._calls[kind] = self._calls.get(kind, 0) + 1
 
-    def _on_object(self, key: str, call: Request) -> Response:
+    def _handle_object(self, key: str, request: Request) -> Response:
         found = self._objects.get(key)
-        if call.method == "GET":
+        if request.method == "GET":
             self._count("reads")
             return Response(value=found) if found else Response(status=404)
         self._count("writes")
-        if len(call.body) > _VALUE_BYTES:
+        if len(request.body) > _MAX_VALUE_BYTES:
             return Response(status=413)
         version = found.version if found else 0
-        if int(call.query["expected"]) != version:
+        if int(request.query["expected"]) != version:
             return Response(status=409, value={"version": version})
         self._revision += 1
         found = PlatformObject(
             key=key,
             version=version + 1,
             revision=self._revision,
-            write_id=call.query["write_id"],
-            value=msgspec.json.decode(call.body),
+            write_id=request.query["write_id"],
+            value=msgspec.json.decode(request.body),
         )
         self._objects[key] = found
         self._changed.set()
         self._changed = anyio.Event()
         return Response(value=msgspec.structs.replace(found, value=None))
 
-    async def _on_list(self, call: Request) -> Response:
-        prefix = call.query.get("prefix", "")
-        after = int(call.query.get("after", "0"))
-        self._count("watches" if "wait" in call.query else "reads")
-        with anyio.move_on_after(float(call.query.get("wait", "0"))):
+    async def _handle_list(self, request: Request) -> Response:
+        prefix = request.query.get("prefix", "")
+        after = int(request.query.get("after", "0"))
+        self._count("watches" if "wait" in request.query else "reads")
+        with anyio.move_on_after(float(request.query.get("wait", "0"))):
             while not self._changed_since(prefix, after):
                 await self._changed.wait()
         objects = self._changed_since(prefix, after)
@@ -105,8 +107,8 @@
             if key.startswith(prefix) and found.revision > after
         ]
 
-    def _on_order(self, domain: str, request: OrderRequest) -> Response:
-        """Takes an order once by its id; refuses old fencing numbers."""
+    def _handle_order(self, domain: str, request: OrderRequest) -> Response:
+        """Accepts an order once per id; rejects stale fencing numbers."""
         order = request.order
         name = order.endpoint_id or f"ordered-{order.order_id}"
         if order.order_id in self._orders:
@@ -117,7 +119,7 @@
         self._orders[order.order_id] = request
         records = self._endpoints.setdefault(domain, [])
         if order.kind == "start":
-            # No process is started: nothing listens at the record's port.
+            # No process is started, so nothing listens on the record's port.
             record = EndpointRecord(
                 endpoint_id=name,
                 pool=order.pool,
@@ -135,14 +137,14 @@
             ]
         return Response(value=OrderResponse(endpoint_id=name))
 
-    def _on_report(self, report: UsageReport) -> Response:
+    def _handle_report(self, report: UsageReport) -> Response:
         self._reports.append(report)
         return Response(value={})
 
-    def _on_admin(self, rest: str, call: Request) -> Response:
+    def _handle_admin(self, rest: str, request: Request) -> Response:
         if rest.startswith("endpoints/"):
             domain = rest.partition("/")[2]
-            self._endpoints[domain] = call.json(list[EndpointRecord])
+            self._endpoints[domain] = request.json(list[EndpointRecord])
             return Response(value={})
         if rest == "usage":
             return Response(value=self._reports)
--- a/daisyhub/testing/fake_service.py
+++ b/daisyhub/testing/fake_service.py
@@ -1,4 +1,4 @@
-"""A fake plain service: records to look up, filings that must run once."""
+"""A fake plain service: idempotent look-ups and non-idempotent filings."""
 
 import anyio
 from absl import app, flags
@@ -8,18 +8,22 @@
 
 __all__ = ["FakeService"]
 
-_SERVICE_S = flags.DEFINE_float("service_s", 0.002, "Seconds a request.")
-_NAME = flags.DEFINE_string("name", "service", "Name in its answers.")
+_SERVICE_S = flags.DEFINE_float("service_s", 0.002, "Seconds per request.")
+_NAME = flags.DEFINE_string("name", "service", "Name that responses contain.")
 _STREAM_CHUNKS = 40
 _STREAM_PAUSE_S = 0.05
 
 
 class FakeService(FakeApp):
-    """Answers look-ups; notes each filing that it runs.
+    """Responds to look-ups and records each filing (POST) that it runs.
 
-    `GET /admin/filings` tells the request ids and bodies of filings, `GET
-    /admin/headers` the header names seen, `POST /admin/leave` makes it
-    leaving.
+    `GET /admin/filings` returns the bodies of all filings, `GET
+    /admin/headers` the names of all headers received; `POST /admin/leave` sets
+    the state to leaving.
+
+    Args:
+        service_s: Seconds per request.
+        name: Name that responses contain.
     """
 
     def __init__(self, service_s: float = 0.002, name: str = "service"):
@@ -31,47 +35,51 @@
         self._running = 0
         self._is_leaving = False
 
-    async def handle(self, call: Request) -> Response:
-        """Serves one call."""
-        if call.path == "/admin/filings":
+    async def handle(self, request: Request) -> Response:
+        """Handles one request."""
+        if request.path == "/admin/filings":
             return Response(value=self._filings)
-        if call.path == "/admin/headers":
+        if request.path == "/admin/headers":
             return Response(value=sorted(self._headers))
-        if call.path == "/admin/leave":
+        if request.path == "/admin/leave":
             self._is_leaving = True
-        if call.path in ("/load", "/admin/leave"):
-            return self._reply(200, {})
-        self._headers.update(call.headers)
+        if request.path in ("/load", "/admin/leave"):
+            return self._respond(200, {})
+        self._headers.update(request.headers)
         if self._is_leaving:
-            return self._reply(503, {}, (b"endpoint-ran", b"no"))
-        return await self._work(call)
+            return self._respond(503, {}, (b"endpoint-ran", b"no"))
+        return await self._run_request(request)
 
-    async def _work(self, call: Request) -> Response:
+    async def _run_request(self, request: Request) -> Response:
         self._running += 1
         try:
             await anyio.sleep(self.service_s)
         finally:
             self._running -= 1
-        if call.path.startswith("/stream"):
+        if request.path.startswith("/stream"):
             chunks = tuple(
                 f"chunk {i}\n".encode() for i in range(_STREAM_CHUNKS)
             )
             return Response(chunks=chunks, chunk_pause_s=_STREAM_PAUSE_S)
-        if call.method == "POST":
-            self._filings.append(call.body.decode())
+        if request.method == "POST":
+            self._filings.append(request.body.decode())
             number = len(self._filings)
-            return self._reply(201, {"filed": call.body.decode(), "no": number})
-        account = call.headers.get("daisyhub-account", "")
-        value = {"path": call.path, "account": account, "by": self.name}
-        return self._reply(200, value)
+            return self._respond(
+                201, {"filed": request.body.decode(), "no": number}
+            )
+        account = request.headers.get("daisyhub-account", "")
+        value = {"path": request.path, "account": account, "by": self.name}
+        return self._respond(200, value)
 
-    def _reply(self, status: int, value: object, *headers) -> Response:
+    def _respond(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
-        news = (
+        endpoint_headers = (
             (b"endpoint-load", str(self._running).encode()),
             (b"endpoint-state", state),
         )
-        return Response(status=status, value=value, headers=(*news, *headers))
+        return Response(
+            status=status, value=value, headers=(*endpoint_headers, *headers)
+        )
 
 
 def _run(_: list[str]) -> None:
