--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -1,4 +1,4 @@
-"""A small caller for tests and the demo, over `HttpClient`."""
+"""A JSON client for daemons and fakes, and a fake trainer."""
 
 import contextlib
 import dataclasses
@@ -17,11 +17,11 @@
 
 
 class Caller:
-    """Calls one daemon or fake.
+    """Sends requests to one daemon or fake.
 
     Args:
-        address: Where to send requests.
-        key: The client key, or empty.
+        address: Address of the daemon or fake.
+        key: The API key; empty to send none.
     """
 
     def __init__(self, address: Address, key: str = ""):
@@ -39,25 +39,27 @@
         timeout_s: float = _TIMEOUT_S,
         fresh: bool = False,
     ) -> HttpResponse:
-        """Sends one request with `value` as JSON."""
-        own = []
+        """Sends one request with `value` as JSON; None sends no body."""
+        auth_headers = []
         if self.key:
-            own.append((b"authorization", f"Bearer {self.key}".encode()))
+            auth_headers.append(
+                (b"authorization", f"Bearer {self.key}".encode())
+            )
         body = b"" if value is None else msgspec.json.encode(value)
         return await self.http.request(
             method,
             self.address,
             target,
-            headers=(*own, *headers),
+            headers=(*auth_headers, *headers),
             body=body,
             timeout_s=timeout_s,
             fresh=fresh,
         )
 
     async def json(self, method: str, target: str, value: object = None):
-        """Sends one request and returns the answer's JSON value."""
-        answer = await self.send(method, target, value)
-        return msgspec.json.decode(answer.body)
+        """Sends one request and returns the decoded JSON body."""
+        response = await self.send(method, target, value)
+        return msgspec.json.decode(response.body)
 
     async def aclose(self) -> None:
         """Closes idle connections."""
@@ -66,15 +68,16 @@
 
 @dataclasses.dataclass(slots=True)
 class TrainerResult:
-    """What a fake trainer got.
+    """What a fake trainer received.
 
     Attributes:
-        groups: Group number to its samples, as JSON values.
-        doubled: Groups that came more than once.
-        stale: Samples older than the bound.
-        mixed: Samples with more than one weight version.
+        groups: Samples by group number, as JSON values.
+        duplicate_groups: Number of groups that were delivered again.
+        stale_samples: Number of samples that exceeded the maximum staleness.
+        mixed_version_samples: Number of samples generated under more than one
+            weight version.
         idle_s: Time spent waiting for pulls.
-        repeats: Calls that had to be repeated.
+        retries: Number of calls that were sent again.
     """
 
     groups: dict[int, list] = dataclasses.field(default_factory=dict)
@@ -84,8 +87,16 @@
     idle_s: float = 0.0
     retries: int = 0
 
-    def take(self, groups: list, version: int, max_staleness: int) -> None:
-        """Takes the groups of one pull."""
+    def add_groups(
+        self, groups: list, version: int, max_staleness: int
+    ) -> None:
+        """Adds the groups of one pull and checks them.
+
+        Args:
+            groups: The groups, as JSON values.
+            version: The trainer's weight version when it pulled.
+            max_staleness: Maximum staleness of a sample, in versions.
+        """
         for group in groups:
             if group["group"] in self.groups:
                 self.duplicate_groups += 1
@@ -108,44 +119,50 @@
     call_timeout_s: float = _TIMEOUT_S,
     max_groups: int = 16,
 ) -> TrainerResult:
-    """Opens a lot, pulls until every group came, acknowledges, and closes.
+    """Opens a lot, pulls and acknowledges all groups, and closes the lot.
 
-    A call that fails is repeated, at the next daemon. A pull keeps its id
-    until it brings groups; a repeat tells the version of that moment.
+    A call that fails is retried at the next daemon. A pull keeps its id until
+    it returns groups; a retry sends the weight version that is current then.
 
     Args:
         callers: One for each daemon.
-        lot_id: The lot.
-        lot_class: Its class.
-        prompts: One for each group.
-        get_version: Returns the trainer's weight version now.
-        max_staleness: The bound to check samples against.
-        deadline_s: Longest time for everything.
-        call_timeout_s: Longest wait for one answer.
-        max_groups: Most groups of one pull.
+        lot_id: Id of the lot.
+        lot_class: Class of the lot.
+        prompts: One prompt for each group.
+        get_version: Returns the current weight version of the trainer.
+        max_staleness: Maximum staleness of a sample, in versions.
+        deadline_s: Timeout of the whole run.
+        call_timeout_s: Timeout of one call.
+        max_groups: Maximum number of groups per pull.
+
+    Returns:
+        The received groups and the results of the checks.
+
+    Raises:
+        TimeoutError: The run took longer than `deadline_s`.
     """
     result = TrainerResult()
-    turn = 0
+    caller_index = 0
 
-    async def call(verb: str, make_value) -> dict:
-        nonlocal turn
+    async def call(verb: str, make_body) -> dict:
+        nonlocal caller_index
         target = f"/v1/lots/{lot_id}" + (f"/{verb}" if verb else "")
         while True:
-            caller = callers[turn % len(callers)]
+            caller = callers[caller_index % len(callers)]
             with contextlib.suppress(RequestFailedError):
-                answer = await caller.send(
-                    "POST", target, make_value(), timeout_s=call_timeout_s
+                response = await caller.send(
+                    "POST", target, make_body(), timeout_s=call_timeout_s
                 )
-                if answer.status == _OK:
-                    return msgspec.json.decode(answer.body)
-            turn += 1
+                if response.status == _OK:
+                    return msgspec.json.decode(response.body)
+            caller_index += 1
             result.retries += 1
             await anyio.sleep(0.1)
 
     async def pull(pull_id: str) -> bool:
         version = 0
 
-        def ask() -> dict:
+        def make_request() -> dict:
             nonlocal version
             version = get_version()
             return {
@@ -156,21 +173,23 @@
             }
 
         started_s = anyio.current_time()
-        answer = await call("pull", ask)
+        response = await call("pull", make_request)
         result.idle_s += anyio.current_time() - started_s
-        result.take(answer["groups"], version, max_staleness)
-        if answer["groups"]:
+        result.add_groups(response["groups"], version, max_staleness)
+        if response["groups"]:
             await call("ack", lambda: {"pull_id": pull_id})
-        return bool(answer["groups"])
+        return bool(response["groups"])
 
     with anyio.fail_after(deadline_s):
-        opening = {"lot_class": lot_class, "prompts": prompts}
-        opened = await call("", lambda: opening)
-        for pull_id in opened["open_pulls"]:
+        open_request = {"lot_class": lot_class, "prompts": prompts}
+        open_response = await call("", lambda: open_request)
+        for pull_id in open_response["open_pulls"]:
             while not await pull(pull_id):
                 pass
-        number = 0
+        delivered_pull_count = 0
         while len(result.groups) < len(prompts):
-            number += await pull(f"{lot_id}-{number + 1}")
+            delivered_pull_count += await pull(
+                f"{lot_id}-{delivered_pull_count + 1}"
+            )
         await call("close", dict)
     return result
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -1,4 +1,4 @@
-"""The whole path end to end, as separate processes on loopback."""
+"""An end-to-end demo: all processes on loopback, requests, and checks."""
 
 import contextlib
 import json
@@ -22,12 +22,12 @@
 
 
 class DemoError(Exception):
-    """A step fell short."""
+    """A check of a step failed."""
 
 
-def _check(is_met: bool, what: str) -> None:
+def _check(is_met: bool, message: str) -> None:
     if not is_met:
-        raise DemoError(what)
+        raise DemoError(message)
 
 
 class Demo:
@@ -39,7 +39,11 @@
         self.weight_version = 0
 
     async def run(self) -> None:
-        """Runs every step; raises `DemoError` when one falls short."""
+        """Runs every step.
+
+        Raises:
+            DemoError: A check of a step failed.
+        """
         steps = (
             ("start", self.start),
             ("look-up", self.look_up),
@@ -63,9 +67,11 @@
         command = [sys.executable, "-m", "daisyhub.cli", *args]
         settings = self.deployment.folder / "operator.jsonc"
         command += [f"--settings={settings}", "--output=json"]
-        done = subprocess.run(command, capture_output=True, check=False)
-        _check(done.returncode == 0, f"{args}: {done.stderr.decode()}")
-        return json.loads(done.stdout)
+        completed = subprocess.run(command, capture_output=True, check=False)
+        _check(
+            completed.returncode == 0, f"{args}: {completed.stderr.decode()}"
+        )
+        return json.loads(completed.stdout)
 
     def _apply(self, document: dict) -> int:
         path = self.deployment.folder / "config.jsonc"
@@ -88,29 +94,29 @@
         return f"{count} processes, version {version} in {took_s * _MS:.0f} ms"
 
     async def look_up(self) -> str:
-        """Looks records up on a keyed and on an open route."""
+        """Sends look-ups on a route that needs a key and on an open route."""
         times = []
         for daemon in self.deployment.daemons():
             caller = self._caller(daemon, self.keys.yard)
             for number in range(25):
                 started_s = time.monotonic()
-                answer = await caller.send("GET", f"/records/{number}")
+                response = await caller.send("GET", f"/records/{number}")
                 times.append(time.monotonic() - started_s)
-                _check(answer.status == 200, f"look-up: {answer}")
-                _check(b'"account":"yard"' in answer.body, f"{answer.body}")
-            opened = Caller(daemon.address)
-            answer = await opened.send("GET", "/open/page")
-            _check(answer.status == 200, f"open look-up: {answer}")
-            answer = await opened.send("GET", "/records/1")
-            _check(answer.status == 401, f"without a key: {answer}")
+                _check(response.status == 200, f"look-up: {response}")
+                _check(b'"account":"yard"' in response.body, f"{response.body}")
+            open_callers = Caller(daemon.address)
+            response = await open_callers.send("GET", "/open/page")
+            _check(response.status == 200, f"open look-up: {response}")
+            response = await open_callers.send("GET", "/records/1")
+            _check(response.status == 401, f"without a key: {response}")
             await caller.aclose()
-            await opened.aclose()
+            await open_callers.aclose()
         times.sort()
         median_ms = times[len(times) // 2] * _MS
         return f"{len(times)} look-ups, median {median_ms:.1f} ms"
 
     async def file_once(self) -> str:
-        """Files with idempotency keys, each twice and at two daemons."""
+        """Sends each filing twice with one idempotency key, to two daemons."""
         daemons = self.deployment.daemons("busan")
         first = self._caller(daemons[0], self.keys.archive)
         second = self._caller(daemons[1], self.keys.archive)
@@ -121,22 +127,22 @@
             two = await second.send("POST", "/filings", value, headers=header)
             _check(one.status == 201, f"filing: {one}")
             _check(one.body == two.body, f"repeat differs: {two}")
-        filed = await self._filings("busan")
-        _check(len(filed) == 10, f"filed {len(filed)} times instead of 10")
+        filings = await self._filings("busan")
+        _check(len(filings) == 10, f"filed {len(filings)} times instead of 10")
         await first.aclose()
         await second.aclose()
         return "10 filings, 20 requests, 10 runs"
 
     async def _filings(self, domain: str) -> list[str]:
-        filed = []
+        filings = []
         for service in self.deployment.services(domain):
             caller = Caller(service.address)
-            filed += await caller.json("GET", "/admin/filings")
+            filings += await caller.json("GET", "/admin/filings")
             await caller.aclose()
-        return filed
+        return filings
 
     async def publish_weights(self, version: int) -> None:
-        """Publishes a weight version as a trainer does."""
+        """Publishes a weight version, as a trainer does."""
         caller = Caller(self.deployment.platform.address)
         target = "/objects/news/weights/model"
         query = f"expected={self.weight_version}&write_id=trainer-{version}"
@@ -145,7 +151,7 @@
         await caller.aclose()
 
     async def train(self) -> str:
-        """Runs a lot with a weight swap in the middle."""
+        """Runs a lot during which the weights are swapped."""
         callers = [
             self._caller(daemon, self.keys.trainer)
             for daemon in self.deployment.daemons()
@@ -173,24 +179,24 @@
         _check(sizes == {4}, f"group sizes {sizes}")
         _check(
             not result.duplicate_groups,
-            f"{result.duplicate_groups} groups came twice",
+            f"{result.duplicate_groups} duplicate groups",
         )
         _check(
             not result.stale_samples,
             f"{result.stale_samples} samples were stale",
         )
         return (
-            f"24 groups of 4, {result.mixed_version_samples} samples over two versions,"
-            f" idle {result.idle_s:.2f} s"
+            f"24 groups of 4, {result.mixed_version_samples} samples over two"
+            f" versions, idle {result.idle_s:.2f} s"
         )
 
     async def change(self) -> str:
-        """Withdraws a key and changes a route, and times both."""
+        """Withdraws a key, changes a route, and measures how long both take."""
         daemons = self.deployment.daemons()
         callers = [self._caller(d, self.keys.yard) for d in daemons]
         started_s = time.monotonic()
         self._cli("key", "withdraw", self.keys.yard.key_id)
-        withdrawn_s = await self._wait_for_answer(callers, "/records/1", 401)
+        withdrawn_s = await self._wait_for_status(callers, "/records/1", 401)
         withdrawn_s = time.monotonic() - started_s
         document = demo_document(self.keys)
         document["routes"]["open"]["path_prefix"] = "/public"
@@ -198,27 +204,27 @@
         version = self._apply(document)
         await self.deployment.wait_for_version(version)
         changed_s = time.monotonic() - started_s
-        opened = [self._caller(d) for d in daemons]
-        await self._wait_for_answer(opened, "/open/page", 404)
-        await self._wait_for_answer(opened, "/public/page", 200)
+        open_callers = [self._caller(d) for d in daemons]
+        await self._wait_for_status(open_callers, "/open/page", 404)
+        await self._wait_for_status(open_callers, "/public/page", 200)
         rows = self._cli("audit")
         versions = [row["version"] for row in rows]
         _check(versions == list(range(1, version + 1)), f"audit: {versions}")
-        for caller in callers + opened:
+        for caller in callers + open_callers:
             await caller.aclose()
         return (
             f"key withdrawn in {withdrawn_s:.2f} s, version {version}"
             f" everywhere in {changed_s:.2f} s, command line included"
         )
 
-    async def _wait_for_answer(self, callers, target, status) -> None:
+    async def _wait_for_status(self, callers, target, status) -> None:
         with anyio.fail_after(10):
             for caller in callers:
                 while (await caller.send("GET", target)).status != status:
                     await anyio.sleep(0.01)
 
     async def report_usage(self) -> str:
-        """Waits until every request so far is reported, once."""
+        """Waits until every request so far is reported exactly once."""
         caller = Caller(self.deployment.platform.address)
         expected = {"yard": 100, "archive": 10, "trainer": 96}
         sums: dict[str, int] = {}
@@ -226,51 +232,51 @@
             while sums != expected:
                 await anyio.sleep(0.2)
                 reports = await caller.json("GET", "/admin/usage")
-                bodies = {
+                bodies_by_window = {
                     (r["failure_domain"], r["window"]): r["body"]
                     for r in reports
                 }
-                sums = _sum_requests(bodies.values())
+                sums = _sum_requests(bodies_by_window.values())
         await caller.aclose()
         _check(sums == expected, f"reported {sums}, expected {expected}")
         _check(
             len(
                 {(r["failure_domain"], r["window"], r["body"]) for r in reports}
             )
-            == len(bodies),
-            "a window was reported with different figures",
+            == len(bodies_by_window),
+            "a window was reported with different counts",
         )
-        return f"{len(bodies)} windows sealed, requests {sums}"
+        return f"{len(bodies_by_window)} windows sealed, requests {sums}"
 
     async def shut_down(self) -> str:
-        """Ends one daemon under load; no request may be cut."""
-        leaving, staying = self.deployment.daemons("busan")
-        tally = {"ok": 0, "cut": 0}
-        until_s = time.monotonic() + _LOAD_S
+        """Stops one daemon under load; no request may be interrupted."""
+        stopping, remaining = self.deployment.daemons("busan")
+        counts = {"ok": 0, "cut": 0}
+        deadline_s = time.monotonic() + _LOAD_S
 
         async def load() -> None:
-            targets = [leaving, staying]
+            targets = [stopping, remaining]
             caller = self._caller(targets[0], self.keys.archive)
-            while time.monotonic() < until_s:
+            while time.monotonic() < deadline_s:
                 try:
-                    answer = await caller.send("GET", "/records/7")
-                    tally["ok" if answer.status == 200 else "cut"] += 1
-                    headers = dict(answer.headers)
+                    response = await caller.send("GET", "/records/7")
+                    counts["ok" if response.status == 200 else "cut"] += 1
+                    headers = dict(response.headers)
                     if headers.get(b"connection") == b"close":
-                        # The balancer sees /readyz and sends no more here.
-                        caller.address = staying.address
+                        # As a load balancer does when /readyz fails.
+                        caller.address = remaining.address
                 except RequestFailedError:
-                    tally["cut"] += 1
+                    counts["cut"] += 1
 
         async with anyio.create_task_group() as tasks:
             for _ in range(_LOAD_CALLERS):
                 tasks.start_soon(load)
             await anyio.sleep(1.0)
-            leaving.send_signal(signal.SIGTERM)
-        code = await anyio.to_thread.run_sync(leaving.wait)
-        _check(code == 0, f"exit code {code}")
-        _check(not tally["cut"], f"{tally['cut']} requests were cut")
-        return f"{tally['ok']} requests, 0 cut, exit code 0"
+            stopping.send_signal(signal.SIGTERM)
+        exit_code = await anyio.to_thread.run_sync(stopping.wait)
+        _check(exit_code == 0, f"exit code {exit_code}")
+        _check(not counts["cut"], f"{counts['cut']} requests were interrupted")
+        return f"{counts['ok']} requests, 0 interrupted, exit code 0"
 
 
 def _sum_requests(bodies) -> dict[str, int]:
@@ -283,7 +289,7 @@
 
 
 def main() -> int:
-    """Runs the demo; returns 0, or 1 when a step falls short."""
+    """Runs the demo; returns the exit code, 1 if a step failed."""
     demo = Demo()
     try:
         with contextlib.ExitStack() as stack:
--- a/daisyhub/testing/demo_config.py
+++ b/daisyhub/testing/demo_config.py
@@ -1,4 +1,4 @@
-"""The configuration document of the demo, and its keys."""
+"""The configuration document and the API keys of the demo."""
 
 import dataclasses
 
@@ -10,7 +10,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DemoKeys:
-    """One key for each account."""
+    """The API key of each client account."""
 
     yard: ParsedKey
     archive: ParsedKey
@@ -18,12 +18,12 @@
 
     @classmethod
     def make(cls) -> "DemoKeys":
-        """Makes three random keys."""
+        """Returns random keys."""
         return cls(new_key(), new_key(), new_key())
 
     @staticmethod
     def text(key: ParsedKey) -> str:
-        """Returns a key as callers send it."""
+        """Returns a key in the format that clients send."""
         return f"dh_{key.key_id}_{key.secret}"
 
 
@@ -31,7 +31,7 @@
     """Returns a document with look-ups, filings, a stream and a lot class."""
     accounts = {"yard": keys.yard, "archive": keys.archive}
     accounts["trainer"] = keys.trainer
-    # High enough that the demo's load is never refused for its rate.
+    # Above the demo's load, so that the rate limit rejects no request.
     limits = {"weight": 1, "requests_per_s": 20_000.0, "burst": 20_000}
     return {
         "client_accounts": {name: dict(limits) for name in accounts},
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -1,4 +1,4 @@
-"""Starts daemons on a stand-in of the users' platform, on loopback."""
+"""Starts daemons and a fake of the users' platform on loopback."""
 
 import base64
 import contextlib
@@ -22,18 +22,18 @@
 
 KEY = "key-of-t"
 _LOOPBACK = "127.0.0.1"
-_START_WAIT_S = 20.0
+_START_TIMEOUT_S = 20.0
 _DOMAINS = ("z1", "z2", "z3")
 
 
 class Fleet:
-    """Daemons, one store, and servers, each a process of its own.
+    """Daemons, an object store and servers, each in a process of its own.
 
     Args:
-        daemons: Number of daemons, spread over three failure domains.
+        daemons: Number of daemons, distributed over three failure domains.
         servers: Number of servers.
-        event_s: Seconds that an event or a look-up takes.
-        module: What a daemon runs.
+        event_s: Seconds per event or look-up at a server.
+        module: The module that a daemon process runs.
     """
 
     def __init__(
@@ -56,12 +56,12 @@
         self._version = 1
 
     async def start(self) -> None:
-        """Starts everything; returns once every daemon is ready."""
-        await self.start_stand_ins()
+        """Starts all processes and waits until every daemon is ready."""
+        await self.start_fakes()
         await self.start_daemons()
 
-    async def start_stand_ins(self) -> None:
-        """Starts the platform and the servers."""
+    async def start_fakes(self) -> None:
+        """Starts the fake platform and the fake servers."""
         self._start_fake("platform", "--role=platform")
         for name in self.server_names:
             self._start_fake(
@@ -70,22 +70,22 @@
                 f"--name={name}",
                 f"--event_s={self.event_s}",
             )
-        await self._until_listening("platform", *self.server_names)
+        await self._wait_until_listening("platform", *self.server_names)
 
     async def start_daemons(self) -> None:
-        """Writes the manifest and the entries, and starts the daemons."""
+        """Writes the manifest and the servers' entries; starts the daemons."""
         await self.write_config({"t": [KEY]})
         for name in self.server_names:
-            await self.put("servers", name, self.entry_of(name))
+            await self.put("servers", name, self.build_server_entry(name))
         for name in self.daemon_names:
-            self._reserve(name)
+            self._reserve_ports(name)
         for name in self.daemon_names:
             self.start_daemon(name)
         for name in self.daemon_names:
             await self.wait_until_ready(name)
 
     def stop(self) -> None:
-        """Ends every process that was started here."""
+        """Kills all processes and removes their folder."""
         for process in self.processes.values():
             if process.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -94,9 +94,9 @@
         self._folder.cleanup()
 
     def start_daemon(self, name: str) -> None:
-        """Starts a daemon, again if it ended before."""
+        """Starts or restarts a daemon."""
         path = self.folder / f"{name}.json"
-        path.write_text(json.dumps(self.settings_of(name)), encoding="utf-8")
+        path.write_text(json.dumps(self.build_settings(name)), encoding="utf-8")
         with open(self.folder / f"{name}.log", "ab") as log:
             self.processes[name] = subprocess.Popen(
                 [sys.executable, "-m", self._module],
@@ -116,32 +116,34 @@
         self.processes[name].send_signal(number)
 
     def read_log(self, name: str) -> list[dict]:
-        """Returns the structured lines of a daemon."""
+        """Returns the structured lines of a daemon's log."""
         text = (self.folder / f"{name}.log").read_text(encoding="utf-8")
         return [
             json.loads(line) for line in text.splitlines() if line[:1] == "{"
         ]
 
     async def status(self, name: str) -> dict:
-        """Returns a daemon's status."""
-        answer = await self._get(self.ports[f"{name}/metrics"], "/status")
-        return json.loads(answer.body)
+        """Returns the status of a daemon."""
+        response = await self._get(self.ports[f"{name}/metrics"], "/status")
+        return json.loads(response.body)
 
     async def holder(self, duty: str = "rollouts") -> str:
-        """Waits until a daemon has a duty; returns its name."""
-        with anyio.fail_after(_START_WAIT_S):
+        """Waits until a daemon holds a duty; returns the daemon's name."""
+        with anyio.fail_after(_START_TIMEOUT_S):
             while True:
                 for name in self.daemon_names:
                     if self.processes[name].poll() is not None:
                         continue
                     with contextlib.suppress(RequestFailedError):
-                        told = (await self.status(name)).get(f"duty {duty}")
-                        if told and told["fencing"]:
+                        duty_status = (await self.status(name)).get(
+                            f"duty {duty}"
+                        )
+                        if duty_status and duty_status["fencing"]:
                             return name
                 await anyio.sleep(0.05)
 
     async def write_config(self, keys: dict[str, list[str]]) -> None:
-        """Writes a manifest with these accounts and keys."""
+        """Writes a manifest with these client accounts and their API keys."""
         self._version += 1
         common = {"host": "a.example", "service": "s", "max-attempts": 3}
         config = {
@@ -184,7 +186,8 @@
             ],
             "services": [{"name": "s", "engine": {"models": [{"name": "m"}]}}],
             "tenants": [
-                {"name": name, "api-keys": held} for name, held in keys.items()
+                {"name": name, "api-keys": account_keys}
+                for name, account_keys in keys.items()
             ],
         }
         await self.put("config", "main", config)
@@ -200,27 +203,27 @@
             timeout_s=5.0,
         )
 
-    async def inject_fault(self, name: str, inject_fault: dict | None) -> None:
-        """Makes a stand-in misbehave; None ends all its faults."""
+    async def inject_fault(self, name: str, fault: dict | None) -> None:
+        """Injects a fault into a fake; None removes all its faults."""
         await self.http.request(
-            "POST" if inject_fault else "DELETE",
+            "POST" if fault else "DELETE",
             self.address(name),
             "/faults",
-            body=msgspec.json.encode(inject_fault),
+            body=msgspec.json.encode(fault),
             timeout_s=5.0,
         )
 
     async def usage(self) -> list[dict]:
         """Returns the usage reports that the platform accepted."""
-        answer = await self._get(self.ports["platform"], "/admin/usage")
-        return json.loads(answer.body)
+        response = await self._get(self.ports["platform"], "/admin/usage")
+        return json.loads(response.body)
 
     async def executed_requests(self) -> list[dict]:
-        """Returns what ran at the servers."""
+        """Returns the requests that the servers executed."""
         runs = []
         for name in self.server_names:
-            answer = await self._get(self.ports[name], "/admin/ran")
-            runs += json.loads(answer.body)
+            response = await self._get(self.ports[name], "/admin/ran")
+            runs += json.loads(response.body)
         return runs
 
     async def call(
@@ -235,7 +238,7 @@
         headers: tuple = (),
         timeout_s: float = 5.0,
     ) -> HttpResponse:
-        """Calls a daemon as a client, on a connection of its own."""
+        """Sends a request to a daemon on a new connection."""
         return await self.http.request(
             method,
             self.address(f"{daemon}/front"),
@@ -253,18 +256,18 @@
         )
 
     async def submit_lot(self, daemon: str, lot_id: str, groups=3) -> int:
-        """Hands a lot in; returns the status."""
-        answer = await self.call(
+        """Submits a lot; returns the status code."""
+        response = await self.call(
             daemon,
             "POST",
             "/gen/lot",
             request_id=lot_id,
-            body=msgspec.json.encode(self.lot_of(lot_id, groups)),
+            body=msgspec.json.encode(self.build_lot(lot_id, groups)),
         )
-        return answer.status
+        return response.status
 
-    def lot_of(self, lot_id: str, groups=3) -> dict:
-        """Returns a lot of groups of four items, as a trainer writes it."""
+    def build_lot(self, lot_id: str, groups=3) -> dict:
+        """Returns a lot of groups of four items, as a trainer submits it."""
         items = [
             {
                 "id": f"{lot_id}-{g}-{n}",
@@ -285,9 +288,9 @@
         return {"step": 1, "model": "m", "min-version": 1, "items": items}
 
     async def results(self, daemon: str, lot_id: str, after=0) -> dict | None:
-        """Reads results; None if the daemon can't tell."""
+        """Returns a lot's results from a position; None if the read fails."""
         try:
-            answer = await self.call(
+            response = await self.call(
                 daemon,
                 "GET",
                 f"/v1/lots/{lot_id}?after={after}",
@@ -295,38 +298,44 @@
             )
         except RequestFailedError:
             return None
-        return json.loads(answer.body) if answer.status == 200 else None
+        return json.loads(response.body) if response.status == 200 else None
 
     async def read_whole_lot(self, daemons: list[str], lot_id: str) -> list:
-        """Reads a lot whole, from each daemon in turn; checks positions."""
-        found: list[dict] = []
-        with anyio.fail_after(_START_WAIT_S):
-            turn = 0
+        """Reads all results of a lot, from each daemon in turn.
+
+        Raises:
+            AssertionError: A position returned two different results.
+        """
+        collected: list[dict] = []
+        with anyio.fail_after(_START_TIMEOUT_S):
+            read_count = 0
             while True:
-                daemon = daemons[turn % len(daemons)]
-                # Each third read starts at an earlier position.
-                after = len(found) if turn % 3 else len(found) // 2
-                turn += 1
-                told = await self.results(daemon, lot_id, after)
-                if told is None:
+                daemon = daemons[read_count % len(daemons)]
+                # Every third read starts at an earlier position.
+                after = (
+                    len(collected) if read_count % 3 else len(collected) // 2
+                )
+                read_count += 1
+                response = await self.results(daemon, lot_id, after)
+                if response is None:
                     await anyio.sleep(0.1)
                     continue
-                listed = told["results"]
-                shared = len(found) - after
-                if listed[:shared] != found[after : after + len(listed)]:
+                listed = response["results"]
+                overlap = len(collected) - after
+                if listed[:overlap] != collected[after : after + len(listed)]:
                     raise AssertionError(f"a position changed at {daemon}")
-                found += listed[shared:]
-                if len(found) == told["total"]:
-                    return found
+                collected += listed[overlap:]
+                if len(collected) == response["total"]:
+                    return collected
 
     async def wait_until_ready(self, name: str) -> None:
         """Waits until a daemon is ready."""
         port = self.ports[f"{name}/ready"]
-        with anyio.fail_after(_START_WAIT_S):
+        with anyio.fail_after(_START_TIMEOUT_S):
             while True:
                 with contextlib.suppress(RequestFailedError):
-                    answer = await self._get(port, "/v1/readiness")
-                    if answer.status == 200:
+                    response = await self._get(port, "/v1/readiness")
+                    if response.status == 200:
                         return
                 await anyio.sleep(0.05)
 
@@ -335,11 +344,11 @@
         return await self.http.request("GET", address, target, timeout_s=2.0)
 
     def address(self, name: str) -> Address:
-        """Returns where a stand-in or one of a daemon's listeners is."""
+        """Returns the address of a fake or of a daemon's `name/listener`."""
         return Address(ip=_LOOPBACK, port=self.ports[name])
 
-    def entry_of(self, name: str) -> dict:
-        """Returns a server's entry in the store."""
+    def build_server_entry(self, name: str) -> dict:
+        """Returns a server's entry in the object store."""
         return {
             "service": "s",
             "address": str(self.address(name)),
@@ -350,25 +359,25 @@
             "born": 1,
         }
 
-    def _reserve(self, name: str) -> None:
+    def _reserve_ports(self, name: str) -> None:
         for use in ("front", "ready", "peer", "metrics"):
             self.ports[f"{name}/{use}"] = _free_port()
 
-    def settings_of(self, name: str) -> dict:
+    def build_settings(self, name: str) -> dict:
         """Returns a daemon's settings."""
 
-        def at(use: str, daemon: str = name) -> str:
-            return f"{_LOOPBACK}:{self.ports[f'{daemon}/{use}']}"
+        def address_text(listener: str, daemon: str = name) -> str:
+            return f"{_LOOPBACK}:{self.ports[f'{daemon}/{listener}']}"
 
         number = self.daemon_names.index(name)
         return {
             "daemon_id": name,
             "failure_domain": _DOMAINS[number % len(_DOMAINS)],
-            "callers": at("front"),
-            "readiness": at("ready"),
-            "peer": at("peer"),
+            "callers": address_text("front"),
+            "readiness": address_text("ready"),
+            "peer": address_text("peer"),
             "metrics_port": self.ports[f"{name}/metrics"],
-            "seeds": [at("peer", d) for d in self.daemon_names[:3]],
+            "seeds": [address_text("peer", d) for d in self.daemon_names[:3]],
             "store": str(self.address("platform")),
             "order_desk": str(self.address("platform")),
             "usage_window_s": 1.0,
@@ -387,8 +396,8 @@
                 env={**os.environ, "PYTHONPATH": os.getcwd()},
             )
 
-    async def _until_listening(self, *names: str) -> None:
-        with anyio.fail_after(_START_WAIT_S):
+    async def _wait_until_listening(self, *names: str) -> None:
+        with anyio.fail_after(_START_TIMEOUT_S):
             for name in names:
                 while True:
                     with contextlib.suppress(RequestFailedError):
@@ -397,14 +406,15 @@
                     await anyio.sleep(0.05)
 
 
-# Ports that are tried; below those that the system gives to connections, and
-# spread by process, so that no other fleet takes one before its listener does.
-_ports = itertools.count(10_000 + os.getpid() * 97 % 20_000)
+# Candidate ports: below the range that the system assigns to outgoing
+# connections, and at an offset by process id, so that no other fleet binds one
+# before its listener does.
+_candidate_ports = itertools.count(10_000 + os.getpid() * 97 % 20_000)
 
 
 def _free_port() -> int:
     while True:
-        port = next(_ports)
+        port = next(_candidate_ports)
         with socket.socket() as sock, contextlib.suppress(OSError):
             sock.bind((_LOOPBACK, port))
             return port
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -1,4 +1,4 @@
-"""A store of objects in memory, with faults on demand."""
+"""An in-memory object store into which faults can be injected."""
 
 import collections
 import enum
@@ -21,7 +21,15 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one call."""
+    """A fault of one call.
+
+    Attributes:
+        REFUSED: The call fails without effect.
+        RESPONSE_LOST: The call takes effect and fails.
+        DELAYED: The call fails; a write takes effect in `run_delayed_writes`.
+        HISTORY_GONE: A watch fails because its revision is too old.
+        EMPTY: A watch returns no changes, or a stale read finds nothing.
+    """
 
     REFUSED = "refused"
     RESPONSE_LOST = "lost"
@@ -31,11 +39,14 @@
 
 
 class MemoryStore(ObjectStore):
-    """Keeps objects in memory; one instance may serve many clients.
-
-    `faults` holds what happens to the next calls of a verb: refused without
-    effect, done with the answer lost, done by `run_delayed_writes` with the
-    answer lost, history gone, or a watch that hears nothing.
+    """Stores objects in memory; one instance can serve many clients.
+
+    Attributes:
+        revision: Revision of the last change.
+        objects: The objects, by kind and name.
+        faults: Faults of the next calls, by verb.
+        calls: Number of calls, by verb. A read that can be stale counts as
+            "late read" too, a watch that can be stale as "late watch" only.
     """
 
     def __init__(self):
@@ -43,18 +54,18 @@
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.faults: dict[str, collections.deque[Fault]] = {}
         self.calls: collections.Counter[str] = collections.Counter()
-        self._log: list[StoredObject] = []
-        self._late: list = []
-        self._news = anyio.Event()
+        self._changes: list[StoredObject] = []
+        self._delayed_writes: list = []
+        self._changed = anyio.Event()
 
     def fail_next(self, verb: str, *faults: Fault) -> None:
-        """Lets the next calls of a verb meet faults."""
+        """Adds faults for the next calls of a verb, in order."""
         self.faults.setdefault(verb, collections.deque()).extend(faults)
 
     def run_delayed_writes(self) -> None:
-        """Does the writes whose answers were lost before they were done."""
-        late, self._late = self._late, []
-        for write in late:
+        """Applies the writes that `Fault.DELAYED` deferred; skips conflicts."""
+        delayed_writes, self._delayed_writes = self._delayed_writes, []
+        for write in delayed_writes:
             try:
                 write()
             except ObjectConflictError:
@@ -66,9 +77,11 @@
 
     def drop(self, kind: str, name: str) -> None:
         """Deletes an object as an operator would."""
-        known = self.objects.pop((kind, name), None)
-        if known is not None:
-            self._note(kind, name, known.spec, known.status, deleted=True)
+        existing = self.objects.pop((kind, name), None)
+        if existing is not None:
+            self._append_change(
+                kind, name, existing.spec, existing.status, deleted=True
+            )
 
     async def read(
         self, kind: str, name: str, *, can_be_stale: bool = False
@@ -105,20 +118,20 @@
         if fault is not None:
             raise ObjectStoreError("watch", may_be_done=False)
         with anyio.move_on_after(wait_s):
-            while not self._since(kind, after_revision):
-                await self._news.wait()
+            while not self._changes_since(kind, after_revision):
+                await self._changed.wait()
         return WatchBatch(
             revision=self.revision,
-            changes=tuple(self._since(kind, after_revision)),
+            changes=tuple(self._changes_since(kind, after_revision)),
         )
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
         """See `ObjectStore.create`."""
 
         def write() -> StoredObject:
-            known = self.objects.get((kind, name))
-            if known is not None:
-                raise ObjectConflictError(f"{kind}/{name} exists", known)
+            existing = self.objects.get((kind, name))
+            if existing is not None:
+                raise ObjectConflictError(f"{kind}/{name} exists", existing)
             return self._store(kind, name, spec)
 
         return self._call_with_fault("create", write)
@@ -129,10 +142,10 @@
         """See `ObjectStore.replace`."""
 
         def write() -> StoredObject:
-            known = self.objects.get((kind, name))
-            if known is None or known.revision != revision:
-                raise ObjectConflictError(f"{kind}/{name} differs", known)
-            return self._store(kind, name, spec, known.status)
+            existing = self.objects.get((kind, name))
+            if existing is None or existing.revision != revision:
+                raise ObjectConflictError(f"{kind}/{name} differs", existing)
+            return self._store(kind, name, spec, existing.status)
 
         return self._call_with_fault("replace", write)
 
@@ -142,10 +155,10 @@
         """See `ObjectStore.set_status`."""
 
         def write() -> StoredObject | None:
-            known = self.objects.get((kind, name))
-            if known is None:
+            existing = self.objects.get((kind, name))
+            if existing is None:
                 return None
-            return self._store(kind, name, known.spec, status)
+            return self._store(kind, name, existing.spec, status)
 
         return self._call_with_fault("set_status", write)
 
@@ -154,7 +167,7 @@
         self._call_with_fault("delete", lambda: self.drop(kind, name))
 
     def _call_with_fault(self, verb: str, call):
-        """Makes a call as its fault wants it."""
+        """Runs a call with the next fault of its verb, if there is one."""
         self.calls[verb] += 1
         fault = self._next_fault(verb)
         if fault is None:
@@ -162,33 +175,37 @@
         if fault is Fault.RESPONSE_LOST:
             call()
         elif fault is Fault.DELAYED:
-            self._late.append(call)
-        is_unknown = (
+            self._delayed_writes.append(call)
+        may_be_done = (
             fault in (Fault.RESPONSE_LOST, Fault.DELAYED) and verb not in _READS
         )
-        raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
+        raise ObjectStoreError(f"{verb}: {fault}", may_be_done=may_be_done)
 
     def _next_fault(self, verb: str) -> Fault | None:
-        waiting = self.faults.get(verb)
-        return waiting.popleft() if waiting else None
+        pending_faults = self.faults.get(verb)
+        return pending_faults.popleft() if pending_faults else None
 
     def _list(self, kind: str) -> ObjectList:
         items = [o for (k, _), o in sorted(self.objects.items()) if k == kind]
         return ObjectList(revision=self.revision, items=tuple(items))
 
-    def _since(self, kind: str, revision: int) -> list[StoredObject]:
+    def _changes_since(self, kind: str, revision: int) -> list[StoredObject]:
         return [
-            o for o in self._log if o.kind == kind and o.revision > revision
+            o for o in self._changes if o.kind == kind and o.revision > revision
         ]
 
     def _store(self, kind, name, spec, status=b"null") -> StoredObject:
-        found = self._note(kind, name, spec, status, deleted=False)
-        self.objects[(kind, name)] = found
-        return found
+        stored_object = self._append_change(
+            kind, name, spec, status, deleted=False
+        )
+        self.objects[(kind, name)] = stored_object
+        return stored_object
 
-    def _note(self, kind, name, spec, status, *, deleted) -> StoredObject:
+    def _append_change(
+        self, kind, name, spec, status, *, deleted
+    ) -> StoredObject:
         self.revision += 1
-        found = StoredObject(
+        stored_object = StoredObject(
             kind=kind,
             name=name,
             revision=self.revision,
@@ -196,7 +213,7 @@
             spec=spec,
             status=status,
         )
-        self._log.append(found)
-        self._news.set()
-        self._news = anyio.Event()
-        return found
+        self._changes.append(stored_object)
+        self._changed.set()
+        self._changed = anyio.Event()
+        return stored_object
--- a/daisyhub/testing/playground.py
+++ b/daisyhub/testing/playground.py
@@ -1,7 +1,7 @@
-"""Starts the demo's processes and leaves them up until Ctrl-C.
+"""Starts the demo's processes and keeps them running until Ctrl-C.
 
-Settings, the configuration document and logs are in `.demo/`, so that every
-command of the README can be tried in a second terminal with the same folder.
+Settings, the configuration document and logs are in `.demo/`, so that the
+commands of the README can be run in a second terminal in the same folder.
 """
 
 import json
@@ -17,7 +17,7 @@
 __all__ = ["main"]
 
 _FOLDER = pathlib.Path(".demo")
-_LONGEST_S = 3600.0
+_MAX_RUNTIME_S = 3600.0
 
 
 async def _run(deployment: Deployment) -> None:
@@ -34,9 +34,9 @@
     print(f"key:      {DemoKeys.text(keys.yard)}")
     print(f"settings: {settings}")
     print(f"document: {path}")
-    print("Ctrl-C ends everything.", flush=True)
+    print("Ctrl-C stops all processes.", flush=True)
     with (
-        anyio.move_on_after(_LONGEST_S),
+        anyio.move_on_after(_MAX_RUNTIME_S),
         anyio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals,
     ):
         async for _ in signals:
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -24,13 +24,20 @@
 
 HASH_KEY = "5f" * 32
 _LOOPBACK = "127.0.0.1"
-_READY_WAIT_S = 20.0
-_END_WAIT_S = 10.0
+_READY_TIMEOUT_S = 20.0
+_EXIT_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(slots=True)
 class Process:
-    """A started process and where it listens."""
+    """A started process.
+
+    Attributes:
+        name: Its name in the deployment.
+        popen: The handle of the process.
+        address: The address where it serves requests.
+        operators_address: A daemon's listener for operators; None for a fake.
+    """
 
     name: str
     popen: subprocess.Popen
@@ -41,21 +48,21 @@
         """Sends a signal to this process only."""
         self.popen.send_signal(number)
 
-    def wait(self, timeout_s: float = _END_WAIT_S) -> int:
-        """Waits for its end and returns the exit code."""
+    def wait(self, timeout_s: float = _EXIT_TIMEOUT_S) -> int:
+        """Waits until it exits and returns the exit code."""
         return self.popen.wait(timeout_s)
 
 
 class Deployment:
-    """A fake platform, daemons of several failure domains, and endpoints.
+    """A fake platform, and daemons and endpoints in several failure domains.
 
     Args:
         domains: Names of the failure domains.
-        daemons_per_domain: Daemons in each.
-        engines_per_domain: Fake engines in each.
-        services_per_domain: Fake services in each.
-        timing: Overrides of `TimingSettings`, by name.
-        folder: Where settings and logs go; a temporary folder if empty.
+        daemons_per_domain: Number of daemons per failure domain.
+        engines_per_domain: Number of fake engines per failure domain.
+        services_per_domain: Number of fake services per failure domain.
+        timing: Fields of `TimingSettings` to override.
+        folder: Folder for settings and logs; empty for a temporary one.
     """
 
     def __init__(
@@ -73,10 +80,12 @@
         self.services_per_domain = services_per_domain
         self.timing = {**_FAST_TIMING, **(timing or {})}
         self.processes: dict[str, Process] = {}
-        self._temporary = None
+        self._temporary_folder = None
         if not folder:
-            self._temporary = tempfile.TemporaryDirectory(prefix="daisyhub-")
-            folder = self._temporary.name
+            self._temporary_folder = tempfile.TemporaryDirectory(
+                prefix="daisyhub-"
+            )
+            folder = self._temporary_folder.name
         self.folder = pathlib.Path(folder)
         self._next_ports: list[int] = []
 
@@ -86,22 +95,22 @@
         return self.processes["platform"]
 
     def daemons(self, domain: str = "") -> list[Process]:
-        """Returns the daemons of a domain, or all."""
-        return self._named(f"daemon-{domain}")
+        """Returns the daemons of a failure domain, or all."""
+        return self._processes_named(f"daemon-{domain}")
 
     def engines(self, domain: str = "") -> list[Process]:
-        """Returns the engines of a domain, or all."""
-        return self._named(f"engine-{domain}")
+        """Returns the engines of a failure domain, or all."""
+        return self._processes_named(f"engine-{domain}")
 
     def services(self, domain: str = "") -> list[Process]:
-        """Returns the services of a domain, or all."""
-        return self._named(f"service-{domain}")
+        """Returns the services of a failure domain, or all."""
+        return self._processes_named(f"service-{domain}")
 
-    def _named(self, prefix: str) -> list[Process]:
+    def _processes_named(self, prefix: str) -> list[Process]:
         return [p for n, p in self.processes.items() if n.startswith(prefix)]
 
     async def start(self) -> None:
-        """Starts everything and waits until it listens."""
+        """Starts all processes and waits until they listen."""
         self._start_fake("platform", "fake_platform")
         for domain in self.domains:
             for number in range(self.engines_per_domain):
@@ -112,17 +121,17 @@
         await self._wait_for_listeners()
         for domain in self.domains:
             await self.publish_endpoints(domain)
-        self._plan_daemons()
-        for name in list(self._plans):
+        self._build_all_settings()
+        for name in list(self._daemon_settings):
             self.start_daemon(name)
         await self._wait_for_listeners()
 
     async def publish_endpoints(self, domain: str) -> None:
-        """Puts the domain's endpoints on the platform's list."""
+        """Writes a failure domain's endpoints to the fake platform's list."""
         records = []
         pools = (("model", self.engines), ("records", self.services))
-        for pool, find in pools:
-            for process in find(domain):
+        for pool, find_processes in pools:
+            for process in find_processes(domain):
                 records.append(
                     EndpointRecord(
                         endpoint_id=process.name,
@@ -137,7 +146,11 @@
         await caller.aclose()
 
     async def apply(self, document: dict) -> int:
-        """Puts a document in force and waits until all daemons have it."""
+        """Applies a document and waits until all daemons use its version.
+
+        Returns:
+            The configuration version.
+        """
         caller = Caller(self.platform.address)
         client = PlatformClient(self.platform.address, caller.http, 5.0)
         store = ConfigStore(client)
@@ -154,31 +167,31 @@
         return head.version
 
     def start_daemon(self, name: str) -> None:
-        """Starts a planned daemon, again if it ended before."""
-        plan = self._plans[name]
+        """Starts or restarts a daemon of the deployment."""
+        settings = self._daemon_settings[name]
         path = self.folder / f"{name}.jsonc"
-        path.write_text(json.dumps(plan, indent=2), encoding="utf-8")
+        path.write_text(json.dumps(settings, indent=2), encoding="utf-8")
         args = ["-m", "daisyhub.daemon", f"--settings={path}"]
         self.processes[name] = Process(
             name,
             self._popen(name, args),
-            Address(**plan["callers_address"]),
-            Address(**plan["operators_address"]),
+            Address(**settings["callers_address"]),
+            Address(**settings["operators_address"]),
         )
 
     def stop(self) -> None:
-        """Ends every process that is still there."""
+        """Kills all processes that still run."""
         for process in self.processes.values():
             if process.popen.poll() is None:
                 process.send_signal(signal.SIGCONT)
                 process.send_signal(signal.SIGKILL)
         for process in self.processes.values():
             process.wait()
-        if self._temporary is not None:
-            self._temporary.cleanup()
+        if self._temporary_folder is not None:
+            self._temporary_folder.cleanup()
 
     def write_operator_settings(self) -> pathlib.Path:
-        """Writes settings for the command line; returns the file's path."""
+        """Writes the command line's settings; returns the path of the file."""
         platform = self.platform.address
         settings = {
             "platform_address": {"ip": platform.ip, "port": platform.port},
@@ -196,7 +209,7 @@
         return path
 
     def read_log(self, name: str) -> str:
-        """Returns what a process wrote to its log."""
+        """Returns the log of a process."""
         return (self.folder / f"{name}.log").read_text(encoding="utf-8")
 
     def _start_fake(self, name: str, module: str, *args: str) -> None:
@@ -219,7 +232,7 @@
             )
 
     def _free_port(self) -> int:
-        """Returns an unused port outside the range of outgoing connections."""
+        """Returns an unused port below the range of outgoing connections."""
         if not self._next_ports:
             start = 10_000 + (os.getpid() * 97) % 20_000
             self._next_ports = list(range(start + 2_000, start, -1))
@@ -229,24 +242,24 @@
                 sock.bind((_LOOPBACK, port))
                 return port
 
-    def _plan_daemons(self) -> None:
-        self._plans: dict[str, dict] = {}
+    def _build_all_settings(self) -> None:
+        self._daemon_settings: dict[str, dict] = {}
         peers = []
         for domain in self.domains:
             for number in range(self.daemons_per_domain):
                 name = f"daemon-{domain}-{number}"
-                self._plans[name] = self._plan(name, domain)
+                self._daemon_settings[name] = self._build_settings(name, domain)
                 peers.append(
                     {
                         "daemon_id": name,
                         "failure_domain": domain,
-                        "address": self._plans[name]["peer_address"],
+                        "address": self._daemon_settings[name]["peer_address"],
                     }
                 )
-        for name, plan in self._plans.items():
-            plan["peers"] = [p for p in peers if p["daemon_id"] != name]
+        for name, settings in self._daemon_settings.items():
+            settings["peers"] = [p for p in peers if p["daemon_id"] != name]
 
-    def _plan(self, name: str, domain: str) -> dict:
+    def _build_settings(self, name: str, domain: str) -> dict:
         def address() -> dict:
             return {"ip": _LOOPBACK, "port": self._free_port()}
 
@@ -272,7 +285,7 @@
         address = process.operators_address or process.address
         target = "/healthz" if process.operators_address else "/load"
         caller = Caller(address)
-        with anyio.fail_after(_READY_WAIT_S):
+        with anyio.fail_after(_READY_TIMEOUT_S):
             while True:
                 with contextlib.suppress(RequestFailedError):
                     await caller.send("GET", target)
@@ -283,7 +296,15 @@
     async def wait_for_version(
         self, version: int, *, skip: tuple[str, ...] = ()
     ) -> float:
-        """Waits until every daemon has a version in force; returns seconds."""
+        """Waits until a version is active in every daemon.
+
+        Args:
+            version: The configuration version, or a later one.
+            skip: Names of daemons to ignore.
+
+        Returns:
+            Seconds waited.
+        """
 
         def has_version(status: dict) -> bool:
             return status["config"]["version"] >= version
@@ -293,9 +314,17 @@
     async def wait_for_status(
         self, is_met, *, skip: tuple[str, ...] = ()
     ) -> float:
-        """Waits until every daemon's status meets a condition."""
+        """Waits until every daemon's status meets a condition.
+
+        Args:
+            is_met: Takes the decoded status; returns whether it is met.
+            skip: Names of daemons to ignore.
+
+        Returns:
+            Seconds waited.
+        """
         started_s = anyio.current_time()
-        with anyio.fail_after(_READY_WAIT_S):
+        with anyio.fail_after(_READY_TIMEOUT_S):
             for process in self.daemons():
                 if process.name in skip:
                     continue
--- a/daisyhub/testing/proofs.py
+++ b/daisyhub/testing/proofs.py
@@ -1,7 +1,9 @@
-"""Runs Hypothesis state machines as proofs, the same way every time.
+"""Runs Hypothesis state machines reproducibly.
 
-CI runs a fixed count, derandomized. `make prove EXAMPLES=n SEED=s` sets
-`DAISYHUB_EXAMPLES` and `DAISYHUB_SEED` and runs longer with that seed.
+A proof, here and in the names `test_proof_*.py`, is a stateful property-based
+test that checks an implementation against a model. CI runs a fixed number of
+examples, derandomized. `make prove EXAMPLES=n SEED=s` sets
+`DAISYHUB_EXAMPLES` and `DAISYHUB_SEED` for more examples with that seed.
 """
 
 import os
@@ -13,30 +15,33 @@
 __all__ = ["CI_EXAMPLES", "find_failure", "run_proof"]
 
 CI_EXAMPLES = 60
-_STEPS = 60
-_BROKEN_EXAMPLES = 500
-_BROKEN_SEEDS = 12
+_MAX_STEPS = 60
+_FAULT_SEARCH_EXAMPLES = 500
+_FAULT_SEARCH_SEEDS = 12
 
 
 def run_proof(
     machine: type[RuleBasedStateMachine],
     *,
     examples: int = CI_EXAMPLES,
-    steps: int = _STEPS,
+    steps: int = _MAX_STEPS,
 ) -> None:
-    """Runs a state machine; raises what its oracle finds.
+    """Runs a state machine; raises the first failure of its checks.
 
     Args:
         machine: The state machine.
-        examples: Examples in CI; `DAISYHUB_EXAMPLES` overrides it.
-        steps: Most steps of an example.
+        examples: Number of examples; `DAISYHUB_EXAMPLES` overrides it.
+        steps: Maximum number of steps of an example.
     """
-    asked = os.environ.get("DAISYHUB_EXAMPLES")
+    example_count = os.environ.get("DAISYHUB_EXAMPLES")
     seed = os.environ.get("DAISYHUB_SEED")
     if seed is not None:
         machine = hypothesis.seed(int(seed))(machine)
     settings = _settings(
-        int(asked or examples), steps, derandomize=seed is None, shrink=True
+        int(example_count or examples),
+        steps,
+        derandomize=seed is None,
+        shrink=True,
     )
     run_state_machine_as_test(machine, settings=settings)
 
@@ -44,16 +49,20 @@
 def find_failure(
     machine: type[RuleBasedStateMachine],
     *,
-    examples: int = _BROKEN_EXAMPLES,
-    steps: int = _STEPS,
+    examples: int = _FAULT_SEARCH_EXAMPLES,
+    steps: int = _MAX_STEPS,
 ) -> BaseException | None:
-    """Runs a machine around a broken subclass; returns what it found.
+    """Runs a state machine on a deliberately broken implementation.
 
-    Hypothesis draws on constants of whatever modules are loaded, so one seed
-    may find nothing after an unrelated change: several are tried.
+    Hypothesis also draws constants from the source of loaded modules, so that
+    after an unrelated change a seed may no longer find the fault: several
+    seeds are tried.
+
+    Returns:
+        The failure that was found, or None.
     """
     settings = _settings(examples, steps, derandomize=False, shrink=False)
-    for seed in range(_BROKEN_SEEDS):
+    for seed in range(_FAULT_SEARCH_SEEDS):
         try:
             run_state_machine_as_test(
                 hypothesis.seed(seed)(machine), settings=settings
--- a/daisyhub/testing/runner.py
+++ b/daisyhub/testing/runner.py
@@ -1,7 +1,8 @@
-"""Runs all tests, passes over KNOWN-RED.txt, and prints one closing line.
+"""Runs all tests and prints a line with the number of passes and failures.
 
-An entry of KNOWN-RED.txt is run and printed, and doesn't fail the run; an
-entry that passes again fails it until it is removed.
+Tests listed in KNOWN-RED.txt are known failures: they run and are printed, but
+don't fail the run. A listed test that passes fails the run until its entry is
+removed.
 """
 
 import logging
@@ -16,24 +17,28 @@
 
 __all__ = ["read_known_red"]
 
-_PATTERN = flags.DEFINE_string("pattern", "test_*.py", "Names of test files.")
-_START = flags.DEFINE_string("start", "daisyhub", "Folder to search.")
+_PATTERN = flags.DEFINE_string(
+    "pattern", "test_*.py", "Pattern of the names of test files."
+)
+_START = flags.DEFINE_string(
+    "start", "daisyhub", "Folder in which to search for tests."
+)
 _KNOWN_RED_FILE = "KNOWN-RED.txt"
 
 
 def read_known_red(text: str) -> dict[str, str]:
-    """Returns test ids and the rest of their lines."""
+    """Parses KNOWN-RED.txt; returns the reason of each entry by test id."""
     entries = {}
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
             continue
-        test_id, _, rest = line.partition("|")
-        entries[test_id.strip()] = rest.strip()
+        test_id, _, reason = line.partition("|")
+        entries[test_id.strip()] = reason.strip()
     return entries
 
 
 def _test_id(test) -> str:
-    """Returns the id of a test; a subtest counts under its test."""
+    """Returns the id of a test; for a subtest, the id of its test."""
     return getattr(test, "test_case", test).id()
 
 
@@ -50,20 +55,20 @@
     known_red = read_known_red(
         pathlib.Path(_KNOWN_RED_FILE).read_text(encoding="utf-8")
     )
-    red = {_test_id(test) for test, _ in result.failures + result.errors}
-    red |= {_test_id(test) for test in result.unexpectedSuccesses}
-    return _report(result, red, known_red)
+    failing = {_test_id(test) for test, _ in result.failures + result.errors}
+    failing |= {_test_id(test) for test in result.unexpectedSuccesses}
+    return _report(result, failing, known_red)
 
 
-def _report(result, red: set[str], known_red: dict[str, str]) -> int:
+def _report(result, failing: set[str], known_red: dict[str, str]) -> int:
     run_all = _PATTERN.value == "test_*.py"
-    for test_id in sorted(red & set(known_red)):
+    for test_id in sorted(failing & set(known_red)):
         print(f"known red: {test_id}: {known_red[test_id]}")
-    mended = set(known_red) - red if run_all else set()
-    for test_id in sorted(mended):
+    now_passing = set(known_red) - failing if run_all else set()
+    for test_id in sorted(now_passing):
         print(f"passes again, remove it from {_KNOWN_RED_FILE}: {test_id}")
-    failed = len(red - set(known_red)) + len(mended)
-    passed = result.testsRun - len(red) - len(mended)
+    failed = len(failing - set(known_red)) + len(now_passing)
+    passed = result.testsRun - len(failing) - len(now_passing)
     print(f"{passed} passed, {failed} failed")
     return 1 if failed or not result.testsRun else 0
 
--- a/daisyhub/testing/soak/_callers.py
+++ b/daisyhub/testing/soak/_callers.py
@@ -140,7 +140,7 @@
 
     async def _one_lot(self, lot_id: str) -> None:
         """Hands a lot in until it is accepted, then reads it whole."""
-        lot = self._fleet.lot_of(lot_id, groups=2)
+        lot = self._fleet.build_lot(lot_id, groups=2)
         body = msgspec.json.encode(lot)
         self._ledger.note_lot(lot_id, [item["id"] for item in lot["items"]])
         status = 0
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -67,15 +67,15 @@
         await link.listen()
         tasks.start_soon(link.run)
 
-    def settings_of(self, name: str) -> dict:
+    def build_settings(self, name: str) -> dict:
         """See `Fleet`; the store is behind this daemon's link."""
-        settings = super().settings_of(name)
+        settings = super().build_settings(name)
         settings["store"] = str(self.links[f"store {name}"].address)
         return settings
 
-    def entry_of(self, name: str) -> dict:
+    def build_server_entry(self, name: str) -> dict:
         """See `Fleet`; the server is behind its link."""
-        entry = super().entry_of(name)
+        entry = super().build_server_entry(name)
         entry["address"] = str(self.links[name].address)
         return entry
 
@@ -141,7 +141,7 @@
         fleet = self.fleet
         env = {"DAISYHUB_SOAK_BROKEN": self._broken}
         fleet.daemon_env = {name: dict(env) for name in fleet.daemon_names}
-        await fleet.start_stand_ins()
+        await fleet.start_fakes()
         for name in fleet.server_names:
             await fleet.open_link(name, fleet.address(name), tasks)
         for name in fleet.daemon_names:
@@ -181,8 +181,8 @@
             case Kind.STORE_LINK | Kind.SERVER_LINK | Kind.ALL_STORE_LINKS:
                 await self._harm_links(what)
             case Kind.STORE_FAULT | Kind.SERVER_FAULT:
-                inject_fault = {"kind": what.how, "delay_s": 0.5, "path": "/"}
-                await fleet.inject_fault(what.target, inject_fault)
+                fault = {"kind": what.how, "delay_s": 0.5, "path": "/"}
+                await fleet.inject_fault(what.target, fault)
                 await anyio.sleep(what.for_s)
                 await fleet.inject_fault(what.target, None)
             case Kind.CONFIG:
