--- a/daisyhub/cli/_base.py
+++ b/daisyhub/cli/_base.py
@@ -1,4 +1,4 @@
-"""What commands share: flags, the platform, output."""
+"""Base class and context of commands: flags, clients and output."""
 
 import abc
 import dataclasses
@@ -22,7 +22,7 @@
 
 _CONNECT_TIMEOUT_S = 2.0
 _TIMEOUT_S = 5.0
-_IDLE_S = 10.0
+_CONNECTION_IDLE_S = 10.0
 
 _OUTPUT = flags.DEFINE_enum(
     "output", "table", ["table", "json"], "How results are printed."
@@ -44,7 +44,7 @@
 
 
 class UsageError(DaisyhubError):
-    """The command line's words are wrong."""
+    """The command line's arguments are invalid."""
 
     code = "usage"
 
@@ -65,11 +65,11 @@
 
 
 class Context:
-    """What a command gets: settings, clients and output."""
+    """Settings, clients and output that a command uses."""
 
     def __init__(self):
         self.http = HttpClient(
-            connect_timeout_s=_CONNECT_TIMEOUT_S, idle_s=_IDLE_S
+            connect_timeout_s=_CONNECT_TIMEOUT_S, idle_s=_CONNECTION_IDLE_S
         )
         self._cfg: OperatorSettings | None = None
 
@@ -78,18 +78,18 @@
         """The operator's settings.
 
         Raises:
-            UsageError: None were given.
+            UsageError: `--settings` is missing.
         """
         if self._cfg is None:
             if not SETTINGS.value:
-                raise UsageError("--settings=FILE is needed")
+                raise UsageError("--settings=FILE is required")
             text = pathlib.Path(SETTINGS.value).read_text(encoding="utf-8")
             self._cfg = check_document(text, OperatorSettings, SETTINGS.value)
         return self._cfg
 
     @property
     def platform(self) -> PlatformClient:
-        """The platform's client."""
+        """A client for the platform."""
         return PlatformClient(self.cfg.platform_address, self.http, _TIMEOUT_S)
 
     @property
@@ -99,34 +99,38 @@
 
     @property
     def team(self) -> str:
-        """The team given.
+        """The team that makes the change.
 
         Raises:
-            UsageError: None was given.
+            UsageError: `--team` is missing.
         """
         if not _TEAM.value:
-            raise UsageError("--team=NAME is needed")
+            raise UsageError("--team=NAME is required")
         return _TEAM.value
 
     @property
     def author(self) -> str:
-        """Who makes the change."""
+        """Name of the person who makes the change."""
         return _AUTHOR.value or getpass.getuser()
 
     def print_rows(self, rows: list[dict[str, object]]) -> None:
-        """Prints rows as a table, or as JSON."""
+        """Prints rows as a table or as JSON, as `--output` says.
+
+        Args:
+            rows: Rows with equal keys, which are the headings.
+        """
         if _OUTPUT.value == "json":
             print(json.dumps(rows, indent=2))
             return
         if not rows:
             print("nothing to show")
             return
-        names = list(rows[0])
-        cells = [names] + [
-            [_shown(row[name]) for name in names] for row in rows
+        headings = list(rows[0])
+        table = [headings] + [
+            [_format_cell(row[heading]) for heading in headings] for row in rows
         ]
-        widths = [max(map(len, column)) for column in zip(*cells, strict=True)]
-        for line in cells:
+        widths = [max(map(len, column)) for column in zip(*table, strict=True)]
+        for line in table:
             padded = [
                 cell.ljust(width)
                 for cell, width in zip(line, widths, strict=True)
@@ -134,14 +138,20 @@
             print("  ".join(padded).rstrip())
 
 
-def _shown(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, list | tuple):
         return ",".join(map(str, value))
     return str(value)
 
 
 class Command(abc.ABC):
-    """One command."""
+    """A command.
+
+    Attributes:
+        name: First argument, which selects the command.
+        usage: Usage line.
+        summary: Description for the usage text.
+    """
 
     name: str
     usage: str
@@ -149,8 +159,8 @@
 
     @abc.abstractmethod
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Runs the command with the words behind its name.
+        """Runs the command with the arguments after its name.
 
         Raises:
-            DaisyhubError: With what went wrong.
+            DaisyhubError: The command failed.
         """
--- a/daisyhub/cli/_config.py
+++ b/daisyhub/cli/_config.py
@@ -1,4 +1,4 @@
-"""Commands on the configuration document."""
+"""Commands for the configuration document."""
 
 import json
 import pathlib
@@ -35,21 +35,21 @@
 
 def _read_document(args: list[str]) -> str:
     if len(args) != 1:
-        raise UsageError("exactly one FILE is needed")
+        raise UsageError("exactly one FILE is required")
     return pathlib.Path(args[0]).read_text(encoding="utf-8")
 
 
-async def _base_head(ctx: Context) -> ConfigHead:
-    """Returns the head of `--base`, or the newest."""
+async def _read_base_head(ctx: Context) -> ConfigHead:
+    """Returns the head of version `--base`, or the newest without it."""
     if _BASE.value is None:
         return (await ctx.store.read_head())[0]
-    return await _head_of(ctx, _BASE.value)
+    return await _read_version_head(ctx, _BASE.value)
 
 
-async def _head_of(ctx: Context, version: int) -> ConfigHead:
+async def _read_version_head(ctx: Context, version: int) -> ConfigHead:
     head = await ctx.store.read_version(version)
     if head is None:
-        raise UsageError(f"there is no version {version}")
+        raise UsageError(f"version {version} does not exist")
     return head
 
 
@@ -65,7 +65,7 @@
 
 
 class CheckCommand(Command):
-    """Checks a document without a platform."""
+    """Checks a document without access to the platform."""
 
     name = "check"
     usage = "check FILE"
@@ -92,7 +92,7 @@
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
         """Prints a row for each entry that differs from the base."""
         sections = json.loads(remove_comments(_read_document(args)))
-        head = await _base_head(ctx)
+        head = await _read_base_head(ctx)
         base = await ctx.store.read_sections(head)
         ctx.print_rows(_diff_rows(base, base | sections))
         return ExitCode.OK
@@ -117,7 +117,7 @@
 
 
 class ApplyCommand(Command):
-    """Puts a document's sections in force."""
+    """Applies and activates a document's sections."""
 
     name = "apply"
     usage = "apply FILE --team=NAME [--base=VERSION]"
@@ -131,7 +131,7 @@
         text = _read_document(args)
         check_config(text, args[0])
         sections = json.loads(remove_comments(text))
-        base = await _base_head(ctx)
+        base = await _read_base_head(ctx)
         head = await ctx.store.apply(
             sections,
             base_version=base.version,
@@ -144,7 +144,7 @@
 
 
 class RevertCommand(Command):
-    """Puts an earlier document in force under a new version."""
+    """Activates an earlier version's content as a new version."""
 
     name = "revert-to"
     usage = "revert-to VERSION --team=NAME"
@@ -153,9 +153,9 @@
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
         """Prints the new version."""
         if len(args) != 1 or not args[0].isdigit() or args[0] == "0":
-            raise UsageError("exactly one VERSION above 0 is needed")
+            raise UsageError("exactly one VERSION above 0 is required")
         newest, _ = await ctx.store.read_head()
-        target = await _head_of(ctx, int(args[0]))
+        target = await _read_version_head(ctx, int(args[0]))
         head = await ctx.store.apply(
             None,
             base_version=newest.version,
@@ -199,7 +199,7 @@
                 heads = await ctx.store.read_audit()
                 rows = [_version_row(head) for head in heads]
             case ["refused"]:
-                rows = await self._refused(ctx)
+                rows = await self._read_refused_rows(ctx)
             case ["keys"]:
                 rows = [
                     {"key_id": e.key_id, "at": e.at_s, "author": e.author}
@@ -210,7 +210,7 @@
         ctx.print_rows(rows)
         return ExitCode.OK
 
-    async def _refused(self, ctx: Context) -> list[dict[str, object]]:
+    async def _read_refused_rows(self, ctx: Context) -> list[dict[str, object]]:
         return [
             {
                 "at": round(entry.at_s, 3),
--- a/daisyhub/cli/_endpoints.py
+++ b/daisyhub/cli/_endpoints.py
@@ -1,4 +1,4 @@
-"""Commands on endpoints."""
+"""The command that lists and drains endpoints."""
 
 import uuid
 
@@ -22,7 +22,7 @@
     )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Runs one of the verbs."""
+        """Runs the subcommand."""
         match args:
             case ["list", domain]:
                 return await self._list(ctx, domain)
@@ -56,33 +56,36 @@
 
     async def _drain(self, ctx: Context, domain: str, endpoint_id: str):
         records = await ctx.platform.list_endpoints(domain)
-        found = [r for r in records if r.endpoint_id == endpoint_id]
-        if not found:
-            raise UsageError(f"{domain!r} lists no endpoint {endpoint_id!r}")
+        matching = [r for r in records if r.endpoint_id == endpoint_id]
+        if not matching:
+            raise UsageError(f"no endpoint {endpoint_id!r} in {domain!r}")
         order = DrainOrder(
             endpoint_id=endpoint_id,
-            incarnation=found[0].incarnation,
+            incarnation=matching[0].incarnation,
             author=ctx.author,
         )
-        await self._write(ctx, order)
+        await self._write_order(ctx, order)
         row = {"endpoint": endpoint_id, "drained": order.incarnation}
         ctx.print_rows([row])
         return ExitCode.OK
 
-    async def _write(self, ctx: Context, order: DrainOrder) -> None:
-        """Raises the drained incarnation; it never goes down."""
+    async def _write_order(self, ctx: Context, order: DrainOrder) -> None:
+        """Stores a drain order; retries on write conflicts.
+
+        The drained incarnation never decreases.
+        """
         key = DRAIN_PREFIX + order.endpoint_id
         while True:
-            found = await ctx.platform.get(key)
-            if found is not None:
-                known = msgspec.convert(found.value, DrainOrder)
-                if known.incarnation >= order.incarnation:
+            stored = await ctx.platform.get(key)
+            if stored is not None:
+                current = msgspec.convert(stored.value, DrainOrder)
+                if current.incarnation >= order.incarnation:
                     return
             try:
                 await ctx.platform.put(
                     key,
                     msgspec.to_builtins(order),
-                    expected_version=found.version if found else 0,
+                    expected_version=stored.version if stored else 0,
                     write_id=uuid.uuid4().hex,
                 )
             except PlatformConflictError:
--- a/daisyhub/cli/_keys.py
+++ b/daisyhub/cli/_keys.py
@@ -1,4 +1,4 @@
-"""Commands on client keys."""
+"""The command that creates, withdraws and lists client keys."""
 
 from daisyhub.cli._base import Command, Context, ExitCode, UsageError
 from daisyhub.clocks import wall_time_s
@@ -8,7 +8,7 @@
 
 
 class KeyCommand(Command):
-    """Makes, withdraws and lists keys."""
+    """Creates, withdraws and lists keys."""
 
     name = "key"
     usage = "key create ACCOUNT --team=NAME | key withdraw KEY_ID | key list"
@@ -18,7 +18,7 @@
     )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Runs one of the verbs."""
+        """Runs the subcommand."""
         match args:
             case ["create", account]:
                 return await self._create(ctx, account)
@@ -33,7 +33,11 @@
         raise UsageError(self.usage)
 
     async def _create(self, ctx: Context, account: str) -> ExitCode:
-        """Puts the entry in force first: a key that failed isn't shown."""
+        """Creates a key and prints it.
+
+        The entry is applied first, so that a key whose creation failed is
+        never printed.
+        """
         key = new_key()
         secret_hash = hash_secret(key.secret, ctx.cfg.key_hash_secret)
         head, _ = await ctx.store.read_head()
--- a/daisyhub/cli/_main.py
+++ b/daisyhub/cli/_main.py
@@ -1,4 +1,4 @@
-"""Finds and runs the command."""
+"""Entry point: selects a command and runs it."""
 
 import sys
 
@@ -48,7 +48,7 @@
 )
 
 
-def _usage() -> str:
+def _usage_text() -> str:
     lines = ["usage: daisyhub COMMAND [--flags]", "", "commands:"]
     for command in COMMANDS:
         lines.append(f"  {command.usage}")
@@ -67,13 +67,13 @@
         await ctx.http.aclose()
 
 
-def _run(argv: list[str]) -> int:
-    words = argv[1:]
-    found = [c for c in COMMANDS if words and c.name == words[0]]
-    if not found:
-        print(_usage(), file=sys.stderr)
+def _dispatch(argv: list[str]) -> int:
+    args = argv[1:]
+    commands = [c for c in COMMANDS if args and c.name == args[0]]
+    if not commands:
+        print(_usage_text(), file=sys.stderr)
         return ExitCode.USAGE
-    return run_command(found[0], words[1:], Context())
+    return run_command(commands[0], args[1:], Context())
 
 
 def run_command(command: Command, args: list[str], ctx: Context) -> int:
@@ -93,5 +93,5 @@
 
 def main() -> None:
     """Runs the command line; exits with an `ExitCode`."""
-    sys.modules["__main__"].__doc__ = _usage()
-    app.run(_run)
+    sys.modules["__main__"].__doc__ = _usage_text()
+    app.run(_dispatch)
--- a/daisyhub/cli/_status.py
+++ b/daisyhub/cli/_status.py
@@ -11,15 +11,15 @@
 
 
 async def _read_statuses(ctx: Context) -> dict[str, dict | None]:
-    """Returns each daemon's status by id; None if it doesn't answer."""
+    """Returns the status of each daemon by id; None if it is unreachable."""
     statuses = {}
     for daemon_id, address in sorted(ctx.cfg.daemons.items()):
         statuses[daemon_id] = None
         try:
-            answer = await ctx.http.request(
+            response = await ctx.http.request(
                 "GET", address, "/status", timeout_s=_TIMEOUT_S
             )
-            statuses[daemon_id] = msgspec.json.decode(answer.body)
+            statuses[daemon_id] = msgspec.json.decode(response.body)
         except (RequestFailedError, msgspec.DecodeError):
             continue
     return statuses
@@ -39,7 +39,7 @@
     summary = "Shows the version in force on each daemon and what it holds."
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Prints a row for each daemon of the settings."""
+        """Prints a row for each daemon in the settings."""
         statuses = await _read_statuses(ctx)
         ctx.print_rows([_status_row(*item) for item in statuses.items()])
         return _exit_code(statuses)
@@ -73,9 +73,9 @@
         """Prints a row for each lot and daemon."""
         match args:
             case ["list"]:
-                wanted = None
+                wanted_lot_id = None
             case ["show", lot_id]:
-                wanted = lot_id
+                wanted_lot_id = lot_id
             case _:
                 raise UsageError(self.usage)
         statuses = await _read_statuses(ctx)
@@ -83,9 +83,9 @@
             {"lot": lot_id, "daemon": daemon_id, **lot}
             for daemon_id, status in statuses.items()
             for lot_id, lot in (status["lots"] if status else {}).items()
-            if wanted in (None, lot_id)
+            if wanted_lot_id in (None, lot_id)
         ]
         ctx.print_rows(sorted(rows, key=lambda row: row["lot"]))
-        if wanted and not rows:
+        if wanted_lot_id and not rows:
             return ExitCode.INVALID
         return _exit_code(statuses)
--- a/daisyhub/cli/_usage.py
+++ b/daisyhub/cli/_usage.py
@@ -1,4 +1,4 @@
-"""The command that shows usage on its way to the platform's reports."""
+"""The command that shows sealed usage that may not be reported yet."""
 
 import msgspec
 
@@ -24,28 +24,28 @@
         """Prints a row for each failure domain, window and account."""
         match args:
             case ["show"]:
-                wanted = None
+                wanted_key = None
             case ["show", domain]:
-                wanted = _LEDGER_PREFIX + domain
+                wanted_key = _LEDGER_PREFIX + domain
             case _:
                 raise UsageError(self.usage)
         rows = []
-        for found in await ctx.platform.list(_LEDGER_PREFIX):
-            if wanted in (None, found.key):
-                rows += _rows(msgspec.convert(found.value, Ledger))
+        for stored in await ctx.platform.list(_LEDGER_PREFIX):
+            if wanted_key in (None, stored.key):
+                rows += _usage_rows(msgspec.convert(stored.value, Ledger))
         ctx.print_rows(rows)
         return ExitCode.OK
 
 
-def _rows(ledger: Ledger) -> list[dict[str, object]]:
+def _usage_rows(ledger: Ledger) -> list[dict[str, object]]:
     rows = []
     for report in ledger.unreported:
         sealed = msgspec.json.decode(report.body, type=SealedWindow)
-        rows += [_row(sealed, count) for count in sealed.counts]
+        rows += [_usage_row(sealed, count) for count in sealed.counts]
     return rows
 
 
-def _row(sealed: SealedWindow, count) -> dict[str, object]:
+def _usage_row(sealed: SealedWindow, count) -> dict[str, object]:
     return {
         "domain": sealed.failure_domain,
         "window": sealed.window,
--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Every command against a platform in the same process."""
+"""Tests of all commands with a fake platform in the same process."""
 
 import contextlib
 import io
@@ -45,8 +45,11 @@
 }
 
 
-class DirectHttp:
-    """Calls the fake platform without a socket; port 2 is a daemon."""
+class InProcessHttpClient:
+    """HTTP client that calls the fake platform without a socket.
+
+    Port 2 is a daemon.
+    """
 
     def __init__(self, platform):
         self.platform = platform
@@ -56,7 +59,7 @@
         if self.is_down:
             raise RequestFailedError("down", ran=Ran.NOT_RUN)
         if address.port == 2:
-            return _answer(200, STATUS)
+            return _response(200, STATUS)
         url = urllib.parse.urlsplit(target)
         call = Call(
             method=method,
@@ -65,31 +68,31 @@
             headers={},
             body=body,
         )
-        reply = await self.platform.answer(call)
-        return _answer(reply.status, reply.value)
+        response = await self.platform.answer(call)
+        return _response(response.status, response.value)
 
     async def aclose(self):
-        """Has nothing to close."""
+        """Does nothing; there are no connections."""
 
 
-class Commands(unittest.TestCase):
+class CommandsTest(unittest.TestCase):
     def setUp(self):
-        self.folder = pathlib.Path(self.enterContext(_folder()))
+        self.folder = pathlib.Path(self.enterContext(_temporary_folder()))
         if not flags.FLAGS.is_parsed():
             flags.FLAGS.mark_as_parsed()
         path = self.write("operator.jsonc", SETTINGS)
         self.enterContext(flagsaver.flagsaver(settings=path, output="json"))
         self.platform = FakePlatform()
-        self.http = DirectHttp(self.platform)
+        self.http = InProcessHttpClient(self.platform)
 
     def write(self, name, value):
         path = self.folder / name
         path.write_text(json.dumps(value), encoding="utf-8")
         return str(path)
 
-    def run_cli(self, *words, code=ExitCode.OK, **flag_values):
-        """Returns the rows printed, or what went to stderr."""
-        command = next(c for c in COMMANDS if c.name == words[0])
+    def run_cli(self, *args, code=ExitCode.OK, **flag_values):
+        """Returns the printed rows, or the text on stderr without any."""
+        command = next(c for c in COMMANDS if c.name == args[0])
         out, err = io.StringIO(), io.StringIO()
         ctx = Context()
         ctx.http = self.http
@@ -98,8 +101,8 @@
             contextlib.redirect_stdout(out),
             contextlib.redirect_stderr(err),
         ):
-            found = run_command(command, list(words[1:]), ctx)
-        self.assertEqual(found, code, err.getvalue())
+            exit_code = run_command(command, list(args[1:]), ctx)
+        self.assertEqual(exit_code, code, err.getvalue())
         return json.loads(out.getvalue()) if out.getvalue() else err.getvalue()
 
     def apply(self, document, **options):
@@ -107,21 +110,23 @@
         options.setdefault("team", "yard")
         return self.run_cli("apply", path, **options)
 
-    def test_teams_merge_and_conflicts_name_both(self):
+    def test_changes_are_merged_and_conflicts_name_both_teams(self):
         accounts = {"a": {"weight": 1}, "b": {"weight": 1}}
         self.apply({"client_accounts": accounts})
-        one = {"client_accounts": {**accounts, "a": {"weight": 2}}}
-        two = {"client_accounts": {**accounts, "b": {"weight": 3}}}
-        self.apply(one, base=1)
-        rows = self.apply(two, base=1, team="lab")
+        first = {"client_accounts": {**accounts, "a": {"weight": 2}}}
+        second = {"client_accounts": {**accounts, "b": {"weight": 3}}}
+        self.apply(first, base=1)
+        rows = self.apply(second, base=1, team="lab")
         self.assertEqual(rows[0]["version"], 3)
         path = self.write("merged.jsonc", {"client_accounts": accounts})
         rows = self.run_cli("diff", path)
         self.assertEqual([row["before"]["weight"] for row in rows], [2, 3])
-        clash = {"client_accounts": {**accounts, "a": {"weight": 9}}}
-        text = self.apply(clash, base=1, team="lab", code=ExitCode.CONFLICT)
-        for word in ("'lab'", "'yard'", "client_accounts", "version 2: a"):
-            self.assertIn(word, text)
+        conflicting = {"client_accounts": {**accounts, "a": {"weight": 9}}}
+        text = self.apply(
+            conflicting, base=1, team="lab", code=ExitCode.CONFLICT
+        )
+        for part in ("'lab'", "'yard'", "client_accounts", "version 2: a"):
+            self.assertIn(part, text)
         refused = self.run_cli("audit", "refused")
         self.assertEqual([row["team"] for row in refused], ["lab"])
         self.run_cli("revert-to", "1", team="yard")
@@ -130,7 +135,7 @@
         self.assertEqual(self.run_cli("diff", path), [])
         self.run_cli("revert-to", "9", team="yard", code=ExitCode.USAGE)
 
-    def test_owners_bind(self):
+    def test_only_owners_can_change_a_section(self):
         owners = {"owners": ["lead"], "client_accounts": ["yard"]}
         self.apply({"owners": owners}, team="lead")
         accounts = {"client_accounts": {"a": {}}}
@@ -139,12 +144,12 @@
             {"client_accounts": {}}, team="lab", code=ExitCode.CONFLICT
         )
         self.assertIn("belongs to team 'yard', not to 'lab'", text)
-        taken = {"owners": {"owners": ["yard"]}}
-        self.apply(taken, code=ExitCode.CONFLICT)
+        takeover = {"owners": {"owners": ["yard"]}}
+        self.apply(takeover, code=ExitCode.CONFLICT)
         no_owner = {"owners": {"keys": ["yard"]}}
         self.apply(no_owner, team="lead", code=ExitCode.INVALID)
 
-    def test_a_merge_that_breaks_references_is_refused(self):
+    def test_merge_that_breaks_references_is_rejected(self):
         self.apply({"endpoint_pools": {"p": {"kind": "service"}}})
         pools = {"endpoint_pools": {"q": {"kind": "service"}}}
         self.apply(pools, base=1)
@@ -152,18 +157,18 @@
         whole = routes | {"endpoint_pools": {"p": {"kind": "service"}}}
         self.apply(whole, base=1, code=ExitCode.INVALID)
 
-    def test_sections_beyond_one_value_are_split(self):
+    def test_large_sections_are_split_over_several_values(self):
         accounts = {f"{n:0>120}": {"weight": 1} for n in range(8000)}
         self.apply({"client_accounts": accounts})
         accounts[f"{7:0>120}"] = {"weight": 2}
         rows = self.apply({"client_accounts": accounts})
         self.assertEqual(rows[0]["version"], 2)
 
-    def test_keys_are_shown_once_and_withdrawn(self):
+    def test_key_secret_is_not_stored_and_keys_are_withdrawn(self):
         self.apply({"client_accounts": {"a": {}}})
         row = self.run_cli("key", "create", "a", team="yard")[0]
         secret = row["key"].rpartition("_")[2]
-        objects = anyio.run(self.platform.answer, _get("/objects"))
+        objects = anyio.run(self.platform.answer, _call("/objects"))
         self.assertNotIn(secret.encode(), msgspec.json.encode(objects.value))
         self.run_cli("key", "withdraw", row["key_id"])
         listed = self.run_cli("key", "list")
@@ -173,10 +178,10 @@
             "key", "create", "no one", team="yard", code=ExitCode.INVALID
         )
 
-    def test_endpoints_lots_usage_and_status(self):
+    def test_endpoint_lot_usage_and_status_commands(self):
         record = EndpointRecord(endpoint_id="e", pool="p", ip="::1", port=1)
         body = msgspec.json.encode([record])
-        put = _get("/admin/endpoints/busan", "PUT", body)
+        put = _call("/admin/endpoints/busan", "PUT", body)
         anyio.run(self.platform.answer, put)
         self.run_cli("endpoint", "drain", "busan", "e")
         rows = self.run_cli("endpoint", "list", "busan")
@@ -185,14 +190,14 @@
         self.assertEqual(self.run_cli("lot", "list")[0]["lot"], "l1")
         self.run_cli("lot", "show", "l2", code=ExitCode.INVALID)
         self.assertEqual(self.run_cli("usage", "show"), [])
-        self.put_ledger()
+        self.store_ledger()
         (row,) = self.run_cli("usage", "show", "busan")
         self.assertEqual((row["account"], row["requests"]), ("yard", 3))
         self.assertEqual(self.run_cli("usage", "show", "ulsan"), [])
         self.assertEqual(self.run_cli("status")[0]["version"], 1)
 
-    def put_ledger(self):
-        """Stores a ledger with one window that isn't reported yet."""
+    def store_ledger(self):
+        """Stores a ledger with one unreported window."""
         counts = (UsageCount(account="yard", requests=3),)
         sealed = SealedWindow(failure_domain="busan", window=60, counts=counts)
         body = msgspec.json.encode(sealed).decode()
@@ -207,21 +212,21 @@
         )
         anyio.run(self.platform.answer, call)
 
-    def test_a_platform_that_is_down_is_told(self):
+    def test_unreachable_platform_is_reported(self):
         self.http.is_down = True
         self.run_cli("history", code=ExitCode.UNAVAILABLE)
         self.run_cli("status", code=ExitCode.UNAVAILABLE)
         self.run_cli("history", settings="", code=ExitCode.USAGE)
 
 
-def _answer(status, value):
+def _response(status, value):
     body = msgspec.json.encode(value)
     return HttpResponse(status=status, headers=(), body=body)
 
 
-def _get(path, method="GET", body=b""):
+def _call(path, method="GET", body=b""):
     return Call(method=method, path=path, query={}, headers={}, body=body)
 
 
-def _folder():
+def _temporary_folder():
     return tempfile.TemporaryDirectory(prefix="daisyhub-cli-")
