--- a/daisyhub/platform/__init__.py
+++ b/daisyhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the product on the users' platform; translates, and nothing else."""
+"""Adapters that run the product on the users' platform."""
--- a/daisyhub/platform/__main__.py
+++ b/daisyhub/platform/__main__.py
@@ -2,8 +2,8 @@
 
 import signal
 
-# The other imports take a quarter of a second, in which a changed settings
-# file must not end the process already.
+# The other imports take a quarter of a second. The platform may send SIGHUP
+# for a changed settings file in that time, which must not end the process.
 signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
 # ruff: noqa: E402
@@ -24,8 +24,8 @@
 
 
 def main() -> int:
-    """Serves until SIGTERM; returns 2 if the settings are wrong."""
-    # A crash in native code leaves the stacks of all threads on stderr.
+    """Runs until SIGTERM; returns 2 if the settings are invalid."""
+    # Dumps the stacks of all threads to stderr after a crash in native code.
     faulthandler.enable()
     path = os.environ.get(_SETTINGS_VARIABLE, "")
     if not path:
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -1,4 +1,4 @@
-"""Builds one daemon out of the product's parts and the platform's wires."""
+"""Assembles a daemon from the product's components and platform adapters."""
 
 import random
 import signal
@@ -67,7 +67,7 @@
     CONFIG_NAME,
     PlatformManifestReader,
 )
-from daisyhub.platform._retirements import Retirements
+from daisyhub.platform._retirements import RetirementController
 from daisyhub.platform._servers import SERVERS_KIND, read_server
 from daisyhub.platform._store import PlatformStore
 from daisyhub.platform._wire import PlatformCallerWire, PlatformEndpointWire
@@ -78,21 +78,22 @@
 
 _US_PER_NS = 1000
 _MS_PER_S = 1000.0
-# Seconds after which a part that failed is started again.
-_RESTART_PAUSE_S = 0.5
-# Seconds for which changes of servers gather for each daemon known, and the
-# most; half of the time in which a leaving endpoint must be known.
-_GATHER_S = 0.03
-_LONGEST_GATHER_S = 1.0
-# Seconds between looks at entries that lapsed while the store was away.
-_EXPIRE_S = 0.25
-# Seconds for which a leaving daemon still takes requests: the platform takes
-# a daemon out after two questions, one a second, without a ready answer.
-_LEAVE_NOTICE_S = 2.3
-# Part of the grace time by which open requests must have ended.
-_LEAVE_SHARE = 0.75
-# Seconds after the store's return within which lapsed entries come back.
-_STORE_SETTLE_S = 3.0
+# Seconds until a failed controller is restarted.
+_CONTROLLER_RESTART_DELAY_S = 0.5
+# Seconds for which server changes are batched, per known peer, and the maximum:
+# half of the time within which a leaving endpoint must be known as leaving.
+_BATCH_DELAY_PER_PEER_S = 0.03
+_MAX_BATCH_DELAY_S = 1.0
+# Seconds between checks for entries that expired while the store was
+# unavailable.
+_EXPIRY_CHECK_INTERVAL_S = 0.25
+# Seconds for which a leaving daemon still accepts requests: the platform stops
+# sending callers after two failed readiness checks, one per second.
+_DRAIN_NOTICE_S = 2.3
+# Fraction of the grace time within which open requests must have ended.
+_DRAIN_SHARE_OF_GRACE = 0.75
+# Seconds within which expired entries reappear after the store recovers.
+_STORE_RECOVERY_S = 3.0
 
 
 class FleetDaemon:
@@ -100,7 +101,7 @@
 
     Args:
         cfg: Its settings.
-        settings_path: Their file, read again on SIGHUP.
+        settings_path: The settings file, checked for changes on SIGHUP.
     """
 
     def __init__(self, cfg: FleetSettings, settings_path: str):
@@ -119,7 +120,7 @@
 
     @property
     def process(self) -> str:
-        """Unique for this start of this daemon."""
+        """Name that is unique to this start of this daemon."""
         return f"{self.cfg.daemon_id}/{self.incarnation}"
 
     def _build_store(self) -> None:
@@ -133,12 +134,12 @@
         direct = PlatformStore(
             address_of(cfg.store), self.http, cfg.call_timeout_s
         )
-        carrier = PeerRelayProvider(
+        relay_provider = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
-        self.store = RelayedStore(direct, carrier, self.log)
-        callee = StoreRequestHandler(direct)
-        self.network.add_request_handler(StoreRequest, callee.handle)
+        self.store = RelayedStore(direct, relay_provider, self.log)
+        request_handler = StoreRequestHandler(direct)
+        self.network.add_request_handler(StoreRequest, request_handler.handle)
 
     def _build_state(self) -> None:
         cfg = self.cfg
@@ -160,7 +161,7 @@
         )
         self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
-        self.network.add_receiver(self._note_usage)
+        self.network.add_receiver(self._record_usage)
         self.network.add_request_handler(
             ManifestRequest, self.cluster.handle_manifest_request
         )
@@ -170,20 +171,20 @@
                 CONFIG_KIND,
                 self.log,
                 self._on_config,
-                can_be_stale=self._may_be_late,
+                can_be_stale=self._can_be_stale,
             ),
             KindWatcher(
                 self.store,
                 SERVERS_KIND,
                 self.log,
                 self._on_server,
-                self._gather_s,
-                self._may_be_late,
+                self._batch_delay_s,
+                self._can_be_stale,
             ),
         )
         self.cluster.set_watchers(self.watchers)
-        self.rollouts = self._duty("rollouts")
-        self.accounts = self._duty("accounts")
+        self.rollouts = self._build_duty("rollouts")
+        self.accounts = self._build_duty("accounts")
         self.sender = Sender(
             self.directory,
             self.http,
@@ -193,7 +194,9 @@
         )
         self._build_lots()
         self.verifier = WatchVerifier(self.accounts, self.watchers)
-        self.retirements = Retirements(self.accounts, self.store, self.log)
+        self.retirements = RetirementController(
+            self.accounts, self.store, self.log
+        )
         self.reporter = UsageReporter(
             self.accounts,
             self.usage_aggregator,
@@ -209,7 +212,10 @@
         )
 
     def _live_incarnations(self) -> dict[str, int]:
-        """Returns who counts; the own counts are brought up to date."""
+        """Returns the live daemons' incarnations by id, this one included.
+
+        Updates this daemon's own usage counts first.
+        """
         own = (self.cfg.daemon_id, self.incarnation)
         self.usage_aggregator.update(
             *own, self.meter.snapshot(), self.meter.closed_before()
@@ -217,7 +223,7 @@
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
         return {**live, self.cfg.daemon_id: self.incarnation}
 
-    def _note_usage(self, envelope, message: object) -> None:
+    def _record_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
             self.usage_aggregator.update(
                 envelope.sender,
@@ -226,7 +232,7 @@
                 message.closed_before,
             )
 
-    def _duty(self, duty: str) -> DutyController:
+    def _build_duty(self, duty: str) -> DutyController:
         cfg = self.cfg
         core = DutyCore(
             self.process, cfg.lease_ms / _MS_PER_S, cfg.fencing_checked
@@ -237,7 +243,7 @@
 
     def _build_lots(self) -> None:
         self.lots = LotStore(self.store)
-        tools = LotHolderDependencies(
+        dependencies = LotHolderDependencies(
             store=self.store,
             lots=self.lots,
             directory=self.directory,
@@ -255,7 +261,7 @@
             log=self.log,
             status_s=self.cfg.status_s,
         )
-        self.holder = LotHolder(self.rollouts, tools)
+        self.holder = LotHolder(self.rollouts, dependencies)
         self.weights = WeightLoadController(
             self.rollouts,
             self.cfg.daemon_id,
@@ -336,7 +342,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether the platform should send callers to this daemon."""
         has_endpoints = bool(self.directory.all())
         return (
             self.manifests.manifest is not None
@@ -345,7 +351,7 @@
         )
 
     def status(self) -> dict[str, object]:
-        """Returns the state of every part in plain JSON values."""
+        """Returns the state of all controllers in plain JSON values."""
         manifest = self.manifests.manifest
         return {
             "daemon_id": self.cfg.daemon_id,
@@ -354,7 +360,7 @@
             "is_ready": self.is_ready(),
             "manifest": manifest.version if manifest else 0,
             "open_requests": self.app.open_requests,
-            **{_title(part): part.status() for part in self.controllers},
+            **{_status_key(c): c.status() for c in self.controllers},
         }
 
     def _ping(self) -> Ping:
@@ -366,35 +372,44 @@
             is_leaving=self._is_draining,
             reaches_store=self.store.is_directly_reachable,
             manifest_revision=self.manifests.revision,
-            duties=self._duties(),
+            duties=self._held_duties(),
             newest={w.kind: w.newest_revision for w in self.watchers},
             usage=self.meter.snapshot(),
             closed_before=self.meter.closed_before(),
         )
 
-    def _duties(self) -> dict[str, int]:
-        """Returns the numbers of the duties that this daemon has."""
+    def _held_duties(self) -> dict[str, int]:
+        """Returns the fencing numbers of the duties that are held here."""
         duties = (self.rollouts, self.accounts)
         return {d.duty: d.fencing for d in duties if d.fencing}
 
-    def _gather_s(self) -> float:
-        """Returns how long changes of servers may gather before a watch.
+    def _batch_delay_s(self) -> float:
+        """Returns how many seconds to batch server changes before a watch.
 
-        Every change is a call at every daemon, so more daemons wait longer;
-        an endpoint that leaves must get no work after two seconds.
+        Every change causes a store call by every daemon, so the delay grows
+        with their number. It is limited because a leaving endpoint must
+        receive no requests after two seconds.
         """
-        return min(_LONGEST_GATHER_S, _GATHER_S * len(self.peers.all()))
+        return min(
+            _MAX_BATCH_DELAY_S, _BATCH_DELAY_PER_PEER_S * len(self.peers.all())
+        )
+
+    def _can_be_stale(self) -> bool:
+        """Whether watches may return stale data.
 
-    def _may_be_late(self) -> bool:
-        """Whether a daemon with a duty would tell of changes missed here."""
-        return not self._duties() and self.peers.has_live_holder_with_store()
+        Only if a live duty holder reaches the store: its pings report the
+        newest revisions, so that changes missed here are detected.
+        """
+        return (
+            not self._held_duties() and self.peers.has_live_holder_with_store()
+        )
 
     def _on_config(self, found: StoredObject) -> None:
         if found.name == CONFIG_NAME:
             self.manifests.adopt(found, "store")
 
     def _on_server(self, found: StoredObject) -> None:
-        """Takes an endpoint's entry; one that can't be read names none."""
+        """Applies a server's entry; an invalid one removes the endpoint."""
         if found.is_deleted:
             self._remove_endpoint(found.name)
             return
@@ -429,19 +444,19 @@
 
     def _remove_endpoint(self, name: str) -> None:
         now_s = time.monotonic()
-        is_stable = now_s - self._store_failed_s > _STORE_SETTLE_S
+        is_stable = now_s - self._store_failed_s > _STORE_RECOVERY_S
         self.log.note("endpoint_removed", name=name, is_store_stable=is_stable)
         self.directory.remove(name, now_s, is_store_stable=is_stable)
 
     async def run(self) -> None:
-        """Runs until SIGTERM, then ends within the grace time."""
+        """Runs until SIGTERM or SIGINT, then stops within the grace time."""
         self.log.note(
             "start", process=self.process, domain=self.cfg.failure_domain
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.network.run)
             for controller in self.controllers:
-                tasks.start_soon(self._keep_running, controller)
+                tasks.start_soon(self._run_with_restarts, controller)
             tasks.start_soon(self._expire_entries)
             for server in (
                 self.callers_server,
@@ -449,23 +464,24 @@
                 self.metrics_server,
             ):
                 tasks.start_soon(server.run_until_stopped)
-            wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-            # Open until the end: without it, a further signal would kill.
-            with anyio.open_signal_receiver(*wanted) as signals:
-                await self._wait_for_end(signals)
+            handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+            # Open until the end: without the receiver, a further signal would
+            # kill the process.
+            with anyio.open_signal_receiver(*handled_signals) as signals:
+                await self._wait_for_stop_signal(signals)
                 await self._shut_down()
                 tasks.cancel_scope.cancel()
         await self.http.aclose()
         self.network.close()
 
-    async def _wait_for_end(self, signals: AsyncIterator[int]) -> None:
-        async for number in signals:
-            if number != signal.SIGHUP:
+    async def _wait_for_stop_signal(self, signals: AsyncIterator[int]) -> None:
+        async for signal_number in signals:
+            if signal_number != signal.SIGHUP:
                 return
             self._reload()
 
     def _reload(self) -> None:
-        """Reads the settings again; what changes takes effect at a restart."""
+        """Checks the settings file; changes take effect at a restart."""
         try:
             cfg = load_fleet_settings(self._settings_path)
         except (DocumentError, OSError) as exc:
@@ -473,8 +489,11 @@
             return
         self.log.note("reload", is_changed=cfg != self.cfg)
 
-    async def _keep_running(self, controller: Controller) -> None:
-        """Runs a controller; a fault in one must not end the others."""
+    async def _run_with_restarts(self, controller: Controller) -> None:
+        """Runs a controller and restarts it after an exception.
+
+        A fault in one controller must not end the others.
+        """
         while True:
             try:
                 await controller.run()
@@ -487,29 +506,29 @@
                 self.metrics.count("controller_faults", part=controller.name)
             else:
                 return
-            await anyio.sleep(_RESTART_PAUSE_S)
+            await anyio.sleep(_CONTROLLER_RESTART_DELAY_S)
 
     async def _expire_entries(self) -> None:
-        """Takes out endpoints whose entries didn't come back."""
+        """Removes endpoints whose entries didn't reappear in the store."""
         while True:
-            await anyio.sleep(_EXPIRE_S)
+            await anyio.sleep(_EXPIRY_CHECK_INTERVAL_S)
             now_s = time.monotonic()
-            self._note_cut_domains()
+            self._update_unreachable_domains()
             if not all(watcher.is_current for watcher in self.watchers):
                 self._store_failed_s = now_s
                 continue
             for name in self.directory.expire(now_s):
                 self.log.note("endpoint_lapsed", name=name)
 
-    def _note_cut_domains(self) -> None:
-        """Tells the directory which failure domains seem to be cut off."""
+    def _update_unreachable_domains(self) -> None:
+        """Passes the failure domains without live peers to the directory."""
         own = frozenset((self.cfg.failure_domain,))
         self.directory.set_unreachable_domains(
             self.peers.silent_domains() - own
         )
 
     async def _shut_down(self) -> None:
-        """Takes no new callers, ends what is open, and goes."""
+        """Releases the duties, drains open requests and stops the servers."""
         started_s = time.monotonic()
         self.log.note("stop", open_requests=self.app.open_requests)
         self._is_draining = True
@@ -519,19 +538,19 @@
             duty.set_leaving()
             await duty.release()
         self.cluster.send_pings()
-        await anyio.sleep(_LEAVE_NOTICE_S)
+        await anyio.sleep(_DRAIN_NOTICE_S)
         self.callers_server.stop()
-        latest_s = started_s + _LEAVE_SHARE * self.cfg.grace_s
-        # The server itself waits for requests of which a part has come.
-        with anyio.move_on_after(max(0.0, latest_s - time.monotonic())):
+        drain_end_s = started_s + _DRAIN_SHARE_OF_GRACE * self.cfg.grace_s
+        # The server itself waits for requests that were partly received.
+        with anyio.move_on_after(max(0.0, drain_end_s - time.monotonic())):
             await self.callers_server.stopped.wait()
         self.readiness_server.stop()
         self.metrics_server.stop()
         self.log.note("stopped", open_requests=self.app.open_requests)
 
 
-def _title(part: Controller) -> str:
-    """Returns the name of a part; several of one kind differ by subject."""
-    if isinstance(part, DutyController):
-        return f"duty {part.duty}"
-    return part.name
+def _status_key(controller: Controller) -> str:
+    """Returns a controller's key in the status, unique among duties too."""
+    if isinstance(controller, DutyController):
+        return f"duty {controller.duty}"
+    return controller.name
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -1,4 +1,4 @@
-"""The platform's calls for usage (`usage`) and endpoint orders (`scale`)."""
+"""Client for usage reports (`/usage`) and endpoint orders (`/scale`)."""
 
 import msgspec
 
@@ -12,18 +12,18 @@
 
 _OK = 200
 _CONFLICT = 409
-# Seconds for a call; the platform answers in milliseconds, or is slow.
-_TIMEOUT_S = 1.0
+# Timeout of a call; the platform responds in milliseconds unless it is slow.
+_CALL_TIMEOUT_S = 1.0
 
 
 class PlatformOrderDeskClient(OrderDeskClient):
     """Calls the platform's `cloud-api`.
 
     Args:
-        address: Where it listens.
-        holder: Machine name that each call carries.
-        http: Sends the calls.
-        log: Where failures are noted.
+        address: Address of `cloud-api`.
+        holder: Name of this machine, sent with each call.
+        http: HTTP client.
+        log: Log of failed calls.
     """
 
     def __init__(
@@ -46,7 +46,7 @@
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
     ) -> OrderDeskOutcome:
-        """Orders endpoints; a conflict here means that none are to be had."""
+        """Orders endpoints; a conflict means that no capacity is available."""
         body = {"service": pool, "zone": domain, "desired-count": count}
         if cheap:
             body["spot"] = True
@@ -63,26 +63,26 @@
             (b"daisyhub-fencing-token", str(fencing).encode()),
         )
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "POST",
                 self._address,
                 path,
                 headers=headers,
                 body=msgspec.json.encode(body),
-                timeout_s=_TIMEOUT_S,
+                timeout_s=_CALL_TIMEOUT_S,
             )
         except RequestFailedError as exc:
             self._log.note("desk_call_failed", path=path, reason=str(exc))
-            is_sent = exc.ran is not Ran.NOT_RUN
+            may_be_done = exc.ran is not Ran.NOT_RUN
             return (
                 OrderDeskOutcome.UNKNOWN
-                if is_sent
+                if may_be_done
                 else OrderDeskOutcome.REFUSED
             )
-        if answer.status == _CONFLICT:
+        if response.status == _CONFLICT:
             return on_conflict
         return (
             OrderDeskOutcome.DONE
-            if answer.status == _OK
+            if response.status == _OK
             else OrderDeskOutcome.REFUSED
         )
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -1,8 +1,9 @@
-"""Orders and reports of engines, and the versions that trainers name.
+"""Clients for engine orders and reports, and a reader of published versions.
 
-Where the platform's names mislead: `sequence` is the number of orders that an
-engine accepted since its start, `expect` the number that an order must find,
-`mode` what becomes of open requests.
+Some of the platform's names need an explanation: `sequence` is the number of
+orders that an engine accepted since its start, `expect` is the value of
+`sequence` that an order requires, and `mode` states how an engine treats
+running requests when it loads a version.
 """
 
 import msgspec
@@ -23,7 +24,7 @@
 
 __all__ = ["PlatformEngineClient", "PlatformVersionReader"]
 
-_OUTCOMES = {
+_OUTCOMES_BY_STATUS = {
     200: OrderOutcome.ALREADY_LOADED,
     202: OrderOutcome.ACCEPTED,
     400: OrderOutcome.REFUSED,
@@ -32,11 +33,11 @@
     421: OrderOutcome.OTHER_ENDPOINT,
     503: OrderOutcome.REFUSED,
 }
-_MODES = {LoadMode.FINISH: "wait", LoadMode.CONTINUE: "retain"}
-_ENDPOINT = b"daisyhub-expect-instance"
+_MODE_NAMES = {LoadMode.FINISH: "wait", LoadMode.CONTINUE: "retain"}
+_ENDPOINT_HEADER = b"daisyhub-expect-instance"
 _OK = 200
-# Seconds for an order or a report; engines answer both in milliseconds.
-_TIMEOUT_S = 0.5
+# Timeout of an order or a report; engines respond to both in milliseconds.
+_CALL_TIMEOUT_S = 0.5
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -52,31 +53,31 @@
     num_running: int = 0
 
 
-class _Named(msgspec.Struct, frozen=True):
+class _PublishedVersion(msgspec.Struct, frozen=True):
     model: str
     version: int
 
 
 class PlatformVersionReader(VersionReader):
-    """Reads objects of kind `versions`."""
+    """Decodes objects of kind `versions`."""
 
     kind = "versions"
 
     def read(self, found: StoredObject) -> VersionPublished:
-        """Returns what an object names; see `VersionReader.read`."""
+        """Returns the published version; see `VersionReader.read`."""
         try:
-            named = msgspec.json.decode(found.spec, type=_Named)
+            published = msgspec.json.decode(found.spec, type=_PublishedVersion)
         except msgspec.DecodeError as exc:
             raise ValueError(str(exc)) from exc
-        return VersionPublished(named.model, named.version)
+        return VersionPublished(published.model, published.version)
 
 
 class PlatformEngineClient(EngineClient):
-    """Talks to the platform's engines.
+    """HTTP client for the platform's engines.
 
     Args:
-        http: Sends over kept connections.
-        log: Where failures are noted.
+        http: HTTP client.
+        log: Log of failed calls.
     """
 
     def __init__(self, http: HttpClient, log: DecisionLog):
@@ -86,13 +87,13 @@
     async def order(
         self, address: Address, order: VersionOrder
     ) -> OrderOutcome:
-        """Gives an order; see `EngineClient.order`."""
+        """Sends an order; see `EngineClient.order`."""
         body = msgspec.json.encode(
             {
                 "op-type": "version",
                 "model": order.model,
                 "version": order.version,
-                "mode": _MODES[order.mode],
+                "mode": _MODE_NAMES[order.mode],
                 "holder": order.holder,
                 "fencing-token": order.fencing,
                 "expect": order.orders_taken,
@@ -100,41 +101,41 @@
         )
         headers = (
             (b"content-type", b"application/json"),
-            (_ENDPOINT, order.endpoint_id.encode()),
+            (_ENDPOINT_HEADER, order.endpoint_id.encode()),
         )
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "POST",
                 address,
                 "/v1/order",
                 headers=headers,
                 body=body,
-                timeout_s=_TIMEOUT_S,
+                timeout_s=_CALL_TIMEOUT_S,
             )
         except RequestFailedError as exc:
-            self._note("order_failed", order.endpoint_id, exc)
+            self._log_failure("order_failed", order.endpoint_id, exc)
             return OrderOutcome.UNKNOWN
-        return _OUTCOMES.get(answer.status, OrderOutcome.UNKNOWN)
+        return _OUTCOMES_BY_STATUS.get(response.status, OrderOutcome.UNKNOWN)
 
     async def report(self, address: Address) -> EngineReport | None:
         """Returns an engine's report; see `EngineClient.report`."""
         try:
-            answer = await self._http.request(
-                "GET", address, "/v1/report", timeout_s=_TIMEOUT_S
+            response = await self._http.request(
+                "GET", address, "/v1/report", timeout_s=_CALL_TIMEOUT_S
             )
-            if answer.status != _OK:
-                raise ValueError(f"status {answer.status}")
-            found = msgspec.json.decode(answer.body, type=_Report)
+            if response.status != _OK:
+                raise ValueError(f"status {response.status}")
+            report = msgspec.json.decode(response.body, type=_Report)
         except (RequestFailedError, msgspec.DecodeError, ValueError) as exc:
-            self._note("report_failed", str(address), exc)
+            self._log_failure("report_failed", str(address), exc)
             return None
         return EngineReport(
-            versions={model.name: model.version for model in found.models},
-            is_busy=found.busy,
-            orders_taken=found.sequence,
-            waiting=found.num_waiting,
-            running=found.num_running,
+            versions={model.name: model.version for model in report.models},
+            is_busy=report.busy,
+            orders_taken=report.sequence,
+            waiting=report.num_waiting,
+            running=report.num_running,
         )
 
-    def _note(self, event: str, endpoint: str, exc: Exception) -> None:
+    def _log_failure(self, event: str, endpoint: str, exc: Exception) -> None:
         self._log.note(event, endpoint=endpoint, reason=str(exc))
--- a/daisyhub/platform/_lots_json.py
+++ b/daisyhub/platform/_lots_json.py
@@ -1,9 +1,10 @@
-"""Lots and streams as the platform spells them.
+"""Wire formats of lots, their results and event streams on the platform.
 
-Where the platform's names mislead: `min-version` is the oldest weight version
-that may be used, `desired-count` the groups that the trainer waits for,
-`scorer` the reward call, `next-token` the position behind the last result,
-and `dead_letter` an item that was given up.
+Some of the platform's names need an explanation: `min-version` is the oldest
+weight version that may be used, `desired-count` is the number of groups that
+the trainer waits for, `scorer` is the reward call, `next-token` is the position
+after the last result, and `dead_letter` is the state of an item that was given
+up.
 """
 
 import msgspec
@@ -24,16 +25,17 @@
 
 __all__ = ["PlatformLotWire"]
 
-_STATES = {
+_STATE_NAMES = {
     ResultState.COMPLETED: "completed",
     ResultState.GIVEN_UP: "dead_letter",
 }
-_VERSION_LINE = b"daisyhub-weight-versions:"
-_LENGTH_HINT = "daisyhub-length-hint"
-_ID_LINE = b"id:"
-_DATA_LINE = b"data:"
-# Bytes of an event that never ends; real ones have some hundred.
-_LONGEST_EVENT = 1 << 20
+_VERSION_PREFIX = b"daisyhub-weight-versions:"
+_LENGTH_HINT_HEADER = "daisyhub-length-hint"
+_ID_PREFIX = b"id:"
+_DATA_PREFIX = b"data:"
+# Maximum size of an unfinished event, against streams without an end of event;
+# real events have some hundred bytes.
+_MAX_EVENT_BYTES = 1 << 20
 
 
 class _Scorer(msgspec.Struct, frozen=True):
@@ -76,22 +78,22 @@
 
 
 class PlatformLotWire(LotWire):
-    """How the platform's trainers and engines speak."""
+    """Wire format of the platform's trainers and engines."""
 
     def read_lot(self, req: Request, accepted_s: float) -> LotSpec:
         """Returns the lot; see `LotWire.read_lot`."""
         try:
-            found = msgspec.json.decode(req.body, type=_Lot)
+            lot = msgspec.json.decode(req.body, type=_Lot)
         except msgspec.DecodeError as exc:
             raise Refusal(
-                ErrorCode.BODY_INVALID, f"the lot can't be read: {exc}"
+                ErrorCode.BODY_INVALID, f"invalid lot: {exc}"
             ) from exc
-        items = tuple(_item(item) for item in found.items)
+        items = tuple(_to_item_spec(item) for item in lot.items)
         ids = {item.item_id for item in items}
         if not req.request_id or not items or len(ids) != len(items):
             raise Refusal(
                 ErrorCode.BODY_INVALID,
-                "a lot needs an id and items with ids of their own",
+                "a lot needs an id and items with unique ids",
             )
         route = req.route
         head = LotHead(
@@ -99,10 +101,10 @@
             account=req.account,
             host=req.host,
             path=req.path,
-            step=found.step,
-            model=found.model,
-            oldest_version=found.min_version,
-            wanted_groups=found.desired_count,
+            step=lot.step,
+            model=lot.model,
+            oldest_version=lot.min_version,
+            wanted_groups=lot.desired_count,
             total=len(items),
             accepted_s=accepted_s,
             due_s=route.due_s,
@@ -116,10 +118,10 @@
         self, total: int, after: int, results: list[ItemResult]
     ) -> bytes:
         """Returns the body; see `LotWire.write_results`."""
-        shown = [
+        encoded = [
             _Result(
                 id=result.item_id,
-                state=_STATES[result.state],
+                state=_STATE_NAMES[result.state],
                 text=result.text,
                 versions=result.versions,
                 score=result.score,
@@ -127,7 +129,9 @@
             for result in results
         ]
         return msgspec.json.encode(
-            _Results(total=total, next_token=after + len(shown), results=shown)
+            _Results(
+                total=total, next_token=after + len(encoded), results=encoded
+            )
         )
 
     def make_reader(self, version: int) -> EventReader:
@@ -135,10 +139,10 @@
         return _EventReader(version)
 
 
-def _item(item: _Item) -> ItemSpec:
+def _to_item_spec(item: _Item) -> ItemSpec:
     scorer = item.scorer
     headers = {key.lower(): value for key, value in item.headers.items()}
-    hint = headers.get(_LENGTH_HINT, "")
+    hint = headers.get(_LENGTH_HINT_HEADER, "")
     return ItemSpec(
         item_id=item.id,
         path=item.path,
@@ -159,7 +163,7 @@
 
 
 class _EventReader(EventReader):
-    """Reads `text/event-stream`, with a line that tells a new version."""
+    """Parses `text/event-stream` with lines that state the weight version."""
 
     def __init__(self, version: int):
         self._version = version
@@ -167,27 +171,27 @@
 
     @property
     def is_between_events(self) -> bool:
-        """Whether nothing of a further event has come."""
+        """Whether no part of a further event was received."""
         return not self._buffer.strip()
 
     def feed(self, chunk: bytes) -> list[StreamEvent]:
-        """Returns the events that are whole now; see `EventReader.feed`."""
+        """Returns the events that are complete now; see `EventReader.feed`."""
         self._buffer += chunk.replace(b"\r\n", b"\n")
         *blocks, self._buffer = self._buffer.split(b"\n\n")
-        if len(self._buffer) > _LONGEST_EVENT:
-            raise ValueError(f"an event exceeds {_LONGEST_EVENT} bytes")
-        return [self._event(block) for block in blocks if block.strip()]
+        if len(self._buffer) > _MAX_EVENT_BYTES:
+            raise ValueError(f"an event exceeds {_MAX_EVENT_BYTES} bytes")
+        return [self._parse_event(block) for block in blocks if block.strip()]
 
-    def _event(self, block: bytes) -> StreamEvent:
+    def _parse_event(self, block: bytes) -> StreamEvent:
         number = None
         data = []
         for line in block.split(b"\n"):
-            if line.startswith(_VERSION_LINE):
-                self._version = int(line[len(_VERSION_LINE) :])
-            elif line.startswith(_ID_LINE):
-                number = int(line[len(_ID_LINE) :])
-            elif line.startswith(_DATA_LINE):
-                data.append(line[len(_DATA_LINE) :].removeprefix(b" "))
+            if line.startswith(_VERSION_PREFIX):
+                self._version = int(line[len(_VERSION_PREFIX) :])
+            elif line.startswith(_ID_PREFIX):
+                number = int(line[len(_ID_PREFIX) :])
+            elif line.startswith(_DATA_PREFIX):
+                data.append(line[len(_DATA_PREFIX) :].removeprefix(b" "))
         if number is None:
             raise ValueError(f"an event without a number: {block[:80]!r}")
         return StreamEvent(number, b"\n".join(data).decode(), self._version)
--- a/daisyhub/platform/_manifest.py
+++ b/daisyhub/platform/_manifest.py
@@ -1,8 +1,9 @@
 """Decodes the operators' manifest (`config/main`) into a `Manifest`.
 
-Where the platform's names mislead: `tenants` are client accounts, `services`
-are pools, `backends` are the shares of a route's traffic, `public` means that
-no key is needed, `spot` endpoints are the cheap ones.
+Some of the platform's names differ from the product's: `tenants` are client
+accounts, `services` are pools, `backends` are the pools' shares of a route's
+traffic, `public` means that no key is needed, `spot` endpoints are the cheap
+ones.
 """
 
 import msgspec
@@ -27,7 +28,7 @@
 _MS_PER_S = 1000.0
 
 
-class _Share(msgspec.Struct, frozen=True, rename="kebab"):
+class _Backend(msgspec.Struct, frozen=True, rename="kebab"):
     service: str
     weight: float
 
@@ -41,7 +42,7 @@
     target_latency_ms: float = 1000.0
     priority: int = 0
     service: str | None = None
-    backends: tuple[_Share, ...] | None = None
+    backends: tuple[_Backend, ...] | None = None
     max_attempts: int = 1
     public: bool = False
     resumable: bool = False
@@ -59,7 +60,7 @@
 
 
 class _Scaling(msgspec.Struct, frozen=True, rename="kebab"):
-    """Bounds hold for each zone."""
+    """Scaling of a service; `min` and `max` apply to each zone."""
 
     min: int = 0
     max: int = 0
@@ -96,29 +97,29 @@
 
 
 class PlatformManifestReader(ManifestReader):
-    """Reads the object `config/main`."""
+    """Decodes the object `config/main`."""
 
     def read(self, spec: bytes) -> Manifest:
         """Returns the manifest; see `ManifestReader.read`."""
         try:
-            found = msgspec.json.decode(spec, type=_Config)
-            return _manifest(found)
+            config = msgspec.json.decode(spec, type=_Config)
+            return _to_manifest(config)
         except (msgspec.DecodeError, ValueError) as exc:
             raise ManifestError(str(exc)) from exc
 
 
-def _manifest(found: _Config) -> Manifest:
+def _to_manifest(config: _Config) -> Manifest:
     accounts = None
-    if found.tenants is not None:
+    if config.tenants is not None:
         accounts = tuple(
             Account(name=t.name, keys=t.api_keys, priority=t.priority)
-            for t in found.tenants
+            for t in config.tenants
         )
-    limits = found.limits
+    limits = config.limits
     return Manifest(
-        version=found.version,
-        routes=tuple(_route(route) for route in found.routes),
-        pools={service.name: _pool(service) for service in found.services},
+        version=config.version,
+        routes=tuple(_to_route(route) for route in config.routes),
+        pools={service.name: _to_pool(service) for service in config.services},
         accounts=accounts,
         limits=CallerLimits(
             header_bytes=limits.max_header_bytes,
@@ -128,39 +129,39 @@
     )
 
 
-def _route(found: _Route) -> Route:
+def _to_route(route: _Route) -> Route:
     shares = tuple(
         PoolShare(share.service, share.weight)
-        for share in found.backends or ()
+        for share in route.backends or ()
         if share.weight > 0
     )
-    if not shares and found.service is not None:
-        shares = (PoolShare(found.service, 1.0),)
+    if not shares and route.service is not None:
+        shares = (PoolShare(route.service, 1.0),)
     return Route(
-        name=found.name,
-        host=found.host,
-        path_prefix=found.path_prefix,
-        kind=RouteKind(found.route_type),
+        name=route.name,
+        host=route.host,
+        path_prefix=route.path_prefix,
+        kind=RouteKind(route.route_type),
         shares=shares,
-        timeout_s=found.timeout_ms / _MS_PER_S,
-        target_latency_s=found.target_latency_ms / _MS_PER_S,
-        priority=found.priority,
-        max_attempts=max(1, found.max_attempts),
-        is_open=found.public,
-        is_resumable=found.resumable,
-        due_s=found.due_ms / _MS_PER_S,
-        max_wait_s=found.max_wait_s,
-        is_single_version=found.single_version,
+        timeout_s=route.timeout_ms / _MS_PER_S,
+        target_latency_s=route.target_latency_ms / _MS_PER_S,
+        priority=route.priority,
+        max_attempts=max(1, route.max_attempts),
+        is_open=route.public,
+        is_resumable=route.resumable,
+        due_s=route.due_ms / _MS_PER_S,
+        max_wait_s=route.max_wait_s,
+        is_single_version=route.single_version,
     )
 
 
-def _pool(found: _Service) -> Pool:
-    scaling = found.scaling
+def _to_pool(service: _Service) -> Pool:
+    scaling = service.scaling
     return Pool(
-        name=found.name,
-        max_connections=found.max_conns,
-        models=tuple(m.name for m in found.engine.models)
-        if found.engine
+        name=service.name,
+        max_connections=service.max_conns,
+        models=tuple(m.name for m in service.engine.models)
+        if service.engine
         else (),
         scaling=None
         if scaling is None
--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -1,7 +1,7 @@
-"""Answers requests to empty a machine with a disk.
+"""Completes the platform's requests to vacate a machine with a disk.
 
-Nothing of the system lies on such a machine, so each is empty at once. The
-platform's `duration-s`, the time that it allows, doesn't matter then.
+The product stores no data on such machines, so each request is completed at
+once. The platform's `duration-s`, the time allowed for it, is not needed.
 """
 
 import anyio
@@ -17,26 +17,26 @@
     StoredObject,
 )
 
-__all__ = ["Retirements"]
+__all__ = ["RetirementController"]
 
 _KIND = "retirements"
 _COMPLETED = "completed"
-# Seconds between tries to write an answer, and between looks at a duty that
-# others have.
-_PAUSE_S = 0.5
+# Seconds between attempts to complete pending requests and between checks that
+# the duty is still held.
+_RETRY_INTERVAL_S = 0.5
 
 
 class _Status(msgspec.Struct, frozen=True):
     state: str
 
 
-class Retirements(DutyBoundController):
-    """Answers while this daemon has the duty.
+class RetirementController(DutyBoundController):
+    """Completes retirement requests while this daemon holds the duty.
 
     Args:
-        duty: Tells whether it has.
-        store: Where requests lie and answers go.
-        log: Where answers are noted.
+        duty: The duty.
+        store: Store of the requests and their statuses.
+        log: Log of completed requests and failures.
     """
 
     name = "retirements"
@@ -47,11 +47,11 @@
         super().__init__(duty)
         self._store = store
         self._log = log
-        self._waiting: set[str] = set()
+        self._pending: set[str] = set()
 
     def status(self) -> dict[str, object]:
-        """Tells the machines whose request isn't answered."""
-        return {"waiting": sorted(self._waiting)}
+        """Returns the machines whose request isn't completed."""
+        return {"waiting": sorted(self._pending)}
 
     async def hold(self) -> None:
         """Works until the duty is lost; see `DutyBoundController.hold`."""
@@ -59,9 +59,9 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watcher.run)
             while self._duty.fencing:
-                for machine in list(self._waiting):
-                    await self._answer(machine)
-                await anyio.sleep(_PAUSE_S)
+                for machine in list(self._pending):
+                    await self._complete(machine)
+                await anyio.sleep(_RETRY_INTERVAL_S)
             tasks.cancel_scope.cancel()
 
     def _on_request(self, found: StoredObject) -> None:
@@ -72,13 +72,13 @@
                 "retirement_unreadable", name=found.name, reason=str(exc)
             )
             status = None
-        is_answered = status is not None and status.state == _COMPLETED
-        if found.is_deleted or is_answered:
-            self._waiting.discard(found.name)
+        is_completed = status is not None and status.state == _COMPLETED
+        if found.is_deleted or is_completed:
+            self._pending.discard(found.name)
             return
-        self._waiting.add(found.name)
+        self._pending.add(found.name)
 
-    async def _answer(self, machine: str) -> None:
+    async def _complete(self, machine: str) -> None:
         content = msgspec.json.encode(_Status(_COMPLETED))
         try:
             await self._store.set_status(_KIND, machine, content)
@@ -87,5 +87,5 @@
                 "retirement_failed", machine=machine, reason=str(exc)
             )
             return
-        self._waiting.discard(machine)
+        self._pending.discard(machine)
         self._log.note("retirement_completed", machine=machine)
--- a/daisyhub/platform/_servers.py
+++ b/daisyhub/platform/_servers.py
@@ -1,9 +1,11 @@
-"""Decodes entries of servers; one that can't be read names no endpoint.
-
-Where the platform's names mislead: `slots` is what the server serves at one
-time, `version` (at the top) that of its software, `spot` that it may be taken
-away, `born` the Unix millisecond of its start. `sequence` counts its writes
-here, not its orders as in its report, and isn't used.
+"""Decodes the entries of servers in the store.
+
+Some of the platform's names need an explanation: `slots` is the number of
+requests that the server serves concurrently, `version` (at the top level) is
+the version of its software, `spot` means that the platform may reclaim it, and
+`born` is its start time in milliseconds since 1970. `sequence` is the number of
+its writes of the entry, not of its orders as in the server's report, and isn't
+used.
 """
 
 import msgspec
@@ -14,7 +16,7 @@
 __all__ = ["SERVERS_KIND", "read_server"]
 
 SERVERS_KIND = "servers"
-_STATES = {"ready": False, "draining": True}
+_IS_LEAVING_BY_STATE = {"ready": False, "draining": True}
 
 
 class _Model(msgspec.Struct, frozen=True):
@@ -34,25 +36,25 @@
 
 
 def read_server(endpoint_id: str, spec: bytes) -> EndpointEntry:
-    """Returns the entry.
+    """Decodes a server's entry.
 
     Raises:
-        ValueError: It can't be read, or has a state that isn't known.
+        ValueError: The entry is invalid or its state is unknown.
     """
     try:
-        found = msgspec.json.decode(spec, type=_Server)
+        server = msgspec.json.decode(spec, type=_Server)
     except msgspec.DecodeError as exc:
         raise ValueError(str(exc)) from exc
-    if found.state not in _STATES:
-        raise ValueError(f"state {found.state!r} is not known")
+    if server.state not in _IS_LEAVING_BY_STATE:
+        raise ValueError(f"unknown state {server.state!r}")
     return EndpointEntry(
         endpoint_id=endpoint_id,
-        pool=found.service,
-        address=address_of(found.address),
-        domain=found.zone,
-        incarnation=found.born,
-        slots=max(1, found.slots),
-        is_leaving=_STATES[found.state],
-        is_cheap=found.spot,
-        versions={model.name: model.version for model in found.models},
+        pool=server.service,
+        address=address_of(server.address),
+        domain=server.zone,
+        incarnation=server.born,
+        slots=max(1, server.slots),
+        is_leaving=_IS_LEAVING_BY_STATE[server.state],
+        is_cheap=server.spot,
+        versions={model.name: model.version for model in server.models},
     )
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -1,4 +1,4 @@
-"""The platform's store over HTTP: one client of it for the whole daemon."""
+"""HTTP client for the platform's object store."""
 
 import urllib.parse
 from typing import Any
@@ -25,17 +25,17 @@
 _NOT_FOUND = 404
 _CONFLICT = 409
 _GONE = 410
-# The store answers these without having done anything.
-_NOT_DONE = (429, 503)
-# One member of the store answers such a call alone, and may be behind.
-_LATE = "serializable=1"
+# Statuses by which the store states that it did not execute the request.
+_NOT_EXECUTED_STATUSES = (429, 503)
+# Lets a single store member serve the read, whose data may be stale.
+_STALE_READ_PARAM = "serializable=1"
 _NULL = msgspec.Raw(b"null")
-_ANSWER_BYTES = 16 << 20
+_MAX_RESPONSE_BYTES = 16 << 20
 _MS_PER_S = 1000
 
 
-class _Meta(msgspec.Struct, frozen=True):
-    """The `metadata` of an object, as far as it is used."""
+class _Metadata(msgspec.Struct, frozen=True):
+    """The fields of an object's `metadata` that are used."""
 
     name: str
     revision: int
@@ -43,38 +43,38 @@
 
 
 class _Object(msgspec.Struct, frozen=True):
-    metadata: _Meta
+    metadata: _Metadata
     spec: msgspec.Raw = _NULL
     status: msgspec.Raw = _NULL
 
 
-class _List(msgspec.Struct, frozen=True, rename="kebab"):
-    """A page; `at` is the store's revision when it was read."""
+class _ListPage(msgspec.Struct, frozen=True, rename="kebab"):
+    """A page; `at` is the store's revision when the page was read."""
 
     items: tuple[_Object, ...]
     at: int
     has_more: bool = False
 
 
-class _Event(msgspec.Struct, frozen=True):
+class _WatchEvent(msgspec.Struct, frozen=True):
     object: _Object
     deleted: bool = False
 
 
-class _Events(msgspec.Struct, frozen=True):
-    """What a watch brought; the next one goes on from `at`."""
+class _WatchResponse(msgspec.Struct, frozen=True):
+    """Result of a watch; the next watch continues from revision `at`."""
 
-    events: tuple[_Event, ...]
+    events: tuple[_WatchEvent, ...]
     at: int
 
 
 class PlatformStore(ObjectStore):
-    """Calls the store at one address.
+    """Sends requests to the store at one address.
 
     Args:
-        address: Where it listens.
-        http: Sends the calls.
-        timeout_s: Longest wait for an answer, besides a watch's own wait.
+        address: Address of the store.
+        http: HTTP client.
+        timeout_s: Response timeout in seconds; a watch's own wait is added.
     """
 
     def __init__(self, address: Address, http: HttpClient, timeout_s: float):
@@ -86,29 +86,29 @@
         self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object; see `ObjectStore.read`."""
-        query = f"?{_LATE}" if can_be_stale else ""
-        answer = await self._call("GET", _path(kind, name) + query)
-        if answer.status == _NOT_FOUND:
+        query = f"?{_STALE_READ_PARAM}" if can_be_stale else ""
+        response = await self._call("GET", _object_path(kind, name) + query)
+        if response.status == _NOT_FOUND:
             return None
-        return _stored(kind, _decode(answer, _Object))
+        return _to_stored_object(kind, _decode(response, _Object))
 
     async def list_all(self, kind: str) -> ObjectList:
-        """Returns a kind; the revision is the first page's.
+        """Returns all objects of a kind, with the first page's revision.
 
-        Later pages may be newer than it, so that a watch from it repeats
-        some changes but misses none.
+        Later pages may be newer. A watch from the first page's revision
+        therefore repeats some changes but misses none.
         """
         items: list[StoredObject] = []
         revision = None
         after = ""
         while True:
             query = f"?after={urllib.parse.quote(after)}" if after else ""
-            answer = await self._call("GET", _path(kind) + query)
-            if answer.status == _NOT_FOUND:
+            response = await self._call("GET", _object_path(kind) + query)
+            if response.status == _NOT_FOUND:
                 return ObjectList(revision=0, items=())
-            page = _decode(answer, _List)
+            page = _decode(response, _ListPage)
             revision = page.at if revision is None else revision
-            items += [_stored(kind, item) for item in page.items]
+            items += [_to_stored_object(kind, item) for item in page.items]
             if not page.has_more or not page.items:
                 return ObjectList(revision=revision, items=tuple(items))
             after = page.items[-1].metadata.name
@@ -123,19 +123,22 @@
     ) -> WatchBatch:
         """Waits for changes; see `ObjectStore.watch`."""
         wait_ms = int(wait_s * _MS_PER_S)
-        lateness = f"&{_LATE}" if can_be_stale else ""
-        answer = await self._call(
+        stale_read = f"&{_STALE_READ_PARAM}" if can_be_stale else ""
+        response = await self._call(
             "GET",
-            f"{_path(kind)}?watch={after_revision}&wait-ms={wait_ms}{lateness}",
+            f"{_object_path(kind)}?watch={after_revision}"
+            f"&wait-ms={wait_ms}{stale_read}",
             timeout_s=wait_s + self._timeout_s,
         )
-        if answer.status == _GONE:
-            raise HistoryGoneError(f"{kind} since {after_revision}")
-        batch = _decode(answer, _Events)
+        if response.status == _GONE:
+            raise HistoryGoneError(
+                f"no history of {kind} since {after_revision}"
+            )
+        batch = _decode(response, _WatchResponse)
         return WatchBatch(
             revision=batch.at,
             changes=tuple(
-                _stored(kind, event.object, event.deleted)
+                _to_stored_object(kind, event.object, event.deleted)
                 for event in batch.events
             ),
         )
@@ -145,8 +148,8 @@
         body = msgspec.json.encode(
             {"metadata": {"name": name}, "spec": msgspec.Raw(spec)}
         )
-        answer = await self._call("POST", _path(kind), body)
-        return _written(kind, name, answer)
+        response = await self._call("POST", _object_path(kind), body)
+        return _read_write_response(kind, name, response)
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
@@ -158,8 +161,8 @@
                 "spec": msgspec.Raw(spec),
             }
         )
-        answer = await self._call("PUT", _path(kind, name), body)
-        return _written(kind, name, answer)
+        response = await self._call("PUT", _object_path(kind, name), body)
+        return _read_write_response(kind, name, response)
 
     async def set_status(
         self, kind: str, name: str, status: bytes
@@ -168,14 +171,16 @@
         body = msgspec.json.encode(
             {"metadata": {"name": name}, "status": msgspec.Raw(status)}
         )
-        answer = await self._call("PUT", f"{_path(kind, name)}/status", body)
-        if answer.status == _NOT_FOUND:
+        response = await self._call(
+            "PUT", f"{_object_path(kind, name)}/status", body
+        )
+        if response.status == _NOT_FOUND:
             return None
-        return _written(kind, name, answer)
+        return _read_write_response(kind, name, response)
 
     async def delete(self, kind: str, name: str) -> None:
         """Deletes an object; see `ObjectStore.delete`."""
-        await self._call("DELETE", _path(kind, name))
+        await self._call("DELETE", _object_path(kind, name))
 
     async def _call(
         self,
@@ -187,69 +192,85 @@
         is_write = method != "GET"
         headers = ((b"content-type", b"application/json"),) if body else ()
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 method,
                 self._address,
                 target,
                 headers=headers,
                 body=body,
                 timeout_s=timeout_s or self._timeout_s,
-                max_body_bytes=_ANSWER_BYTES,
+                max_body_bytes=_MAX_RESPONSE_BYTES,
             )
         except RequestFailedError as exc:
             may_be_done = is_write and exc.ran is not Ran.NOT_RUN
             raise ObjectStoreError(
                 f"{method} {target}: {exc}", may_be_done=may_be_done
             ) from exc
-        expected = (_OK, _CREATED, _NOT_FOUND, _CONFLICT, _GONE)
-        if answer.status not in expected:
+        expected_statuses = (_OK, _CREATED, _NOT_FOUND, _CONFLICT, _GONE)
+        if response.status not in expected_statuses:
             raise ObjectStoreError(
-                f"{method} {target}: status {answer.status}",
-                may_be_done=is_write and answer.status not in _NOT_DONE,
+                f"{method} {target}: status {response.status}",
+                may_be_done=is_write
+                and response.status not in _NOT_EXECUTED_STATUSES,
             )
-        return answer
+        return response
 
 
-def _path(kind: str, name: str = "") -> str:
+def _object_path(kind: str, name: str = "") -> str:
     path = f"/v1/objects/{urllib.parse.quote(kind, safe='')}"
     return f"{path}/{urllib.parse.quote(name, safe='')}" if name else path
 
 
-def _stored(kind: str, found: _Object, is_deleted=False) -> StoredObject:
-    meta = found.metadata
+def _to_stored_object(
+    kind: str, encoded: _Object, is_deleted=False
+) -> StoredObject:
+    meta = encoded.metadata
     return StoredObject(
         kind=kind,
         name=meta.name,
         revision=meta.revision,
         is_deleted=is_deleted or meta.deleting,
-        spec=bytes(found.spec),
-        status=bytes(found.status),
+        spec=bytes(encoded.spec),
+        status=bytes(encoded.status),
     )
 
 
-def _written(kind: str, name: str, answer: HttpResponse) -> StoredObject:
-    """Reads the answer to a write; refusals carry the object as it is."""
-    if answer.status == _NOT_FOUND:
+def _read_write_response(
+    kind: str, name: str, response: HttpResponse
+) -> StoredObject:
+    """Decodes the response to a write.
+
+    Raises:
+        ObjectConflictError: The object doesn't exist or has another revision;
+            with the current object, if the response contains it.
+    """
+    if response.status == _NOT_FOUND:
         raise ObjectConflictError(f"{kind}/{name} does not exist", None)
-    if answer.status == _CONFLICT:
+    if response.status == _CONFLICT:
         raise ObjectConflictError(
-            f"{kind}/{name} is at another revision", _conflicting(kind, answer)
+            f"{kind}/{name} has another revision",
+            _read_conflicting_object(kind, response),
         )
-    return _stored(kind, _decode(answer, _Object))
+    return _to_stored_object(kind, _decode(response, _Object))
 
 
-def _conflicting(kind: str, answer: HttpResponse) -> StoredObject | None:
+def _read_conflicting_object(
+    kind: str, response: HttpResponse
+) -> StoredObject | None:
     try:
-        return _stored(kind, msgspec.json.decode(answer.body, type=_Object))
+        return _to_stored_object(
+            kind, msgspec.json.decode(response.body, type=_Object)
+        )
     except msgspec.DecodeError:
-        # A bare refusal is allowed; whoever needs the object reads it.
+        # The response need not contain the object; a caller that needs it
+        # reads it from the store.
         return None
 
 
-def _decode(answer: HttpResponse, kind: Any) -> Any:
+def _decode(response: HttpResponse, kind: Any) -> Any:
     try:
-        return msgspec.json.decode(answer.body, type=kind)
+        return msgspec.json.decode(response.body, type=kind)
     except msgspec.DecodeError as exc:
         raise ObjectStoreError(
-            f"unreadable answer of the store: {exc}", may_be_done=True
+            f"invalid response from the store: {exc}", may_be_done=True
         ) from exc
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -1,8 +1,9 @@
-"""Headers and calls of callers and endpoints, as the platform spells them.
+"""Wire formats between callers, this daemon and endpoints on the platform.
 
-Where the platform's names mislead: the deadline header holds a duration in
-milliseconds, the stamp is the endpoint's proof of an answer, the instance is
-the endpoint's id, and the tenant is the client account.
+Some of the platform's names need an explanation: the deadline header contains
+a duration in milliseconds, the stamp is the endpoint's proof that a response is
+its own, the instance is the endpoint's id, and the tenant is the client
+account.
 """
 
 import re
@@ -31,7 +32,7 @@
 _LOAD = b"daisyhub-server-load"
 _PROOF = b"daisyhub-server-stamp"
 _WEIGHTS = b"daisyhub-weight-versions"
-# Headers of one connection only, and those that are set anew for each hop.
+# Headers that apply to one connection only or are set again for each hop.
 _HOP_HEADERS = frozenset(
     {
         b"connection",
@@ -45,7 +46,8 @@
         b"content-length",
     }
 )
-_OWN_HEADERS = _HOP_HEADERS | {
+# Headers of the caller that are not forwarded to endpoints.
+_REPLACED_HEADERS = _HOP_HEADERS | {
     b"host",
     _REQUEST_ID,
     _DEADLINE_MS,
@@ -53,59 +55,60 @@
     _ACCOUNT,
     _ENDPOINT,
 }
-_OTHER_ENDPOINT_STATUS = 421
+_MISDIRECTED_STATUS = 421
 _MS_PER_S = 1000.0
-# Seconds that a caller without a deadline is taken to wait; the longest
-# time-out of a route is far shorter.
-_NO_DEADLINE_S = 600.0
-# Seconds that a reader of results may be kept waiting; the page states it.
-_LONGEST_WAIT_S = 1.0
-_NUMBER = re.compile(rb"\d{1,9}(\.\d{1,6})?")
+# Deadline of a request that states none, in seconds; the longest timeout of a
+# route is far shorter.
+_DEFAULT_DEADLINE_S = 600.0
+# Maximum long-poll time for results, in seconds; set by the platform's
+# interface.
+_MAX_RESULT_WAIT_S = 1.0
+_MILLISECONDS = re.compile(rb"\d{1,9}(\.\d{1,6})?")
 _VERSION = re.compile(rb"\d{1,9}")
-_LOTS = "/v1/lots/"
-_ITEMS = "/v1/items/"
+_LOTS_PATH = "/v1/lots/"
+_ITEMS_PATH = "/v1/items/"
 
 
 class PlatformCallerWire(CallerWire):
-    """How callers of the platform speak."""
+    """Wire format of the platform's callers."""
 
     def read_request(
         self, scope: dict, read_body: BodyReader, now_s: float
     ) -> Request:
         """Returns the request; see `CallerWire.read_request`."""
         headers = tuple(scope["headers"])
-        known = dict(headers)
-        if b"host" not in known:
+        by_name = dict(headers)
+        if b"host" not in by_name:
             raise Refusal(ErrorCode.HEADER_INVALID, "the host is missing")
         path = scope["raw_path"].decode("latin-1")
         query = scope["query_string"].decode("latin-1")
-        remaining_s = _seconds(known, _DEADLINE_MS, _NO_DEADLINE_S)
+        remaining_s = _read_seconds(by_name, _DEADLINE_MS, _DEFAULT_DEADLINE_S)
         return Request(
-            request_id=known.get(_REQUEST_ID, b"").decode("latin-1"),
+            request_id=by_name.get(_REQUEST_ID, b"").decode("latin-1"),
             method=scope["method"],
             path=path,
             query=query,
-            host=known[b"host"].decode("latin-1"),
+            host=by_name[b"host"].decode("latin-1"),
             headers=headers,
             read_body=read_body,
             started_s=now_s,
             deadline_s=now_s + remaining_s,
-            key=known.get(_KEY, b"").decode("latin-1"),
-            lot_call=_lot_call(scope["method"], path, query, known),
+            key=by_name.get(_KEY, b"").decode("latin-1"),
+            lot_call=_read_lot_call(scope["method"], path, query, by_name),
         )
 
     def response_headers(self, resp: Response) -> tuple[Header, ...]:
-        """Returns all headers but those of one connection."""
+        """Returns all headers except those of a single connection."""
         return tuple(
-            item for item in resp.headers if item[0] not in _HOP_HEADERS
+            header for header in resp.headers if header[0] not in _HOP_HEADERS
         )
 
 
 class PlatformEndpointWire(EndpointWire):
-    """How endpoints of the platform are spoken to."""
+    """Wire format of the platform's endpoints."""
 
     def request_headers(self, req: EndpointRequest) -> tuple[Header, ...]:
-        """Returns the headers; the caller's key is never among them."""
+        """Returns the headers; the caller's key is never included."""
         headers = [
             (b"host", req.host.encode("latin-1")),
             (_REQUEST_ID, req.request_id.encode("latin-1")),
@@ -116,34 +119,39 @@
             headers.append((_ACCOUNT, req.account.encode("latin-1")))
         if req.resume_after:
             headers.append((_RESUME_AFTER, str(req.resume_after).encode()))
-        headers += [h for h in req.headers if h[0] not in _OWN_HEADERS]
+        headers += [h for h in req.headers if h[0] not in _REPLACED_HEADERS]
         return tuple(headers)
 
     def read_response_head(
         self, status: int, headers: tuple[Header, ...]
     ) -> EndpointResponseHead:
         """Reads a response head; see `EndpointWire.read_response_head`."""
-        known = dict(headers)
-        is_other = status == _OTHER_ENDPOINT_STATUS
-        weights = known.get(_WEIGHTS, b"")
+        by_name = dict(headers)
+        is_misdirected = status == _MISDIRECTED_STATUS
+        weights = by_name.get(_WEIGHTS, b"")
         return EndpointResponseHead(
-            is_not_run=is_other or _NOT_RUN in known,
-            is_misdirected=is_other,
-            load=_load(known.get(_LOAD, b"")),
-            proof=known.get(_PROOF, b"").decode("latin-1"),
+            is_not_run=is_misdirected or _NOT_RUN in by_name,
+            is_misdirected=is_misdirected,
+            load=_read_load(by_name.get(_LOAD, b"")),
+            proof=by_name.get(_PROOF, b"").decode("latin-1"),
             weight_version=int(weights) if _VERSION.fullmatch(weights) else 0,
         )
 
 
-def _seconds(known: dict[bytes, bytes], name: bytes, default_s: float) -> float:
-    value = known.get(name)
-    if value is None or not _NUMBER.fullmatch(value):
+def _read_seconds(
+    by_name: dict[bytes, bytes], name: bytes, default_s: float
+) -> float:
+    value = by_name.get(name)
+    if value is None or not _MILLISECONDS.fullmatch(value):
         return default_s
     return float(value) / _MS_PER_S
 
 
-def _load(value: bytes) -> int | None:
-    """Reads `running,waiting,slots`; None if the answer doesn't tell."""
+def _read_load(value: bytes) -> int | None:
+    """Returns running plus waiting requests of `running,waiting,slots`.
+
+    None if the header is absent or invalid.
+    """
     parts = value.split(b",")
     if len(parts) != len(("running", "waiting", "slots")):
         return None
@@ -152,23 +160,23 @@
     return int(parts[0]) + int(parts[1])
 
 
-def _lot_call(
-    method: str, path: str, query: str, known: dict[bytes, bytes]
+def _read_lot_call(
+    method: str, path: str, query: str, by_name: dict[bytes, bytes]
 ) -> LotCall | None:
-    """Returns the call about a lot that the path names, if it names one."""
-    words = urllib.parse.parse_qs(query)
-    if path.startswith(_LOTS):
-        lot_id = urllib.parse.unquote(path[len(_LOTS) :])
+    """Returns the lot call that the path addresses, or None."""
+    params = urllib.parse.parse_qs(query)
+    if path.startswith(_LOTS_PATH):
+        lot_id = urllib.parse.unquote(path[len(_LOTS_PATH) :])
         if method == "DELETE":
             return EndLot(lot_id)
-        after = words.get("after", ["0"])[0]
-        wait_s = _seconds(known, _WAIT_MS, 0.0)
+        after = params.get("after", ["0"])[0]
+        wait_s = _read_seconds(by_name, _WAIT_MS, 0.0)
         return ReadResults(
             lot_id,
             int(after) if after.isdigit() else 0,
-            min(wait_s, _LONGEST_WAIT_S),
+            min(wait_s, _MAX_RESULT_WAIT_S),
         )
-    if path.startswith(_ITEMS):
-        lot_id = urllib.parse.unquote(path[len(_ITEMS) :])
-        return ReadItemBody(lot_id, words.get("id", [""])[0])
+    if path.startswith(_ITEMS_PATH):
+        lot_id = urllib.parse.unquote(path[len(_ITEMS_PATH) :])
+        return ReadItemBody(lot_id, params.get("id", [""])[0])
     return None
--- a/daisyhub/platform/tests/__init__.py
+++ b/daisyhub/platform/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the platform adapters."""
--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -1,4 +1,4 @@
-"""The whole path on a stand-in of the platform, as separate processes."""
+"""End-to-end tests with daemons, a fake platform and servers as processes."""
 
 import contextlib
 import signal
@@ -13,7 +13,7 @@
 
 
 @contextlib.asynccontextmanager
-async def running(**options):
+async def running_fleet(**options):
     fleet = Fleet(**options)
     try:
         await fleet.start()
@@ -23,33 +23,33 @@
         fleet.stop()
 
 
-_SPY = """
+_SIGHUP_PROBE = """
 import signal, sys
-class Spy:
+class ImportProbe:
     def find_spec(self, name, *_):
         if name == "anyio":
             print(signal.getsignal(signal.SIGHUP) is signal.SIG_IGN)
             sys.exit()
-sys.meta_path.insert(0, Spy())
+sys.meta_path.insert(0, ImportProbe())
 import daisyhub.platform.__main__
 """
 
 
 class StartTest(unittest.TestCase):
-    def test_a_hang_up_is_ignored_before_the_long_imports(self):
-        """SIGHUP killed a daemon that still imported its modules."""
-        told = subprocess.run(
-            [sys.executable, "-c", _SPY],
+    def test_sighup_is_ignored_during_the_imports(self):
+        """A SIGHUP during the imports once ended the daemon."""
+        completed = subprocess.run(
+            [sys.executable, "-c", _SIGHUP_PROBE],
             capture_output=True,
             check=True,
             text=True,
         )
-        self.assertEqual(told.stdout.strip(), "True")
+        self.assertEqual(completed.stdout.strip(), "True")
 
 
-class FleetProcesses(unittest.IsolatedAsyncioTestCase):
+class FleetProcessesTest(unittest.IsolatedAsyncioTestCase):
     def check_lot(self, results, lot_id, groups=3):
-        """Every item stands once, whole and scored."""
+        """Checks that every item is listed once, complete and scored."""
         ids = {f"{lot_id}-{g}-{n}" for g in range(groups) for n in range(4)}
         self.assertEqual({r["id"] for r in results}, ids)
         self.assertEqual(len(results), len(ids))
@@ -59,11 +59,11 @@
             self.assertEqual(result["versions"], [1])
             self.assertTrue(result["score"])
 
-    async def test_look_ups_lots_keys_and_usage(self):
-        async with running() as fleet:
-            answer = await fleet.call("edge-0", "POST", "/records/7")
-            self.assertEqual(answer.status, 200)
-            self.assertIn(b"daisyhub-server-stamp", dict(answer.headers))
+    async def test_lookups_lots_keys_and_usage(self):
+        async with running_fleet() as fleet:
+            response = await fleet.call("edge-0", "POST", "/records/7")
+            self.assertEqual(response.status, 200)
+            self.assertIn(b"daisyhub-server-stamp", dict(response.headers))
             for key, status in (("wrong", 401), ("", 401)):
                 refused = await fleet.call(
                     "edge-1", "POST", "/records/7", key=key
@@ -73,8 +73,8 @@
             self.assertEqual(unknown.status, 404)
             self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
             self.assertEqual(await fleet.hand_in("edge-2", "L"), 202)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
-            self.check_lot(listed, "L")
+            results = await fleet.until_listed(fleet.daemon_names, "L")
+            self.check_lot(results, "L")
             body = await fleet.call("edge-1", "GET", "/v1/items/L?id=L-0-0")
             self.assertEqual(body.body, b"prompt")
             for daemon in ("edge-1", "edge-2", "edge-1"):
@@ -85,12 +85,15 @@
             ran = await fleet.ran()
             self.assertFalse(any(run["has_key"] for run in ran))
             items = [r for r in ran if r["id"].startswith("L-")]
-            by_item = {r["account"] for r in items if r["id"][-1] != "r"}
-            self.assertEqual(by_item, {"t"})
-            await self.usage_is(fleet, 1)
+            item_accounts = {r["account"] for r in items if r["id"][-1] != "r"}
+            self.assertEqual(item_accounts, {"t"})
+            await self.wait_for_usage(fleet, 1)
 
-    async def usage_is(self, fleet, count):
-        """Waits for the reports; each window has one set of figures."""
+    async def wait_for_usage(self, fleet, count):
+        """Waits until the usage reports add up to `count` requests.
+
+        All reports of a window must have equal counts.
+        """
         with anyio.fail_after(15):
             while True:
                 reports = await fleet.usage()
@@ -105,88 +108,90 @@
                     return
                 await anyio.sleep(0.2)
 
-    async def test_a_withdrawn_key_stops_working_everywhere(self):
-        async with running() as fleet:
+    async def test_withdrawn_key_is_rejected_by_all_daemons(self):
+        async with running_fleet() as fleet:
             await fleet.write_config({"t": ["other"]})
             with anyio.fail_after(5):
                 for daemon in fleet.daemon_names:
                     while True:
-                        answer = await fleet.call(daemon, "POST", "/records/7")
-                        if answer.status == 401:
+                        response = await fleet.call(
+                            daemon, "POST", "/records/7"
+                        )
+                        if response.status == 401:
                             break
                         await anyio.sleep(0.05)
 
-    async def test_a_lot_survives_the_kill_of_its_holder(self):
-        async with running(event_s=0.1) as fleet:
+    async def test_lot_completes_after_its_holder_is_killed(self):
+        async with running_fleet(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
             self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
             await anyio.sleep(0.5)
             fleet.signal(holder, signal.SIGKILL)
             fleet.processes[holder].wait()
-            listed = await fleet.until_listed(others, "L")
-            self.check_lot(listed, "L")
+            results = await fleet.until_listed(others, "L")
+            self.check_lot(results, "L")
 
-    async def test_a_leaving_holder_hands_its_texts_over(self):
-        """Daemons stopped in turn began every item of a lot anew."""
+    async def test_leaving_holder_transfers_unfinished_texts(self):
+        """Stopping the daemons in turn once restarted all items of a lot."""
         await self.check_resumption(signal.SIGTERM, 1.0)
 
-    async def test_texts_survive_the_kill_of_their_holder(self):
-        """A step's longest samples began anew after each kill."""
+    async def test_unfinished_texts_survive_the_kill_of_the_holder(self):
+        """Each kill of a holder once restarted the longest items of a step."""
         await self.check_resumption(signal.SIGKILL, 2.4)
 
-    async def check_resumption(self, number, after_s):
-        async with running(event_s=0.5) as fleet:
+    async def check_resumption(self, signal_number, after_s):
+        async with running_fleet(event_s=0.5) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
             self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
             await anyio.sleep(after_s)
-            fleet.signal(holder, number)
-            listed = await fleet.until_listed(others, "L")
-            self.check_lot(listed, "L")
+            fleet.signal(holder, signal_number)
+            results = await fleet.until_listed(others, "L")
+            self.check_lot(results, "L")
             ran = await fleet.ran()
             self.assertTrue(any(run["resumed"] for run in ran))
 
-    async def test_a_frozen_holder_that_wakes_up_changes_nothing(self):
-        async with running(event_s=0.1) as fleet:
+    async def test_holder_resumed_after_its_replacement_changes_nothing(self):
+        async with running_fleet(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
             self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
             await anyio.sleep(0.4)
             fleet.signal(holder, signal.SIGSTOP)
-            listed = await fleet.until_listed(others, "L")
+            results = await fleet.until_listed(others, "L")
             fleet.signal(holder, signal.SIGCONT)
-            self.check_lot(listed, "L")
-            again = await fleet.until_listed(fleet.daemon_names, "L")
-            self.assertEqual(again, listed)
+            self.check_lot(results, "L")
+            repeated = await fleet.until_listed(fleet.daemon_names, "L")
+            self.assertEqual(repeated, results)
 
-    async def test_look_ups_go_on_without_the_store_and_lots_wait(self):
-        async with running() as fleet:
+    async def test_without_the_store_lookups_work_and_lots_are_refused(self):
+        async with running_fleet() as fleet:
             await fleet.holder()
             await fleet.fault("platform", {"kind": "hang"})
             for number in range(10):
-                answer = await fleet.call(
+                response = await fleet.call(
                     fleet.daemon_names[number % 3], "POST", "/records/7"
                 )
-                self.assertEqual(answer.status, 200)
+                self.assertEqual(response.status, 200)
             self.assertIn(await fleet.hand_in("edge-0", "L"), (503, 504))
             await fleet.fault("platform", None)
             with anyio.fail_after(10):
                 while await fleet.hand_in("edge-0", "L") != 202:
                     await anyio.sleep(0.2)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
-            self.check_lot(listed, "L")
+            results = await fleet.until_listed(fleet.daemon_names, "L")
+            self.check_lot(results, "L")
 
-    async def test_sigterm_cuts_no_request(self):
-        async with running(event_s=0.3) as fleet:
+    async def test_sigterm_fails_no_request(self):
+        async with running_fleet(event_s=0.3) as fleet:
             statuses = []
 
             async def look_up(number):
                 try:
-                    answer = await fleet.call(
+                    response = await fleet.call(
                         "edge-0", "POST", f"/records/{number}"
                     )
-                    statuses.append(answer.status)
+                    statuses.append(response.status)
                 except RequestFailedError as exc:
                     statuses.append(str(exc))
 
@@ -198,22 +203,24 @@
                 for number in range(6, 12):
                     tasks.start_soon(look_up, number)
                     await anyio.sleep(0.1)
-                    # Operators and tools may repeat themselves.
-                    again = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
-                    fleet.signal("edge-0", again[number % 3])
+                    # Operators and tools may send several signals.
+                    repeated = (signal.SIGTERM, signal.SIGHUP, signal.SIGINT)
+                    fleet.signal("edge-0", repeated[number % 3])
             self.assertEqual(statuses, [200] * 12)
             self.assertEqual(fleet.processes["edge-0"].wait(10), 0)
             events = [line["event"] for line in fleet.log_of("edge-0")]
             self.assertIn("stopped", events)
 
-    async def test_a_request_half_sent_at_the_end_of_the_notice_is_served(self):
-        """The daemon left while a part of a request's head had come."""
+    async def test_request_partly_received_at_the_end_of_the_notice_is_served(
+        self,
+    ):
+        """A daemon once exited after receiving only a part of a request."""
         request = (
             b"POST /records/7 HTTP/1.1\r\nhost: a.example\r\n"
             b"daisyhub-request-id: q\r\napi-key: " + KEY.encode() + b"\r\n"
             b"content-length: 0\r\n\r\n"
         )
-        async with running() as fleet:
+        async with running_fleet() as fleet:
             fleet.signal("edge-0", signal.SIGTERM)
             await anyio.sleep(2.1)
             port = fleet.ports["edge-0/front"]
@@ -221,12 +228,12 @@
                 await conn.send(request[:60])
                 await anyio.sleep(0.5)
                 await conn.send(request[60:])
-                answer = await conn.receive()
-            self.assertTrue(answer.startswith(b"HTTP/1.1 200"), answer)
+                response = await conn.receive()
+            self.assertTrue(response.startswith(b"HTTP/1.1 200"), response)
             self.assertEqual(fleet.processes["edge-0"].wait(10), 0)
 
-    async def test_all_daemons_killed_lose_no_accepted_lot(self):
-        async with running(event_s=0.1) as fleet:
+    async def test_accepted_lot_survives_the_kill_of_all_daemons(self):
+        async with running_fleet(event_s=0.1) as fleet:
             self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
             for daemon in fleet.daemon_names:
                 fleet.signal(daemon, signal.SIGKILL)
@@ -235,5 +242,5 @@
                 fleet.start_daemon(daemon)
             for daemon in fleet.daemon_names:
                 await fleet.until_ready(daemon)
-            listed = await fleet.until_listed(fleet.daemon_names, "L")
-            self.check_lot(listed, "L")
+            results = await fleet.until_listed(fleet.daemon_names, "L")
+            self.check_lot(results, "L")
--- a/daisyhub/platform/tests/test_wires.py
+++ b/daisyhub/platform/tests/test_wires.py
@@ -1,4 +1,4 @@
-"""The platform's names are decoded once, and bad input names nothing."""
+"""Tests of the platform's data formats, including invalid input."""
 
 import json
 import unittest
@@ -69,13 +69,13 @@
 }
 
 
-def encoded(value):
+def to_json(value):
     return json.dumps(value).encode()
 
 
 class ManifestTest(unittest.TestCase):
-    def test_every_field_keeps_its_meaning(self):
-        manifest = PlatformManifestReader().read(encoded(CONFIG))
+    def test_fields_are_decoded(self):
+        manifest = PlatformManifestReader().read(to_json(CONFIG))
         route = manifest.find_route("A.example", "/x/1")
         self.assertEqual((route.name, route.timeout_s), ("r1", 1.5))
         self.assertTrue(route.is_open and route.idempotent)
@@ -89,92 +89,101 @@
         self.assertEqual(manifest.pools["s1"].models, ("m",))
         self.assertEqual(manifest.pools["s1"].scaling.max_endpoints, 3)
 
-    def test_what_can_not_be_read_leaves_the_one_in_force(self):
+    def test_invalid_manifest_keeps_the_active_one(self):
         lines = []
         log = DecisionLog("d", write=lambda line: lines.append(line) or True)
         manifests = ManifestController(PlatformManifestReader(), log)
 
-        def found(revision, value):
+        def config_object(revision, value):
             return StoredObject(
                 kind="config", name="main", revision=revision, spec=value
             )
 
-        self.assertTrue(manifests.adopt(found(5, encoded(CONFIG)), "store"))
-        for bad in (b"{", encoded({**CONFIG, "version": "x"}), b"\xff"):
-            self.assertFalse(manifests.adopt(found(6, bad), "store"))
-        odd = {**CONFIG, "routes": [{**CONFIG["routes"][0], "route-type": "?"}]}
-        self.assertFalse(manifests.adopt(found(6, encoded(odd)), "store"))
+        self.assertTrue(
+            manifests.adopt(config_object(5, to_json(CONFIG)), "store")
+        )
+        for invalid in (b"{", to_json({**CONFIG, "version": "x"}), b"\xff"):
+            self.assertFalse(
+                manifests.adopt(config_object(6, invalid), "store")
+            )
+        invalid = {
+            **CONFIG,
+            "routes": [{**CONFIG["routes"][0], "route-type": "?"}],
+        }
+        self.assertFalse(
+            manifests.adopt(config_object(6, to_json(invalid)), "store")
+        )
         self.assertEqual(manifests.manifest.version, 7)
         self.assertTrue(any("manifest_unreadable" in line for line in lines))
 
-    def test_older_revisions_never_come_back(self):
+    def test_older_revisions_and_versions_are_ignored(self):
         log = DecisionLog("d", write=lambda _: True)
         manifests = ManifestController(PlatformManifestReader(), log)
-        for revision, version, taken in (
+        for revision, version, is_activated in (
             (5, 7, True),
             (4, 6, False),
             (5, 7, False),
             (9, 6, False),
             (10, 8, True),
         ):
-            value = encoded({**CONFIG, "version": version})
+            value = to_json({**CONFIG, "version": version})
             found = StoredObject(
                 kind="config", name="main", revision=revision, spec=value
             )
-            self.assertEqual(manifests.adopt(found, "peer"), taken)
+            self.assertEqual(manifests.adopt(found, "peer"), is_activated)
 
-    def test_a_manifest_of_another_type_is_an_error(self):
+    def test_manifest_that_is_no_object_is_an_error(self):
         with self.assertRaises(ManifestError):
             PlatformManifestReader().read(b"[]")
 
 
 class ServerEntryTest(unittest.TestCase):
-    def test_every_field_keeps_its_meaning(self):
-        entry = read_server("i-1", encoded(SERVER))
+    def test_fields_are_decoded(self):
+        entry = read_server("i-1", to_json(SERVER))
         self.assertEqual(str(entry.address), "10.0.0.9:8080")
         self.assertEqual(entry.versions, {"m": 3})
         self.assertTrue(entry.is_cheap)
         self.assertFalse(entry.is_leaving)
         self.assertEqual(entry.incarnation, 1700000000000)
 
-    def test_entries_of_other_writers_name_no_endpoint(self):
-        for bad in (
+    def test_invalid_entries_are_rejected(self):
+        for invalid in (
             b"",
             b"\xff\x00",
             b"[]",
-            encoded({}),
-            encoded({**SERVER, "state": "resting"}),
-            encoded({**SERVER, "slots": "eight"}),
-            encoded({**SERVER, "address": "nowhere"}),
-            encoded({**SERVER, "address": None}),
-            encoded({k: v for k, v in SERVER.items() if k != "service"}),
+            to_json({}),
+            to_json({**SERVER, "state": "resting"}),
+            to_json({**SERVER, "slots": "eight"}),
+            to_json({**SERVER, "address": "nowhere"}),
+            to_json({**SERVER, "address": None}),
+            to_json({k: v for k, v in SERVER.items() if k != "service"}),
         ):
-            with self.subTest(bad), self.assertRaises(ValueError):
-                read_server("i-1", bad)
+            with self.subTest(invalid), self.assertRaises(ValueError):
+                read_server("i-1", invalid)
 
 
 class CallerWireTest(unittest.TestCase):
     def read(self, method="POST", path="/x/1", query="", **headers):
-        named = {"host": "a.example", **headers}
+        named_headers = {"host": "a.example", **headers}
         scope = {
             "method": method,
             "raw_path": path.encode(),
             "query_string": query.encode(),
             "headers": [
                 (k.replace("_", "-").encode(), v.encode())
-                for k, v in named.items()
+                for k, v in named_headers.items()
             ],
         }
         return PlatformCallerWire().read_request(scope, None, 100.0)
 
-    def test_the_deadline_is_a_duration(self):
+    def test_deadline_header_is_a_duration(self):
         req = self.read(daisyhub_deadline_ms="800", api_key="k")
         self.assertAlmostEqual(req.deadline_s, 100.8)
         self.assertEqual(req.key, "k")
-        odd = self.read(daisyhub_deadline_ms="soon")
-        self.assertGreater(odd.deadline_s, 200.0)
+        invalid = self.read(daisyhub_deadline_ms="soon")
+        self.assertGreater(invalid.deadline_s, 200.0)
 
-    def test_a_request_without_a_host_is_refused(self):
+    def test_request_without_a_host_is_refused(self):
         with self.assertRaises(Refusal):
             PlatformCallerWire().read_request(
                 {
@@ -187,13 +196,13 @@
                 0.0,
             )
 
-    def test_calls_about_lots(self):
+    def test_lot_calls(self):
         read = self.read(
             "GET", "/v1/lots/L", "after=12", daisyhub_wait_ms="9000"
         )
         self.assertEqual(read.lot_call, ReadResults("L", 12, 1.0))
-        odd = self.read("GET", "/v1/lots/L", "after=-3")
-        self.assertEqual(odd.lot_call, ReadResults("L", 0, 0.0))
+        invalid = self.read("GET", "/v1/lots/L", "after=-3")
+        self.assertEqual(invalid.lot_call, ReadResults("L", 0, 0.0))
         body = self.read("GET", "/v1/items/L", "id=e5")
         self.assertEqual(body.lot_call, ReadItemBody("L", "e5"))
         self.assertEqual(
@@ -203,8 +212,8 @@
 
 
 class EndpointWireTest(unittest.TestCase):
-    def test_own_headers_are_overwritten_and_the_key_is_not_passed(self):
-        sent = EndpointRequest(
+    def test_platform_headers_are_replaced_and_the_key_is_removed(self):
+        req = EndpointRequest(
             request_id="q1",
             host="a.example",
             endpoint_id="i-1",
@@ -219,7 +228,7 @@
             ),
             resume_after=4,
         )
-        headers = PlatformEndpointWire().request_headers(sent)
+        headers = PlatformEndpointWire().request_headers(req)
         self.assertEqual(
             dict(headers),
             {
@@ -234,14 +243,16 @@
         )
         self.assertEqual(len(headers), len(dict(headers)))
 
-    def test_what_an_answer_says(self):
+    def test_response_heads(self):
         wire = PlatformEndpointWire()
-        full = wire.read_response_head(503, ((b"daisyhub-not-executed", b"1"),))
-        self.assertTrue(full.is_not_run)
+        not_run = wire.read_response_head(
+            503, ((b"daisyhub-not-executed", b"1"),)
+        )
+        self.assertTrue(not_run.is_not_run)
         self.assertFalse(wire.read_response_head(503, ()).is_not_run)
-        other = wire.read_response_head(421, ())
-        self.assertTrue(other.is_not_run and other.is_misdirected)
-        told = wire.read_response_head(
+        misdirected = wire.read_response_head(421, ())
+        self.assertTrue(misdirected.is_not_run and misdirected.is_misdirected)
+        complete = wire.read_response_head(
             200,
             (
                 (b"daisyhub-server-load", b"3,2,8"),
@@ -249,17 +260,17 @@
                 (b"daisyhub-weight-versions", b"6"),
             ),
         )
-        self.assertEqual((told.load, told.proof), (5, "s"))
-        self.assertEqual(told.weight_version, 6)
-        odd = wire.read_response_head(
+        self.assertEqual((complete.load, complete.proof), (5, "s"))
+        self.assertEqual(complete.weight_version, 6)
+        invalid = wire.read_response_head(
             200, ((b"daisyhub-server-load", b"many"),)
         )
-        self.assertIsNone(odd.load)
+        self.assertIsNone(invalid.load)
 
 
 class LotWireTest(unittest.TestCase):
     def request(self, body):
-        route = PlatformManifestReader().read(encoded(CONFIG)).routes[1]
+        route = PlatformManifestReader().read(to_json(CONFIG)).routes[1]
         return Request(
             request_id="L",
             method="POST",
@@ -275,8 +286,8 @@
             body=body,
         )
 
-    def test_a_lot_keeps_its_meaning(self):
-        body = encoded(
+    def test_lot_fields_are_decoded(self):
+        body = to_json(
             {
                 "step": 7,
                 "model": "m",
@@ -308,18 +319,18 @@
         self.assertEqual((item.length_hint, item.group), (40, "g"))
         self.assertEqual(item.reward.body, b"\xde\xad\xbe\xef")
 
-    def test_lots_that_can_not_be_read_are_refused(self):
+    def test_invalid_lots_are_refused(self):
         item = {"id": "e", "path": "/", "headers": {}, "body": ""}
-        for bad in (
+        for invalid in (
             b"{",
-            encoded({"items": []}),
-            encoded({"items": [item, item]}),
-            encoded({"items": [{**item, "body": 7}]}),
+            to_json({"items": []}),
+            to_json({"items": [item, item]}),
+            to_json({"items": [{**item, "body": 7}]}),
         ):
-            with self.subTest(bad), self.assertRaises(Refusal):
-                PlatformLotWire().read_lot(self.request(bad), 5.0)
+            with self.subTest(invalid), self.assertRaises(Refusal):
+                PlatformLotWire().read_lot(self.request(invalid), 5.0)
 
-    def test_events_come_whole_whatever_the_chunks(self):
+    def test_events_are_parsed_whatever_the_chunk_size(self):
         stream = (
             b"id: 1\ndata: a\n\n"
             b"daisyhub-weight-versions: 4\nid: 2\ndata: b\n\n"
@@ -330,10 +341,10 @@
             events = []
             for start in range(0, len(stream), size):
                 events += reader.feed(stream[start : start + size])
-            told = [(e.number, e.data, e.version) for e in events]
-            self.assertEqual(told, [(1, "a", 3), (2, "b", 4), (3, "c", 4)])
+            parsed = [(e.number, e.data, e.version) for e in events]
+            self.assertEqual(parsed, [(1, "a", 3), (2, "b", 4), (3, "c", 4)])
             self.assertTrue(reader.is_between_events)
 
-    def test_bytes_that_are_no_event_are_an_error(self):
+    def test_invalid_event_is_an_error(self):
         with self.assertRaises(ValueError):
             PlatformLotWire().make_reader(1).feed(b"garbage\n\n")
