--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -76,12 +76,12 @@
 
 __all__ = ["FleetDaemon"]
 
-_US_PER_NS = 1000
+_NS_PER_US = 1000
 _MS_PER_S = 1000.0
 # Seconds until a failed controller is restarted.
 _CONTROLLER_RESTART_DELAY_S = 0.5
 # Seconds for which server changes are batched, per known peer, and the maximum:
-# half of the time within which a leaving endpoint must be known as leaving.
+# half of the 2 s within which a leaving endpoint must be taken out of use.
 _BATCH_DELAY_PER_PEER_S = 0.03
 _MAX_BATCH_DELAY_S = 1.0
 # Seconds between checks for entries that expired while the store was
@@ -107,13 +107,13 @@
     def __init__(self, cfg: FleetSettings, settings_path: str):
         self.cfg = cfg
         self._settings_path = settings_path
-        self.incarnation = time.time_ns() // _US_PER_NS
+        self.incarnation = time.time_ns() // _NS_PER_US
         self.log = DecisionLog(cfg.daemon_id)
         self.metrics = Metrics()
         self._endpoint_wire = PlatformEndpointWire()
         self._lot_wire = PlatformLotWire()
         self._is_draining = False
-        self._store_failed_s = float("-inf")
+        self._last_store_failure_s = float("-inf")
         self._build_store()
         self._build_state()
         self._build_servers()
@@ -351,7 +351,7 @@
         )
 
     def status(self) -> dict[str, object]:
-        """Returns the state of all controllers in plain JSON values."""
+        """Returns the state of the daemon and its controllers, for JSON."""
         manifest = self.manifests.manifest
         return {
             "daemon_id": self.cfg.daemon_id,
@@ -444,7 +444,7 @@
 
     def _remove_endpoint(self, name: str) -> None:
         now_s = time.monotonic()
-        is_stable = now_s - self._store_failed_s > _STORE_RECOVERY_S
+        is_stable = now_s - self._last_store_failure_s > _STORE_RECOVERY_S
         self.log.note("endpoint_removed", name=name, is_store_stable=is_stable)
         self.directory.remove(name, now_s, is_store_stable=is_stable)
 
@@ -478,10 +478,13 @@
         async for signal_number in signals:
             if signal_number != signal.SIGHUP:
                 return
-            self._reload()
+            self._check_settings_file()
 
-    def _reload(self) -> None:
-        """Checks the settings file; changes take effect at a restart."""
+    def _check_settings_file(self) -> None:
+        """Logs whether the settings file is valid and has changed.
+
+        Changes take effect at a restart.
+        """
         try:
             cfg = load_fleet_settings(self._settings_path)
         except (DocumentError, OSError) as exc:
@@ -509,13 +512,13 @@
             await anyio.sleep(_CONTROLLER_RESTART_DELAY_S)
 
     async def _expire_entries(self) -> None:
-        """Removes endpoints whose entries didn't reappear in the store."""
+        """Removes endpoints whose entries stay absent while the store works."""
         while True:
             await anyio.sleep(_EXPIRY_CHECK_INTERVAL_S)
             now_s = time.monotonic()
             self._update_unreachable_domains()
             if not all(watcher.is_current for watcher in self.watchers):
-                self._store_failed_s = now_s
+                self._last_store_failure_s = now_s
                 continue
             for name in self.directory.expire(now_s):
                 self.log.note("endpoint_lapsed", name=name)
@@ -550,7 +553,7 @@
 
 
 def _status_key(controller: Controller) -> str:
-    """Returns a controller's key in the status, unique among duties too."""
+    """Returns a controller's key in the status; duties share one name."""
     if isinstance(controller, DutyController):
         return f"duty {controller.duty}"
     return controller.name
--- a/daisyhub/platform/_lots_json.py
+++ b/daisyhub/platform/_lots_json.py
@@ -33,8 +33,7 @@
 _LENGTH_HINT_HEADER = "daisyhub-length-hint"
 _ID_PREFIX = b"id:"
 _DATA_PREFIX = b"data:"
-# Maximum size of an unfinished event, against streams without an end of event;
-# real events have some hundred bytes.
+# Limit for events that never end; real events have some hundred bytes.
 _MAX_EVENT_BYTES = 1 << 20
 
 
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -149,7 +149,7 @@
             {"metadata": {"name": name}, "spec": msgspec.Raw(spec)}
         )
         response = await self._call("POST", _object_path(kind), body)
-        return _read_write_response(kind, name, response)
+        return _decode_write_response(kind, name, response)
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
@@ -162,7 +162,7 @@
             }
         )
         response = await self._call("PUT", _object_path(kind, name), body)
-        return _read_write_response(kind, name, response)
+        return _decode_write_response(kind, name, response)
 
     async def set_status(
         self, kind: str, name: str, status: bytes
@@ -176,7 +176,7 @@
         )
         if response.status == _NOT_FOUND:
             return None
-        return _read_write_response(kind, name, response)
+        return _decode_write_response(kind, name, response)
 
     async def delete(self, kind: str, name: str) -> None:
         """Deletes an object; see `ObjectStore.delete`."""
@@ -235,7 +235,7 @@
     )
 
 
-def _read_write_response(
+def _decode_write_response(
     kind: str, name: str, response: HttpResponse
 ) -> StoredObject:
     """Decodes the response to a write.
@@ -249,12 +249,12 @@
     if response.status == _CONFLICT:
         raise ObjectConflictError(
             f"{kind}/{name} has another revision",
-            _read_conflicting_object(kind, response),
+            _decode_conflicting_object(kind, response),
         )
     return _to_stored_object(kind, _decode(response, _Object))
 
 
-def _read_conflicting_object(
+def _decode_conflicting_object(
     kind: str, response: HttpResponse
 ) -> StoredObject | None:
     try:
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -21,6 +21,7 @@
 
 __all__ = ["PlatformCallerWire", "PlatformEndpointWire"]
 
+# Header names.
 _REQUEST_ID = b"daisyhub-request-id"
 _DEADLINE_MS = b"daisyhub-deadline-ms"
 _KEY = b"api-key"
@@ -46,8 +47,8 @@
         b"content-length",
     }
 )
-# Headers of the caller that are not forwarded to endpoints.
-_REPLACED_HEADERS = _HOP_HEADERS | {
+# Headers of the caller that are dropped or set to other values.
+_NOT_FORWARDED_HEADERS = _HOP_HEADERS | {
     b"host",
     _REQUEST_ID,
     _DEADLINE_MS,
@@ -119,7 +120,9 @@
             headers.append((_ACCOUNT, req.account.encode("latin-1")))
         if req.resume_after:
             headers.append((_RESUME_AFTER, str(req.resume_after).encode()))
-        headers += [h for h in req.headers if h[0] not in _REPLACED_HEADERS]
+        headers += [
+            h for h in req.headers if h[0] not in _NOT_FORWARDED_HEADERS
+        ]
         return tuple(headers)
 
     def read_response_head(
