--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -22,7 +22,7 @@
 from daisyhub.cli._base import Context, ExitCode
 from daisyhub.cli._main import COMMANDS, run_command
 from daisyhub.connections import HttpResponse, RequestFailedError
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.hosting import EndpointRecord
 from daisyhub.testing.fake_app import Call
 from daisyhub.testing.fake_platform import FakePlatform
@@ -57,7 +57,7 @@
 
     async def request(self, method, address, target, *, body=b"", timeout_s):
         if self.is_down:
-            raise RequestFailedError("down", ran=Ran.NOT_RUN)
+            raise RequestFailedError("down", ran=ExecutionStatus.NOT_RUN)
         if address.port == 2:
             return _response(200, STATUS)
         url = urllib.parse.urlsplit(target)
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -32,8 +32,8 @@
 from daisyhub.filters import build_chain
 from daisyhub.fleet_settings import (
     FleetSettings,
-    address_of,
     load_fleet_settings,
+    parse_address,
 )
 from daisyhub.gateway import (
     BodyFilter,
@@ -132,7 +132,7 @@
         self.network = PeerNetwork(cfg, self.incarnation, CLUSTER_PROTOCOL)
         self.peers = PeerTable(cfg.daemon_id, self.log)
         direct = PlatformStore(
-            address_of(cfg.store), self.http, cfg.call_timeout_s
+            parse_address(cfg.store), self.http, cfg.call_timeout_s
         )
         relay_provider = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
@@ -150,7 +150,7 @@
         self.cluster = ClusterController(
             cfg.daemon_id,
             cfg.peer_address,
-            tuple(address_of(seed) for seed in cfg.seeds),
+            tuple(parse_address(seed) for seed in cfg.seeds),
             self.network,
             self.peers,
             self.clock,
@@ -203,7 +203,10 @@
             self._live_incarnations,
             self.store,
             PlatformOrderDeskClient(
-                address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
+                parse_address(cfg.order_desk),
+                cfg.daemon_id,
+                self.http,
+                self.log,
             ),
             self.clock.now_s,
             cfg.usage_window_s,
@@ -318,12 +321,14 @@
             handler, PlatformCallerWire(), self.metrics, self.log
         )
         self.callers_server = HttpServer(
-            self.app, address_of(cfg.callers), cfg.grace_s
+            self.app, parse_address(cfg.callers), cfg.grace_s
         )
         operators = OperatorsApp(
             self.metrics, self.is_ready, self.status, "/v1/readiness"
         )
-        self.readiness_server = HttpServer(operators, address_of(cfg.readiness))
+        self.readiness_server = HttpServer(
+            operators, parse_address(cfg.readiness)
+        )
         self.metrics_server = HttpServer(operators, cfg.metrics_address)
 
     @property
@@ -416,7 +421,7 @@
         try:
             entry = read_server(found.name, found.spec)
         except ValueError as exc:
-            self.log.note(
+            self.log.record(
                 "endpoint_unreadable",
                 name=found.name,
                 revision=found.revision,
@@ -429,7 +434,7 @@
         known = self.directory.get(found.name)
         self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
-            self.log.note(
+            self.log.record(
                 "endpoint",
                 name=found.name,
                 pool=entry.pool,
@@ -445,12 +450,14 @@
     def _remove_endpoint(self, name: str) -> None:
         now_s = time.monotonic()
         is_stable = now_s - self._last_store_failure_s > _STORE_RECOVERY_S
-        self.log.note("endpoint_removed", name=name, is_store_stable=is_stable)
+        self.log.record(
+            "endpoint_removed", name=name, is_store_stable=is_stable
+        )
         self.directory.remove(name, now_s, is_store_stable=is_stable)
 
     async def run(self) -> None:
         """Runs until SIGTERM or SIGINT, then stops within the grace time."""
-        self.log.note(
+        self.log.record(
             "start", process=self.process, domain=self.cfg.failure_domain
         )
         async with anyio.create_task_group() as tasks:
@@ -488,9 +495,9 @@
         try:
             cfg = load_fleet_settings(self._settings_path)
         except (DocumentError, OSError) as exc:
-            self.log.note("reload_failed", reason=str(exc))
+            self.log.record("reload_failed", reason=str(exc))
             return
-        self.log.note("reload", is_changed=cfg != self.cfg)
+        self.log.record("reload", is_changed=cfg != self.cfg)
 
     async def _run_with_restarts(self, controller: Controller) -> None:
         """Runs a controller and restarts it after an exception.
@@ -501,7 +508,7 @@
             try:
                 await controller.run()
             except Exception as exc:
-                self.log.note(
+                self.log.record(
                     "controller_fault",
                     controller=controller.name,
                     reason=repr(exc),
@@ -521,7 +528,7 @@
                 self._last_store_failure_s = now_s
                 continue
             for name in self.directory.expire(now_s):
-                self.log.note("endpoint_lapsed", name=name)
+                self.log.record("endpoint_lapsed", name=name)
 
     def _update_unreachable_domains(self) -> None:
         """Passes the failure domains without live peers to the directory."""
@@ -533,7 +540,7 @@
     async def _shut_down(self) -> None:
         """Releases the duties, drains open requests and stops the servers."""
         started_s = time.monotonic()
-        self.log.note("stop", open_requests=self.app.open_requests)
+        self.log.record("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
         await self.holder.save_unfinished_texts()
@@ -549,7 +556,7 @@
             await self.callers_server.stopped.wait()
         self.readiness_server.stop()
         self.metrics_server.stop()
-        self.log.note("stopped", open_requests=self.app.open_requests)
+        self.log.record("stopped", open_requests=self.app.open_requests)
 
 
 def _status_key(controller: Controller) -> str:
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -4,7 +4,7 @@
 
 from daisyhub.billing import OrderDeskClient, OrderDeskOutcome
 from daisyhub.connections import HttpClient, RequestFailedError
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 
@@ -72,8 +72,8 @@
                 timeout_s=_CALL_TIMEOUT_S,
             )
         except RequestFailedError as exc:
-            self._log.note("desk_call_failed", path=path, reason=str(exc))
-            may_be_done = exc.ran is not Ran.NOT_RUN
+            self._log.record("desk_call_failed", path=path, reason=str(exc))
+            may_be_done = exc.ran is not ExecutionStatus.NOT_RUN
             return (
                 OrderDeskOutcome.UNKNOWN
                 if may_be_done
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -138,4 +138,4 @@
         )
 
     def _log_failure(self, event: str, endpoint: str, exc: Exception) -> None:
-        self._log.note(event, endpoint=endpoint, reason=str(exc))
+        self._log.record(event, endpoint=endpoint, reason=str(exc))
--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -53,7 +53,7 @@
         """Returns the machines whose request isn't completed."""
         return {"waiting": sorted(self._pending)}
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Works until the duty is lost; see `DutyBoundController.hold`."""
         watcher = KindWatcher(self._store, _KIND, self._log, self._on_request)
         async with anyio.create_task_group() as tasks:
@@ -68,7 +68,7 @@
         try:
             status = msgspec.json.decode(found.status, type=_Status | None)
         except msgspec.DecodeError as exc:
-            self._log.note(
+            self._log.record(
                 "retirement_unreadable", name=found.name, reason=str(exc)
             )
             status = None
@@ -83,9 +83,9 @@
         try:
             await self._store.set_status(_KIND, machine, content)
         except ObjectStoreError as exc:
-            self._log.note(
+            self._log.record(
                 "retirement_failed", machine=machine, reason=str(exc)
             )
             return
         self._pending.discard(machine)
-        self._log.note("retirement_completed", machine=machine)
+        self._log.record("retirement_completed", machine=machine)
--- a/daisyhub/platform/_servers.py
+++ b/daisyhub/platform/_servers.py
@@ -11,7 +11,7 @@
 import msgspec
 
 from daisyhub.balancing import EndpointEntry
-from daisyhub.fleet_settings import address_of
+from daisyhub.fleet_settings import parse_address
 
 __all__ = ["SERVERS_KIND", "read_server"]
 
@@ -50,7 +50,7 @@
     return EndpointEntry(
         endpoint_id=endpoint_id,
         pool=server.service,
-        address=address_of(server.address),
+        address=parse_address(server.address),
         domain=server.zone,
         incarnation=server.born,
         slots=max(1, server.slots),
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from daisyhub.connections import HttpClient, HttpResponse, RequestFailedError
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.objects import (
     HistoryGoneError,
     ObjectConflictError,
@@ -202,7 +202,7 @@
                 max_body_bytes=_MAX_RESPONSE_BYTES,
             )
         except RequestFailedError as exc:
-            may_be_done = is_write and exc.ran is not Ran.NOT_RUN
+            may_be_done = is_write and exc.ran is not ExecutionStatus.NOT_RUN
             raise ObjectStoreError(
                 f"{method} {target}: {exc}", may_be_done=may_be_done
             ) from exc
