--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -7,7 +7,7 @@
 
 from daisyhub.base import Handler
 from daisyhub.connections import RequestFailedError
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.gateway._wire import CallerWire
 from daisyhub.logs import DecisionLog
 from daisyhub.messages import Request, Response
@@ -72,7 +72,7 @@
         resp = await self._handle(req, receiver)
         if resp is None:
             self._metrics.count("callers_left")
-            self._log.note("caller_left", id=req.request_id)
+            self._log.record("caller_left", id=req.request_id)
             return
         if resp.stream is not None:
             await self._send_stream(resp, receiver, send)
@@ -93,13 +93,13 @@
             except Refusal as exc:
                 resp = self._refuse(exc, req)
             except Exception as exc:
-                self._log.note(
+                self._log.record(
                     "request_fault", id=req.request_id, reason=repr(exc)
                 )
                 refusal = Refusal(
                     ErrorCode.INTERNAL,
                     "an internal error occurred",
-                    ran=Ran.UNKNOWN,
+                    ran=ExecutionStatus.UNKNOWN,
                 )
                 resp = self._refuse(refusal, req)
             tasks.cancel_scope.cancel()
@@ -109,7 +109,7 @@
         """Counts and logs a refusal; returns its response."""
         request_id = req.request_id if req else ""
         self._metrics.count("refusals", code=exc.code)
-        self._log.note(
+        self._log.record(
             "refused",
             id=request_id,
             lot=getattr(req.lot_call, "lot_id", "") if req else "",
@@ -160,7 +160,7 @@
                     await send(_body_message(chunk, has_more=True))
                 is_complete = True
             except RequestFailedError as exc:
-                self._log.note("stream_cut", reason=str(exc))
+                self._log.record("stream_cut", reason=str(exc))
             finally:
                 with anyio.CancelScope(shield=True):
                     await resp.stream.aclose()
