--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -54,7 +54,7 @@
         return {"waiting": sorted(self._pending)}
 
     async def run_with_duty(self) -> None:
-        """Works until the duty is lost; see `DutyBoundController.hold`."""
+        """Works until the duty is lost; see the base class."""
         watcher = KindWatcher(self._store, _KIND, self._log, self._on_request)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(watcher.run)
