--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -71,9 +71,9 @@
                 self.assertEqual(refused.status, status)
             unknown = await fleet.call("edge-1", "GET", "/nowhere")
             self.assertEqual(unknown.status, 404)
-            self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
-            self.assertEqual(await fleet.hand_in("edge-2", "L"), 202)
-            results = await fleet.until_listed(fleet.daemon_names, "L")
+            self.assertEqual(await fleet.submit_lot("edge-0", "L"), 202)
+            self.assertEqual(await fleet.submit_lot("edge-2", "L"), 202)
+            results = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(results, "L")
             body = await fleet.call("edge-1", "GET", "/v1/items/L?id=L-0-0")
             self.assertEqual(body.body, b"prompt")
@@ -82,9 +82,9 @@
                 self.assertEqual(ended.status, 200)
             absent = await fleet.call("edge-1", "GET", "/v1/lots/none")
             self.assertEqual(absent.status, 404)
-            ran = await fleet.ran()
-            self.assertFalse(any(run["has_key"] for run in ran))
-            items = [r for r in ran if r["id"].startswith("L-")]
+            executed_requests = await fleet.executed_requests()
+            self.assertFalse(any(run["has_key"] for run in executed_requests))
+            items = [r for r in executed_requests if r["id"].startswith("L-")]
             item_accounts = {r["account"] for r in items if r["id"][-1] != "r"}
             self.assertEqual(item_accounts, {"t"})
             await self.wait_for_usage(fleet, 1)
@@ -125,11 +125,11 @@
         async with running_fleet(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(0.5)
             fleet.signal(holder, signal.SIGKILL)
             fleet.processes[holder].wait()
-            results = await fleet.until_listed(others, "L")
+            results = await fleet.read_whole_lot(others, "L")
             self.check_lot(results, "L")
 
     async def test_leaving_holder_transfers_unfinished_texts(self):
@@ -144,42 +144,42 @@
         async with running_fleet(event_s=0.5) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(after_s)
             fleet.signal(holder, signal_number)
-            results = await fleet.until_listed(others, "L")
+            results = await fleet.read_whole_lot(others, "L")
             self.check_lot(results, "L")
-            ran = await fleet.ran()
-            self.assertTrue(any(run["resumed"] for run in ran))
+            executed_requests = await fleet.executed_requests()
+            self.assertTrue(any(run["resumed"] for run in executed_requests))
 
     async def test_holder_resumed_after_its_replacement_changes_nothing(self):
         async with running_fleet(event_s=0.1) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
-            self.assertEqual(await fleet.hand_in(others[0], "L"), 202)
+            self.assertEqual(await fleet.submit_lot(others[0], "L"), 202)
             await anyio.sleep(0.4)
             fleet.signal(holder, signal.SIGSTOP)
-            results = await fleet.until_listed(others, "L")
+            results = await fleet.read_whole_lot(others, "L")
             fleet.signal(holder, signal.SIGCONT)
             self.check_lot(results, "L")
-            repeated = await fleet.until_listed(fleet.daemon_names, "L")
+            repeated = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.assertEqual(repeated, results)
 
     async def test_without_the_store_lookups_work_and_lots_are_refused(self):
         async with running_fleet() as fleet:
             await fleet.holder()
-            await fleet.fault("platform", {"kind": "hang"})
+            await fleet.inject_fault("platform", {"kind": "hang"})
             for number in range(10):
                 response = await fleet.call(
                     fleet.daemon_names[number % 3], "POST", "/records/7"
                 )
                 self.assertEqual(response.status, 200)
-            self.assertIn(await fleet.hand_in("edge-0", "L"), (503, 504))
-            await fleet.fault("platform", None)
+            self.assertIn(await fleet.submit_lot("edge-0", "L"), (503, 504))
+            await fleet.inject_fault("platform", None)
             with anyio.fail_after(10):
-                while await fleet.hand_in("edge-0", "L") != 202:
+                while await fleet.submit_lot("edge-0", "L") != 202:
                     await anyio.sleep(0.2)
-            results = await fleet.until_listed(fleet.daemon_names, "L")
+            results = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(results, "L")
 
     async def test_sigterm_fails_no_request(self):
@@ -208,7 +208,7 @@
                     fleet.signal("edge-0", repeated[number % 3])
             self.assertEqual(statuses, [200] * 12)
             self.assertEqual(fleet.processes["edge-0"].wait(10), 0)
-            events = [line["event"] for line in fleet.log_of("edge-0")]
+            events = [line["event"] for line in fleet.read_log("edge-0")]
             self.assertIn("stopped", events)
 
     async def test_request_partly_received_at_the_end_of_the_notice_is_served(
@@ -234,13 +234,13 @@
 
     async def test_accepted_lot_survives_the_kill_of_all_daemons(self):
         async with running_fleet(event_s=0.1) as fleet:
-            self.assertEqual(await fleet.hand_in("edge-0", "L"), 202)
+            self.assertEqual(await fleet.submit_lot("edge-0", "L"), 202)
             for daemon in fleet.daemon_names:
                 fleet.signal(daemon, signal.SIGKILL)
                 fleet.processes[daemon].wait()
             for daemon in fleet.daemon_names:
                 fleet.start_daemon(daemon)
             for daemon in fleet.daemon_names:
-                await fleet.until_ready(daemon)
-            results = await fleet.until_listed(fleet.daemon_names, "L")
+                await fleet.wait_until_ready(daemon)
+            results = await fleet.read_whole_lot(fleet.daemon_names, "L")
             self.check_lot(results, "L")
