--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -19,16 +19,16 @@
 from daisyhub.settings import Address
 from daisyhub.testing.hostile_server import (
     BEHAVIOURS,
-    GOOD,
+    VALID_BEHAVIOURS,
     HostileServer,
-    body_of,
+    expected_body,
 )
 
 TASKS = 12
 REQUESTS = int(os.environ.get("DAISYHUB_EXAMPLES", "60")) * 10
 SEED = int(os.environ.get("DAISYHUB_SEED", "1"))
 # Most responses are valid, so that connections are reused and shared.
-MIX = (*BEHAVIOURS, *GOOD * 4)
+MIX = (*BEHAVIOURS, *VALID_BEHAVIOURS * 4)
 
 
 class Fuzz:
@@ -80,7 +80,7 @@
             return
         self.completed_count += 1
         is_empty = method == "HEAD" or response.status in (204, 304)
-        expected = b"" if is_empty else body_of(request_id)
+        expected = b"" if is_empty else expected_body(request_id)
         if response.body != expected:
             self.wrong.append((request_id, behaviour, response.body[:20]))
 
@@ -140,7 +140,7 @@
             await self.get("/silent/ok", timeout_s=0.1)
         self.assertEqual(caught.exception.ran, ExecutionStatus.UNKNOWN)
         response = await self.get("/again/ok")
-        self.assertEqual(response.body, body_of("again"))
+        self.assertEqual(response.body, expected_body("again"))
         self.assertEqual(self.server.connections, 6)
 
     async def test_fresh_requests_open_new_connections(self):
