--- a/daisyhub/platform/__init__.py
+++ b/daisyhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters that run the product on the users' platform."""
+"""Adapters between the product and the users' platform; they only translate."""
--- a/daisyhub/platform/__main__.py
+++ b/daisyhub/platform/__main__.py
@@ -24,7 +24,7 @@
 
 
 def main() -> int:
-    """Runs until SIGTERM; returns 2 if the settings are invalid."""
+    """Runs until SIGTERM or SIGINT; returns 2 if the settings are invalid."""
     # Dumps the stacks of all threads to stderr after a crash in native code.
     faulthandler.enable()
     path = os.environ.get(_SETTINGS_VARIABLE, "")
