--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -24,7 +24,7 @@
 from daisyhub.connections import HttpResponse, RequestFailedError
 from daisyhub.exceptions import ExecutionStatus
 from daisyhub.hosting import EndpointRecord
-from daisyhub.testing.fake_app import Call
+from daisyhub.testing.fake_app import Request
 from daisyhub.testing.fake_platform import FakePlatform
 
 SETTINGS = {
@@ -61,14 +61,14 @@
         if address.port == 2:
             return _response(200, STATUS)
         url = urllib.parse.urlsplit(target)
-        call = Call(
+        call = Request(
             method=method,
             path=urllib.parse.unquote(url.path),
             query=dict(urllib.parse.parse_qsl(url.query)),
             headers={},
             body=body,
         )
-        response = await self.platform.answer(call)
+        response = await self.platform.handle(call)
         return _response(response.status, response.value)
 
     async def aclose(self):
@@ -168,7 +168,7 @@
         self.apply({"client_accounts": {"a": {}}})
         row = self.run_cli("key", "create", "a", team="yard")[0]
         secret = row["key"].rpartition("_")[2]
-        objects = anyio.run(self.platform.answer, _call("/objects"))
+        objects = anyio.run(self.platform.handle, _call("/objects"))
         self.assertNotIn(secret.encode(), msgspec.json.encode(objects.value))
         self.run_cli("key", "withdraw", row["key_id"])
         listed = self.run_cli("key", "list")
@@ -182,7 +182,7 @@
         record = EndpointRecord(endpoint_id="e", pool="p", ip="::1", port=1)
         body = msgspec.json.encode([record])
         put = _call("/admin/endpoints/busan", "PUT", body)
-        anyio.run(self.platform.answer, put)
+        anyio.run(self.platform.handle, put)
         self.run_cli("endpoint", "drain", "busan", "e")
         rows = self.run_cli("endpoint", "list", "busan")
         self.assertTrue(rows[0]["drained"])
@@ -203,14 +203,14 @@
         body = msgspec.json.encode(sealed).decode()
         report = StoredReport(window=60, body=body)
         ledger = Ledger(window=60, unreported=(report,))
-        call = Call(
+        call = Request(
             method="PUT",
             path="/objects/sealed/busan",
             query={"expected": "0", "write_id": "w"},
             headers={},
             body=msgspec.json.encode(ledger),
         )
-        anyio.run(self.platform.answer, call)
+        anyio.run(self.platform.handle, call)
 
     def test_unreachable_platform_is_reported(self):
         self.http.is_down = True
@@ -225,7 +225,7 @@
 
 
 def _call(path, method="GET", body=b""):
-    return Call(method=method, path=path, query={}, headers={}, body=body)
+    return Request(method=method, path=path, query={}, headers={}, body=body)
 
 
 def _temporary_folder():
