--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -1,46 +1,46 @@
 """The daemons of one system: who lives, what each knows, the true time."""
 
+from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._controller import ClusterController
 from daisyhub.cluster._messages import (
     CLUSTER_PROTOCOL,
-    LotAnswer,
-    LotBodyAsked,
-    LotEndTold,
-    LotHeadAsked,
-    LotResultsAsked,
-    LotTold,
-    ManifestAnswer,
-    ManifestAsked,
+    LotAcceptedNotification,
+    LotEndedNotification,
+    LotHeadRequest,
+    LotItemBodyRequest,
+    LotResponse,
+    LotResultsRequest,
+    ManifestRequest,
+    ManifestResponse,
     Ping,
-    StoreAnswer,
-    StoreAsked,
+    StoreRequest,
+    StoreResponse,
 )
 from daisyhub.cluster._peers import PeerState, PeerTable
-from daisyhub.cluster._ping_plan import PingPlan, silent_after_s
-from daisyhub.cluster._store_calls import PeerCarrier, StoreCallee
-from daisyhub.cluster._true_clock import TrueClock
+from daisyhub.cluster._ping_plan import PingPlan, ping_timeout_s
+from daisyhub.cluster._store_calls import PeerRelayProvider, StoreRequestHandler
 from daisyhub.cluster._verifier import WatchVerifier
 
 __all__ = [
     "CLUSTER_PROTOCOL",
     "ClusterController",
-    "LotAnswer",
-    "LotBodyAsked",
-    "LotEndTold",
-    "LotHeadAsked",
-    "LotResultsAsked",
-    "LotTold",
-    "ManifestAnswer",
-    "ManifestAsked",
-    "PeerCarrier",
+    "LotResponse",
+    "LotItemBodyRequest",
+    "LotEndedNotification",
+    "LotHeadRequest",
+    "LotResultsRequest",
+    "LotAcceptedNotification",
+    "ManifestResponse",
+    "ManifestRequest",
+    "PeerRelayProvider",
     "PeerState",
     "PeerTable",
     "Ping",
     "PingPlan",
-    "StoreAnswer",
-    "StoreAsked",
-    "StoreCallee",
-    "TrueClock",
+    "StoreResponse",
+    "StoreRequest",
+    "StoreRequestHandler",
+    "ClusterClock",
     "WatchVerifier",
-    "silent_after_s",
+    "ping_timeout_s",
 ]
--- a/daisyhub/cluster/_true_clock.py
+++ b/daisyhub/cluster/_cluster_clock.py
@@ -9,13 +9,13 @@
 
 from daisyhub.clocks import boot_time_s
 
-__all__ = ["TrueClock"]
+__all__ = ["ClusterClock"]
 
 # Seconds after which a peer's time no longer counts; some pings long.
 _OFFSET_AGE_S = 5.0
 
 
-class TrueClock:
+class ClusterClock:
     """Keeps the offsets of all daemons' clocks to the own steady clock."""
 
     def __init__(self):
--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -8,10 +8,10 @@
 
 from daisyhub.base import Controller
 from daisyhub.catalog import ManifestController
-from daisyhub.cluster._messages import ManifestAnswer, ManifestAsked, Ping
+from daisyhub.cluster._cluster_clock import ClusterClock
+from daisyhub.cluster._messages import ManifestRequest, ManifestResponse, Ping
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.cluster._ping_plan import PING_S, PingPlan
-from daisyhub.cluster._true_clock import TrueClock
 from daisyhub.exceptions import DaisyhubError
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import (
@@ -69,7 +69,7 @@
         seeds: tuple[Address, ...],
         network: PeerNetwork,
         peers: PeerTable,
-        clock: TrueClock,
+        clock: ClusterClock,
         manifests: ManifestController,
         store: ObjectStore,
         make_ping: Callable[[], Ping],
@@ -115,7 +115,7 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._find_others)
             while True:
-                self.ping_all()
+                self.send_pings()
                 await anyio.sleep(PING_S)
                 for daemon_id in self._peers.note_time():
                     self._addresses.pop(daemon_id, None)
@@ -123,7 +123,7 @@
                 if self._needs_manifest():
                     tasks.start_soon(self._fetch_manifest)
 
-    def ping_all(self) -> None:
+    def send_pings(self) -> None:
         """Sends a ping to every daemon known, or a part of many in turn."""
         ping = self._make_ping()
         if self._round % _ADDRESSES_EACH == 0:
@@ -205,9 +205,11 @@
         if peer is None or not self._peers.is_live(found.name):
             self.learn_address(found.name, record.address)
 
-    async def answer_manifest(self, _: ManifestAsked) -> ManifestAnswer:
+    async def handle_manifest_request(
+        self, _: ManifestRequest
+    ) -> ManifestResponse:
         """Hands the manifest in force to a peer."""
-        return ManifestAnswer(found=self._manifests.active_object)
+        return ManifestResponse(found=self._manifests.active_object)
 
     def _needs_manifest(self) -> bool:
         if self._is_fetching:
@@ -224,7 +226,7 @@
         self._is_fetching = True
         try:
             answer = await self._network.call(
-                newest.daemon_id, ManifestAsked(), _CALL_TIMEOUT_S
+                newest.daemon_id, ManifestRequest(), _CALL_TIMEOUT_S
             )
         except DaisyhubError as exc:
             self._log.note(
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -8,17 +8,17 @@
 
 __all__ = [
     "CLUSTER_PROTOCOL",
-    "LotAnswer",
-    "LotBodyAsked",
-    "LotEndTold",
-    "LotHeadAsked",
-    "LotResultsAsked",
-    "LotTold",
-    "ManifestAnswer",
-    "ManifestAsked",
+    "LotResponse",
+    "LotItemBodyRequest",
+    "LotEndedNotification",
+    "LotHeadRequest",
+    "LotResultsRequest",
+    "LotAcceptedNotification",
+    "ManifestResponse",
+    "ManifestRequest",
     "Ping",
-    "StoreAnswer",
-    "StoreAsked",
+    "StoreResponse",
+    "StoreRequest",
 ]
 
 
@@ -54,7 +54,7 @@
     peers: dict[str, str] = {}
 
 
-class StoreAsked(msgspec.Struct, frozen=True, kw_only=True, tag="sq"):
+class StoreRequest(msgspec.Struct, frozen=True, kw_only=True, tag="sq"):
     """Asks a peer to carry a call of the store.
 
     Attributes:
@@ -74,7 +74,7 @@
     wait_s: float = 0.0
 
 
-class StoreAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="sa"):
+class StoreResponse(msgspec.Struct, frozen=True, kw_only=True, tag="sa"):
     """What a carried call brought.
 
     Attributes:
@@ -94,17 +94,17 @@
     items: tuple[StoredObject, ...] = ()
 
 
-class ManifestAsked(msgspec.Struct, frozen=True, kw_only=True, tag="mq"):
+class ManifestRequest(msgspec.Struct, frozen=True, kw_only=True, tag="mq"):
     """Asks for the manifest in force."""
 
 
-class ManifestAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="ma"):
+class ManifestResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ma"):
     """The manifest in force, None if there is none."""
 
     found: StoredObject | None
 
 
-class LotResultsAsked(msgspec.Struct, frozen=True, kw_only=True, tag="rq"):
+class LotResultsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="rq"):
     """Asks a lot's holder for results.
 
     Attributes:
@@ -118,32 +118,32 @@
     wait_s: float
 
 
-class LotBodyAsked(msgspec.Struct, frozen=True, kw_only=True, tag="bq"):
+class LotItemBodyRequest(msgspec.Struct, frozen=True, kw_only=True, tag="bq"):
     """Asks a lot's holder for the body of an item."""
 
     lot_id: str
     item_id: str
 
 
-class LotHeadAsked(msgspec.Struct, frozen=True, kw_only=True, tag="hq"):
+class LotHeadRequest(msgspec.Struct, frozen=True, kw_only=True, tag="hq"):
     """Asks a lot's holder for the lot without its items."""
 
     lot_id: str
 
 
-class LotTold(msgspec.Struct, frozen=True, tag="lt"):
+class LotAcceptedNotification(msgspec.Struct, frozen=True, tag="lt"):
     """Tells a lot's holder that the lot was accepted; `head` is encoded."""
 
     head: bytes
 
 
-class LotEndTold(msgspec.Struct, frozen=True, tag="le"):
+class LotEndedNotification(msgspec.Struct, frozen=True, tag="le"):
     """Tells a lot's holder that the lot was ended."""
 
     lot_id: str
 
 
-class LotAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
+class LotResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
     """A holder's answer.
 
     Attributes:
@@ -164,11 +164,11 @@
 
     call_id: int
     content: (
-        StoreAsked
-        | ManifestAsked
-        | LotHeadAsked
-        | LotResultsAsked
-        | LotBodyAsked
+        StoreRequest
+        | ManifestRequest
+        | LotHeadRequest
+        | LotResultsRequest
+        | LotItemBodyRequest
     )
 
 
@@ -176,7 +176,7 @@
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: StoreAnswer | ManifestAnswer | LotAnswer | None
+    content: StoreResponse | ManifestResponse | LotResponse | None
 
 
 class _Envelope(msgspec.Struct, frozen=True, kw_only=True):
@@ -184,7 +184,14 @@
 
     sender: str
     incarnation: int
-    messages: tuple[Ping | LotTold | LotEndTold | _Call | _CallAnswer, ...]
+    messages: tuple[
+        Ping
+        | LotAcceptedNotification
+        | LotEndedNotification
+        | _Call
+        | _CallAnswer,
+        ...,
+    ]
 
 
 CLUSTER_PROTOCOL = PeerProtocol(_Envelope, _Call, _CallAnswer)
--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -4,7 +4,7 @@
 import time
 
 from daisyhub.cluster._messages import Ping
-from daisyhub.cluster._ping_plan import silent_after_s
+from daisyhub.cluster._ping_plan import ping_timeout_s
 from daisyhub.logs import DecisionLog
 
 __all__ = ["PeerState", "PeerTable"]
@@ -81,7 +81,7 @@
 
     def _is_heard(self, peer: PeerState, now_s: float) -> bool:
         has_duty = self._has_duty or bool(peer.ping.duties)
-        limit_s = silent_after_s(len(self._peers), has_duty=has_duty)
+        limit_s = ping_timeout_s(len(self._peers), has_duty=has_duty)
         return now_s - peer.last_received_at_s <= limit_s
 
     def is_live(self, daemon_id: str) -> bool:
@@ -96,7 +96,7 @@
         known = {peer.ping.domain for peer in self._peers.values()}
         return frozenset(known - {peer.ping.domain for peer in self.live()})
 
-    def is_missing_some(self) -> bool:
+    def has_lost_peers(self) -> bool:
         """Whether a daemon that was heard before is silent now."""
         return len(self.live()) < len(self._peers)
 
@@ -105,7 +105,7 @@
         holders = [p for p in self.live() if duty in p.ping.duties]
         return max(holders, key=lambda p: p.ping.duties[duty], default=None)
 
-    def hears_holder(self) -> bool:
+    def has_live_holder_with_store(self) -> bool:
         """Whether a live daemon with a duty reaches the store."""
         return any(
             peer.ping.duties and peer.ping.reaches_store for peer in self.live()
--- a/daisyhub/cluster/_ping_plan.py
+++ b/daisyhub/cluster/_ping_plan.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Collection, Sequence
 
-__all__ = ["PING_S", "PingPlan", "silent_after_s"]
+__all__ = ["PING_S", "PingPlan", "ping_timeout_s"]
 
 # Seconds between rounds of pings: a third of the time after which silence of
 # a daemon with a duty counts.
@@ -21,7 +21,7 @@
 _SILENT_ROUNDS = 3
 
 
-def silent_after_s(known: int, *, has_duty: bool) -> float:
+def ping_timeout_s(known: int, *, has_duty: bool) -> float:
     """Returns the seconds without a ping that count as silence.
 
     Args:
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -2,7 +2,7 @@
 
 from collections.abc import Awaitable
 
-from daisyhub.cluster._messages import StoreAnswer, StoreAsked
+from daisyhub.cluster._messages import StoreRequest, StoreResponse
 from daisyhub.cluster._peers import PeerTable
 from daisyhub.objects import (
     HistoryGoneError,
@@ -10,18 +10,18 @@
     ObjectList,
     ObjectStore,
     ObjectStoreError,
-    StoreCarrier,
+    RelayProvider,
     StoredObject,
     WatchBatch,
 )
 from daisyhub.peers import PeerNetwork, PeerUnreachableError
 
-__all__ = ["PeerCarrier", "StoreCallee"]
+__all__ = ["PeerRelayProvider", "StoreRequestHandler"]
 
 _READS = frozenset({"read", "list", "watch"})
 
 
-class StoreCallee:
+class StoreRequestHandler:
     """Answers peers' store calls over the own direct way.
 
     Args:
@@ -31,50 +31,54 @@
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreAsked) -> StoreAnswer:
+    async def answer(self, asked: StoreRequest) -> StoreResponse:
         """Carries out one call."""
         try:
             return await self._answer(asked)
         except ObjectConflictError as exc:
-            return StoreAnswer(
+            return StoreResponse(
                 failure="conflict", detail=str(exc), found=exc.found
             )
         except HistoryGoneError as exc:
-            return StoreAnswer(failure="history_gone", detail=str(exc))
+            return StoreResponse(failure="history_gone", detail=str(exc))
         except ObjectStoreError as exc:
-            return StoreAnswer(
+            return StoreResponse(
                 failure="unavailable",
                 detail=str(exc),
                 may_be_done=exc.may_be_done,
             )
 
-    async def _answer(self, asked: StoreAsked) -> StoreAnswer:
+    async def _answer(self, asked: StoreRequest) -> StoreResponse:
         store, kind, name = self._store, asked.kind, asked.name
         match asked.verb:
             case "read":
-                return StoreAnswer(found=await store.read(kind, name))
+                return StoreResponse(found=await store.read(kind, name))
             case "list":
                 listed = await store.list_all(kind)
-                return StoreAnswer(revision=listed.revision, items=listed.items)
+                return StoreResponse(
+                    revision=listed.revision, items=listed.items
+                )
             case "watch":
                 batch = await store.watch(
                     kind, after_revision=asked.revision, wait_s=asked.wait_s
                 )
-                return StoreAnswer(revision=batch.revision, items=batch.changes)
+                return StoreResponse(
+                    revision=batch.revision, items=batch.changes
+                )
             case "create":
                 found = await store.create(kind, name, asked.content)
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "replace":
                 found = await store.replace(
                     kind, name, asked.content, revision=asked.revision
                 )
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "set_status":
                 found = await store.set_status(kind, name, asked.content)
-                return StoreAnswer(found=found)
+                return StoreResponse(found=found)
             case "delete":
                 await store.delete(kind, name)
-                return StoreAnswer()
+                return StoreResponse()
         raise ObjectStoreError(
             f"a peer asked for {asked.verb!r}", may_be_done=False
         )
@@ -89,14 +93,16 @@
         self._timeout_s = timeout_s
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
-        del may_be_late  # The few calls that peers carry are never late.
-        answer = await self._call(StoreAsked(verb="read", kind=kind, name=name))
+        del can_be_stale  # The few calls that peers carry are never late.
+        answer = await self._call(
+            StoreRequest(verb="read", kind=kind, name=name)
+        )
         return answer.found
 
     async def list_all(self, kind: str) -> ObjectList:
-        answer = await self._call(StoreAsked(verb="list", kind=kind))
+        answer = await self._call(StoreRequest(verb="list", kind=kind))
         return ObjectList(revision=answer.revision, items=answer.items)
 
     async def watch(
@@ -105,23 +111,23 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
-        del may_be_late
-        asked = StoreAsked(
+        del can_be_stale
+        asked = StoreRequest(
             verb="watch", kind=kind, revision=after_revision, wait_s=wait_s
         )
         answer = await self._call(asked, wait_s)
         return WatchBatch(revision=answer.revision, changes=answer.items)
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
-        asked = StoreAsked(verb="create", kind=kind, name=name, content=spec)
+        asked = StoreRequest(verb="create", kind=kind, name=name, content=spec)
         return (await self._call(asked)).found
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
     ) -> StoredObject:
-        asked = StoreAsked(
+        asked = StoreRequest(
             verb="replace",
             kind=kind,
             name=name,
@@ -133,15 +139,17 @@
     async def set_status(
         self, kind: str, name: str, status: bytes
     ) -> StoredObject | None:
-        asked = StoreAsked(
+        asked = StoreRequest(
             verb="set_status", kind=kind, name=name, content=status
         )
         return (await self._call(asked)).found
 
     async def delete(self, kind: str, name: str) -> None:
-        await self._call(StoreAsked(verb="delete", kind=kind, name=name))
+        await self._call(StoreRequest(verb="delete", kind=kind, name=name))
 
-    async def _call(self, asked: StoreAsked, wait_s: float = 0) -> StoreAnswer:
+    async def _call(
+        self, asked: StoreRequest, wait_s: float = 0
+    ) -> StoreResponse:
         is_write = asked.verb not in _READS
         call: Awaitable = self._network.call(
             self._peer_id, asked, self._timeout_s + wait_s
@@ -161,7 +169,7 @@
         raise ObjectStoreError(detail, may_be_done=answer.may_be_done)
 
 
-class PeerCarrier(StoreCarrier):
+class PeerRelayProvider(RelayProvider):
     """Finds peers that reach the store.
 
     Args:
--- a/daisyhub/cluster/tests/test_cluster_controller.py
+++ b/daisyhub/cluster/tests/test_cluster_controller.py
@@ -7,7 +7,7 @@
 import anyio
 import msgspec
 
-from daisyhub.cluster import ClusterController, PeerTable, Ping, TrueClock
+from daisyhub.cluster import ClusterClock, ClusterController, PeerTable, Ping
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 from daisyhub.testing.object_store import Fault, MemoryStore
@@ -45,7 +45,7 @@
         (),
         FakeNetwork(hub, peers.own_id),
         peers,
-        TrueClock(),
+        ClusterClock(),
         types.SimpleNamespace(revision=0),
         store,
         lambda: Ping(domain="z", address=str(address), wall_s=0.0),
@@ -99,13 +99,13 @@
         live = {peer.daemon_id for peer in self.peers.live()}
         self.assertEqual(len(live), 54)
         self.assertNotIn("holder", live)
-        self.assertFalse(self.peers.hears_holder())
+        self.assertFalse(self.peers.has_live_holder_with_store())
 
     def test_a_holder_that_reaches_the_store_tells_of_changes(self):
         self.hear("a", duties={"rollouts": 1}, reaches_store=False)
-        self.assertFalse(self.peers.hears_holder())
+        self.assertFalse(self.peers.has_live_holder_with_store())
         self.hear("b", duties={"accounts": 1}, reaches_store=True)
-        self.assertTrue(self.peers.hears_holder())
+        self.assertTrue(self.peers.has_live_holder_with_store())
 
 
 class PingTest(unittest.TestCase):
--- a/daisyhub/cluster/tests/test_ping_plan.py
+++ b/daisyhub/cluster/tests/test_ping_plan.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from daisyhub.cluster import PingPlan, silent_after_s
+from daisyhub.cluster import PingPlan, ping_timeout_s
 
 PING_S = 0.4
 
@@ -23,7 +23,7 @@
 class PingPlanTest(unittest.TestCase):
     def test_silence_leaves_room_for_a_lost_ping_at_any_size(self):
         for others in (1, 7, 24, 25, 54, 72, 300, 469):
-            limit_s = silent_after_s(others, has_duty=False)
+            limit_s = ping_timeout_s(others, has_duty=False)
             for name, rounds in longest_silence(others).items():
                 self.assertLess(2 * rounds * PING_S, limit_s, (others, name))
 
@@ -42,4 +42,4 @@
         self.assertEqual(len(set(chosen)), 25)
 
     def test_silence_of_a_daemon_with_a_duty_counts_early_at_any_size(self):
-        self.assertAlmostEqual(silent_after_s(469, has_duty=True), 1.2)
+        self.assertAlmostEqual(ping_timeout_s(469, has_duty=True), 1.2)
--- a/daisyhub/objects/__init__.py
+++ b/daisyhub/objects/__init__.py
@@ -11,7 +11,7 @@
     encode_value,
     is_same_json,
 )
-from daisyhub.objects._relayed import RelayedStore, StoreCarrier
+from daisyhub.objects._relayed import RelayedStore, RelayProvider
 from daisyhub.objects._watcher import KindWatcher
 
 __all__ = [
@@ -22,7 +22,7 @@
     "ObjectStore",
     "ObjectStoreError",
     "RelayedStore",
-    "StoreCarrier",
+    "RelayProvider",
     "StoredObject",
     "WatchBatch",
     "encode_value",
--- a/daisyhub/objects/_base.py
+++ b/daisyhub/objects/_base.py
@@ -101,14 +101,14 @@
 
     @abc.abstractmethod
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object, or None without one.
 
         Args:
             kind: Its kind.
             name: Its name.
-            may_be_late: Whether the answer may lack what changed in the last
+            can_be_stale: Whether the answer may lack what changed in the last
                 seconds, which costs the store less.
         """
 
@@ -123,7 +123,7 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """Waits up to `wait_s` for changes of a kind.
 
@@ -131,7 +131,7 @@
             kind: Their kind.
             after_revision: The revision that the caller knows.
             wait_s: Longest wait.
-            may_be_late: Whether changes may be told seconds late, which
+            can_be_stale: Whether changes may be told seconds late, which
                 costs the store less.
 
         Raises:
--- a/daisyhub/objects/_relayed.py
+++ b/daisyhub/objects/_relayed.py
@@ -23,7 +23,7 @@
     is_same_json,
 )
 
-__all__ = ["RelayedStore", "StoreCarrier"]
+__all__ = ["RelayedStore", "RelayProvider"]
 
 # Seconds for which calls go to a peer first after the direct way failed; the
 # next call after it tries the direct way again.
@@ -35,7 +35,7 @@
 _MOST_CARRIERS = 2
 
 
-class StoreCarrier(abc.ABC):
+class RelayProvider(abc.ABC):
     """Hands store calls to other daemons."""
 
     @abc.abstractmethod
@@ -53,7 +53,7 @@
     """
 
     def __init__(
-        self, direct: ObjectStore, carrier: StoreCarrier, log: DecisionLog
+        self, direct: ObjectStore, carrier: RelayProvider, log: DecisionLog
     ):
         self._direct = direct
         self._carrier = carrier
@@ -62,16 +62,16 @@
         self._direct_watches: set[anyio.CancelScope] = set()
 
     @property
-    def is_direct(self) -> bool:
+    def is_directly_reachable(self) -> bool:
         """Whether the last direct call succeeded."""
         return self._lost_at_s is None
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """Returns an object; see `ObjectStore.read`."""
         return await self._call(
-            lambda store: store.read(kind, name, may_be_late=may_be_late)
+            lambda store: store.read(kind, name, can_be_stale=can_be_stale)
         )
 
     async def list_all(self, kind: str) -> ObjectList:
@@ -84,14 +84,14 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """Waits for changes; see `ObjectStore.watch`."""
 
         def watch_at(store: ObjectStore) -> Awaitable[WatchBatch]:
             if store is self._direct:
                 return self._watch_directly(
-                    kind, after_revision, wait_s, may_be_late
+                    kind, after_revision, wait_s, can_be_stale
                 )
             return store.watch(
                 kind,
@@ -106,7 +106,7 @@
         kind: str,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool,
+        can_be_stale: bool,
     ) -> WatchBatch:
         """Waits at the store itself, as long as other calls reach it.
 
@@ -120,7 +120,7 @@
                     kind,
                     after_revision=after_revision,
                     wait_s=wait_s,
-                    may_be_late=may_be_late,
+                    can_be_stale=can_be_stale,
                 )
             finally:
                 self._direct_watches.discard(scope)
--- a/daisyhub/objects/_watcher.py
+++ b/daisyhub/objects/_watcher.py
@@ -40,7 +40,7 @@
         on_change: Called with each new, changed or deleted object.
         gather_s: Returns for how long changes may gather after each watch
             that brought some; a call brings all of them then.
-        may_be_late: Whether the store may tell changes late, as peers tell
+        can_be_stale: Whether the store may tell changes late, as peers tell
             that there are some.
     """
 
@@ -53,7 +53,7 @@
         log: DecisionLog,
         on_change: Listener,
         gather_s: Callable[[], float] = lambda: 0.0,
-        may_be_late: Callable[[], bool] = lambda: False,
+        can_be_stale: Callable[[], bool] = lambda: False,
     ):
         self.name = f"watch-{kind}"
         self._store = store
@@ -61,7 +61,7 @@
         self._log = log
         self._on_change = on_change
         self._gather_s = gather_s
-        self._may_be_late = may_be_late
+        self._may_be_late = can_be_stale
         self._objects: dict[str, StoredObject] = {}
         self._revision: int | None = None
         self._failed_since_s: float | None = None
@@ -87,7 +87,7 @@
         return self.synced.is_set() and self._failed_since_s is None
 
     @property
-    def newest_change(self) -> int:
+    def newest_revision(self) -> int:
         """The revision of the newest change seen, 0 for none."""
         return self._newest
 
@@ -179,7 +179,7 @@
                 self._kind,
                 after_revision=self._revision,
                 wait_s=_WATCH_WAIT_S,
-                may_be_late=self._may_be_late(),
+                can_be_stale=self._may_be_late(),
             )
         if self._waiting.cancelled_caught or self._revision is None:
             return
--- a/daisyhub/objects/tests/test_kind_watcher.py
+++ b/daisyhub/objects/tests/test_kind_watcher.py
@@ -56,7 +56,7 @@
     async def test_a_watch_is_late_only_while_a_peer_would_tell(self):
         store = MemoryStore()
         has_witness = False
-        watcher = self.new_watcher(store, may_be_late=lambda: has_witness)
+        watcher = self.new_watcher(store, can_be_stale=lambda: has_witness)
 
         async def test():
             nonlocal has_witness
@@ -75,7 +75,7 @@
     ):
         store = MemoryStore()
         store.fail_next("watch", Fault.DEAF)
-        watcher = self.new_watcher(store, may_be_late=lambda: True)
+        watcher = self.new_watcher(store, can_be_stale=lambda: True)
 
         async def test():
             found = store.put("k", "a", b"1")
--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -9,12 +9,12 @@
     ObjectConflictError,
     ObjectStoreError,
     RelayedStore,
-    StoreCarrier,
+    RelayProvider,
 )
 from daisyhub.testing.object_store import Fault, MemoryStore
 
 
-class Carrier(StoreCarrier):
+class Carrier(RelayProvider):
     def __init__(self, *stores):
         self._stores = list(stores)
 
@@ -40,7 +40,7 @@
         store = RelayedStore(Cut(), Carrier(peer), quiet_log())
         await store.create("k", "n", b"1")
         self.assertEqual((await store.read("k", "n")).spec, b"1")
-        self.assertFalse(store.is_direct)
+        self.assertFalse(store.is_directly_reachable)
 
     async def test_a_create_whose_answer_was_lost_counts_as_done(self):
         shared = MemoryStore()
@@ -101,7 +101,7 @@
         direct.fail_next("watch", Fault.REFUSED)
         with self.assertRaises(ObjectStoreError):
             await store.watch("k", after_revision=0, wait_s=1.0)
-        self.assertTrue(store.is_direct)
+        self.assertTrue(store.is_directly_reachable)
 
     async def test_relayed_watches_end_before_an_end_of_a_lot_is_due(self):
         """One carried by a peer that fell silent hid an end for 5.7 s."""
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -16,12 +16,12 @@
 from daisyhub.settings import DaemonSettings
 
 __all__ = [
-    "HeartbeatHeard",
+    "HeartbeatReceived",
     "MembershipCore",
     "MembershipTick",
-    "PostureChanged",
+    "LocalStateChanged",
     "SendHeartbeat",
-    "member_hash",
+    "hash_member_id",
 ]
 
 _SUCCESSORS = 1
@@ -35,7 +35,7 @@
 _RESTART_STEP = 500_000
 
 
-def member_hash(daemon_id: str) -> int:
+def hash_member_id(daemon_id: str) -> int:
     """Returns the short name of a daemon in heartbeats."""
     digest = hashlib.blake2b(daemon_id.encode(), digest_size=_HASH_BYTES)
     return int.from_bytes(digest.digest(), "big")
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeartbeatHeard:
+class HeartbeatReceived:
     """Event: a heartbeat came in."""
 
     sender: str
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PostureChanged:
+class LocalStateChanged:
     """Event: what this daemon tells of itself has changed."""
 
     config_version: int
@@ -91,10 +91,10 @@
         self.cfg = cfg
         self.incarnation = incarnation
         self._beat = incarnation
-        self._posture = PostureChanged(0, 0, "")
+        self._posture = LocalStateChanged(0, 0, "")
         self._next_s: float | None = 0.0
         self._members = {p.daemon_id: _Member() for p in cfg.domain_peers}
-        self._ids = {member_hash(name): name for name in self._members}
+        self._ids = {hash_member_id(name): name for name in self._members}
         self._others: dict[str, list[str]] = {}
         for peer in sorted(cfg.peers, key=lambda p: p.daemon_id):
             if peer.failure_domain != cfg.failure_domain:
@@ -121,9 +121,9 @@
         match event:
             case MembershipTick():
                 return self._on_tick(now_s)
-            case HeartbeatHeard():
+            case HeartbeatReceived():
                 return self._on_heartbeat(event, now_s)
-            case PostureChanged():
+            case LocalStateChanged():
                 return self._on_posture(event, now_s)
         raise TypeError(f"not a membership event: {event!r}")
 
@@ -131,7 +131,7 @@
         self._beat += 1
         self._next_s = now_s + self.cfg.timing.peer_tick_s
         ticks = self._beat - self.incarnation
-        actions = [self._to_domain(self.view(now_s))]
+        actions = [self._to_domain(self.next_targets(now_s))]
         if self._is_relay(now_s) and self._domain_names:
             count = min(_DOMAINS_PER_TICK, len(self._domain_names))
             first = ticks * count
@@ -142,11 +142,11 @@
             actions.append(self._to_others(names, ticks))
         return actions
 
-    def _on_posture(self, event: PostureChanged, now_s) -> list[object]:
+    def _on_posture(self, event: LocalStateChanged, now_s) -> list[object]:
         if event == self._posture:
             return []
         self._posture = event
-        targets = self.view(now_s)
+        targets = self.next_targets(now_s)
         if event.is_leaving:
             targets = tuple(sorted(self._members))
         actions = [self._to_domain(targets)]
@@ -155,7 +155,7 @@
             actions.append(self._to_others(self._domain_names, ticks))
         return actions
 
-    def view(self, now_s: float) -> tuple[str, ...]:
+    def next_targets(self, now_s: float) -> tuple[str, ...]:
         """Returns the daemons of the own domain to tell now.
 
         The ring goes through live members only; one in turn of all members,
@@ -167,7 +167,7 @@
         targets = ring[:_SUCCESSORS]
         names = sorted(self._members)
         if names:
-            turn = (self._beat + member_hash(own)) % len(names)
+            turn = (self._beat + hash_member_id(own)) % len(names)
             targets.append(names[turn])
         return tuple(dict.fromkeys(targets))
 
@@ -177,7 +177,7 @@
 
     def _to_domain(self, targets: tuple[str, ...]) -> SendHeartbeat:
         beats = [
-            MemberBeat(member_hash(name), member.beat, member.is_leaving)
+            MemberBeat(hash_member_id(name), member.beat, member.is_leaving)
             for name, member in sorted(self._members.items())
             if member.beat
         ]
@@ -202,7 +202,7 @@
             members=members,
         )
 
-    def _on_heartbeat(self, event: HeartbeatHeard, now_s) -> list[object]:
+    def _on_heartbeat(self, event: HeartbeatReceived, now_s) -> list[object]:
         beat = event.heartbeat
         if event.sender in self._members:
             self._note(event.sender, beat.beat, beat.is_leaving, now_s)
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -9,21 +9,21 @@
 
 __all__ = [
     "Call",
-    "CallAnswer",
-    "ConfigFetch",
-    "ConfigParts",
-    "EndpointFetch",
-    "EndpointNewsBatch",
-    "EndpointParts",
+    "CallResponse",
+    "ConfigRequest",
+    "ConfigResponse",
+    "EndpointsRequest",
+    "EndpointUpdateBatch",
+    "EndpointsResponse",
     "Envelope",
     "Heartbeat",
-    "LotAnswer",
-    "LotCall",
-    "RateAsk",
-    "RateGrant",
+    "LotCallResponse",
+    "LotCallRequest",
+    "RateLoanRequest",
+    "RateLoanGrant",
     "MemberBeat",
     "UsageCopy",
-    "UsageHeld",
+    "UsageCopyAck",
     "decode_envelope",
     "encode_envelope",
 ]
@@ -65,7 +65,7 @@
     members: tuple[MemberBeat, ...] = ()
 
 
-class EndpointNewsBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
+class EndpointUpdateBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
     """News of endpoints since the last tick."""
 
     news: tuple[EndpointUpdate, ...]
@@ -77,20 +77,20 @@
     parts: tuple[UsagePart, ...]
 
 
-class UsageHeld(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
+class UsageCopyAck(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
     """Tells a peer that its parts up to `number` of `epoch` are kept."""
 
     epoch: int
     number: int
 
 
-class ConfigFetch(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
+class ConfigRequest(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
     """Asks a peer for its head and for sections that aren't known here."""
 
     known_digests: tuple[str, ...]
 
 
-class ConfigParts(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
+class ConfigResponse(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
     """A head, the section texts asked for, and the withdrawn keys."""
 
     head: ConfigHead
@@ -98,17 +98,17 @@
     withdrawn: tuple[str, ...]
 
 
-class EndpointFetch(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
+class EndpointsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
     """Asks a peer of the same failure domain for its endpoints."""
 
 
-class EndpointParts(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
+class EndpointsResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
     """The endpoints that a daemon knows, as the platform would list them."""
 
     records: tuple[EndpointRecord, ...]
 
 
-class LotCall(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
+class LotCallRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
     """A trainer's call, passed on to the daemon that holds the lot.
 
     Attributes:
@@ -124,8 +124,8 @@
     body: bytes
 
 
-class LotAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
-    """The holder's answer to a `LotCall`.
+class LotCallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
+    """The holder's answer to a `LotCallRequest`.
 
     Attributes:
         status: HTTP status.
@@ -144,17 +144,17 @@
     """Asks for one answer; `call_id` is unique for the sender."""
 
     call_id: int
-    content: ConfigFetch | EndpointFetch | LotCall
+    content: ConfigRequest | EndpointsRequest | LotCallRequest
 
 
-class CallAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
+class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
     """Answers a call; without content the callee could not serve it."""
 
     call_id: int
-    content: ConfigParts | EndpointParts | LotAnswer | None
+    content: ConfigResponse | EndpointsResponse | LotCallResponse | None
 
 
-class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
+class RateLoanRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
     """Asks to borrow parts of accounts' limits.
 
     Attributes:
@@ -168,8 +168,8 @@
     wants: tuple[tuple[str, int], ...]
 
 
-class RateGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
-    """Lends parts of accounts' limits, in answer to a `RateAsk`."""
+class RateLoanGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
+    """Lends parts of accounts' limits, in answer to a `RateLoanRequest`."""
 
     incarnation: int
     stamp_s: float
@@ -178,13 +178,13 @@
 
 Message = (
     Heartbeat
-    | EndpointNewsBatch
+    | EndpointUpdateBatch
     | UsageCopy
-    | UsageHeld
-    | RateAsk
-    | RateGrant
+    | UsageCopyAck
+    | RateLoanRequest
+    | RateLoanGrant
     | Call
-    | CallAnswer
+    | CallResponse
 )
 
 
--- a/daisyhub/peers/_network.py
+++ b/daisyhub/peers/_network.py
@@ -14,7 +14,7 @@
 
 from daisyhub.exceptions import DaisyhubError
 from daisyhub.logs import get_logger
-from daisyhub.peers._messages import Call, CallAnswer, Envelope
+from daisyhub.peers._messages import Call, CallResponse, Envelope
 from daisyhub.settings import Address, DaemonSettings
 
 __all__ = ["PeerNetwork", "PeerProtocol", "PeerUnreachableError"]
@@ -67,7 +67,7 @@
         return self._decoder.decode(data)
 
 
-_OWN_PROTOCOL = PeerProtocol(Envelope, Call, CallAnswer)
+_OWN_PROTOCOL = PeerProtocol(Envelope, Call, CallResponse)
 
 
 class PeerUnreachableError(DaisyhubError):
@@ -107,7 +107,7 @@
         """Passes every message that isn't a call to `receiver`."""
         self._receivers.append(receiver)
 
-    def add_callee(self, kind: type, callee: Callee) -> None:
+    def add_request_handler(self, kind: type, callee: Callee) -> None:
         """Lets `callee` answer calls whose content is a `kind`."""
         self._callees[kind] = callee
 
--- a/daisyhub/peers/tests/test_membership_at_size.py
+++ b/daisyhub/peers/tests/test_membership_at_size.py
@@ -7,10 +7,10 @@
 
 from daisyhub.peers import (
     Envelope,
-    HeartbeatHeard,
+    HeartbeatReceived,
+    LocalStateChanged,
     MembershipCore,
     MembershipTick,
-    PostureChanged,
     encode_envelope,
 )
 from daisyhub.settings import Address, DaemonSettings, PeerSettings
@@ -69,7 +69,7 @@
         if name in self.dead or self.versions[name] >= version:
             return
         self.versions[name] = version
-        self.feed(name, PostureChanged(version, 0, ""))
+        self.feed(name, LocalStateChanged(version, 0, ""))
 
     def feed(self, name, event):
         core = self.cores[name]
@@ -84,7 +84,7 @@
                 self.sent += 1
                 self.bytes += size_bytes
                 if self.random.random() >= self.loss:
-                    heard = HeartbeatHeard(name, action.heartbeat)
+                    heard = HeartbeatReceived(name, action.heartbeat)
                     self.put(self.now_s + MESSAGE_S, target, heard)
         if isinstance(event, MembershipTick):
             self.put(core.next_wakeup_s, name, event)
@@ -99,7 +99,7 @@
                 self.adopt(name, event)
                 continue
             self.feed(name, event)
-            if isinstance(event, HeartbeatHeard):
+            if isinstance(event, HeartbeatReceived):
                 version = event.heartbeat.config_version
                 if version > self.versions[name]:
                     self.put(self.now_s + FETCH_S, name, version)
@@ -153,7 +153,7 @@
         fleet.start("d000")
         fleet.run(12.0)
         self.assertEqual(fleet.wrong_views(), [])
-        fleet.feed("d002", PostureChanged(0, 0, "", True))
+        fleet.feed("d002", LocalStateChanged(0, 0, "", True))
         fleet.run(4.0)
         near = fleet.live_true("d002")
         self.assertFalse([n for n in near if "d002" in fleet.live_seen(n)])
