--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -25,8 +25,8 @@
 )
 from daisyhub.logs import get_logger
 from daisyhub.peers import (
-    EndpointFetch,
-    EndpointParts,
+    EndpointsRequest,
+    EndpointsResponse,
     PeerNetwork,
     PeerUnreachableError,
 )
@@ -129,17 +129,19 @@
         for daemon_id in domain.intersection(self._peers.live_peers()):
             try:
                 parts = await self._network.call(
-                    daemon_id, EndpointFetch(), _PROBE_TIMEOUT_S
+                    daemon_id, EndpointsRequest(), _PROBE_TIMEOUT_S
                 )
             except PeerUnreachableError:
                 continue
             self._table.apply_list(parts.records, time.monotonic())
             return
 
-    async def answer_fetch(self, _: EndpointFetch) -> EndpointParts:
-        """Serves a peer's `EndpointFetch`."""
+    async def handle_fetch_request(
+        self, _: EndpointsRequest
+    ) -> EndpointsResponse:
+        """Serves a peer's `EndpointsRequest`."""
         records = tuple(_record_of(state) for state in self._table.all())
-        return EndpointParts(records=records)
+        return EndpointsResponse(records=records)
 
     async def _probe_share(self) -> None:
         """Probes the quiet endpoints of this daemon's share.
@@ -177,12 +179,12 @@
                 "GET", state.address, "/load", timeout_s=_PROBE_TIMEOUT_S
             )
         except RequestFailedError:
-            self._http.forget(state.address)
+            self._http.drop_idle_connections(state.address)
             return
         state.last_received_at_s = time.monotonic()
         news = parse_endpoint_headers(state, answer.headers)
         if _tells_news(state, news):
-            self._peers.add_news(news)
+            self._peers.add_update(news)
         self._table.apply_update(news)
 
 
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -16,13 +16,13 @@
     ConfigController,
     EndpointController,
     LotController,
-    NewsController,
     OrderController,
     PeerController,
     UsageController,
+    WatchController,
     WeightController,
 )
-from daisyhub.controllers._lot_seat import SeatTools
+from daisyhub.controllers._lot_server import LotServerDependencies
 from daisyhub.exceptions import DocumentError
 from daisyhub.filters import (
     AccountFilter,
@@ -44,9 +44,9 @@
 from daisyhub.logs import get_logger, set_up_logs
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
-    ConfigFetch,
-    EndpointFetch,
-    LotCall,
+    ConfigRequest,
+    EndpointsRequest,
+    LotCallRequest,
     PeerNetwork,
 )
 from daisyhub.process_flags import SETTINGS
@@ -96,7 +96,9 @@
         self.platform = PlatformClient(
             self.cfg.platform_address, self.http, timing.platform_timeout_s
         )
-        self.keeper = LeaseFactory(self.platform, self.process_id, timing)
+        self.lease_factory = LeaseFactory(
+            self.platform, self.process_id, timing
+        )
         self.network = PeerNetwork(self.cfg, self.incarnation)
         self.counters = UsageCounters(
             self.cfg.daemon_id, self.incarnation, timing.usage_window_s
@@ -123,8 +125,8 @@
             self.counters,
             self.shares,
         )
-        self.table.add_listener(self.peers.add_news)
-        self.keeper.set_candidate_rule(self._is_candidate)
+        self.table.add_listener(self.peers.add_update)
+        self.lease_factory.set_candidate_rule(self._is_candidate)
         self.endpoints = EndpointController(
             cfg,
             self.platform,
@@ -134,31 +136,37 @@
             self.network,
         )
         self.weights = WeightController(
-            cfg, self.keeper, self.http, self.table, self.config
+            cfg, self.lease_factory, self.http, self.table, self.config
         )
         self.orders = OrderController(
-            cfg, self.platform, self.keeper, self.table, self.config
+            cfg, self.platform, self.lease_factory, self.table, self.config
         )
         self.usage = UsageController(
             cfg,
             self.platform,
-            self.keeper,
+            self.lease_factory,
             self.counters,
             self.peers,
             self.metrics,
         )
-        self.lots = LotController(self._seat_tools(), self.network)
+        self.lots = LotController(self._lot_server_dependencies(), self.network)
         self.claims = ClaimController(self.platform)
-        self.news = NewsController(self.platform, cfg.timing)
-        self.news.add_listener("news/keys", self.config.on_withdrawn)
-        self.news.add_listener("news/config", self.config.on_head)
-        self.news.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
-        self.news.add_listener("news/weights/", self.weights.on_weights)
+        self.watch = WatchController(self.platform, cfg.timing)
+        self.watch.add_listener("news/keys", self.config.on_withdrawn)
+        self.watch.add_listener("news/config", self.config.on_head)
+        self.watch.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
+        self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
-        self.network.add_callee(ConfigFetch, self.config.answer_fetch)
-        self.network.add_callee(EndpointFetch, self.endpoints.answer_fetch)
-        self.network.add_callee(LotCall, self.lots.answer_call)
+        self.network.add_request_handler(
+            ConfigRequest, self.config.handle_fetch_request
+        )
+        self.network.add_request_handler(
+            EndpointsRequest, self.endpoints.handle_fetch_request
+        )
+        self.network.add_request_handler(
+            LotCallRequest, self.lots.handle_forwarded_call
+        )
 
     def _is_candidate(self, duty: str) -> bool:
         """Whether this daemon is among the first for a duty of its domain."""
@@ -167,11 +175,11 @@
         ranked = rank_candidates(duty, [self.cfg.daemon_id, *live])
         return self.cfg.daemon_id in ranked[:_CANDIDATES]
 
-    def _seat_tools(self) -> SeatTools:
-        return SeatTools(
+    def _lot_server_dependencies(self) -> LotServerDependencies:
+        return LotServerDependencies(
             cfg=self.cfg,
             client=self.platform,
-            keeper=self.keeper,
+            lease_factory=self.lease_factory,
             http=self.http,
             table=self.table,
             balancer=LeastLoaded(self.incarnation),
@@ -184,7 +192,7 @@
     def controllers(self) -> tuple[Controller, ...]:
         """All controllers."""
         return (
-            self.news,
+            self.watch,
             self.config,
             self.peers,
             self.endpoints,
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -12,11 +12,11 @@
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
 from daisyhub.connections import (
-    AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     RequestFailedError,
-    StreamedAnswer,
+    ResponseStream,
+    StreamedResponse,
 )
 from daisyhub.exceptions import ErrorCode, Ran, Refusal
 from daisyhub.filters._attempts import AttemptOutcome, run_attempts
@@ -122,7 +122,7 @@
             answer = await self._send(req, state, fresh=action.fresh)
             failed = False
         except RequestFailedError as exc:
-            self._client.forget(state.address)
+            self._client.drop_idle_connections(state.address)
             return _make_failed_outcome(
                 action,
                 exc.ran,
@@ -138,14 +138,14 @@
             )
         self._table.apply_update(parse_endpoint_headers(state, answer.headers))
         if _NOT_RUN_HEADER in answer.headers:
-            if isinstance(answer, StreamedAnswer):
+            if isinstance(answer, StreamedResponse):
                 await answer.aclose()
             return _make_failed_outcome(action, Ran.NOT_RUN)
         return AttemptOutcome(AttemptCompleted(action.attempt), answer)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
-    ) -> HttpAnswer | StreamedAnswer:
+    ) -> HttpResponse | StreamedResponse:
         target = f"{req.path}?{req.query}" if req.query else req.path
         timeout_s = max(0.0, req.deadline_s - time.monotonic())
         if req.route.answer == "stream":
@@ -165,7 +165,7 @@
             headers=_endpoint_headers(req),
             body=req.body,
             timeout_s=timeout_s,
-            answer_bytes=self._limits.answer_bytes,
+            max_body_bytes=self._limits.answer_bytes,
             fresh=fresh,
         )
 
@@ -215,16 +215,16 @@
     return tuple(headers)
 
 
-def _make_response(answer: HttpAnswer | StreamedAnswer) -> Response:
+def _make_response(answer: HttpResponse | StreamedResponse) -> Response:
     headers = tuple(
         item for item in answer.headers if item[0] in RESPONSE_HEADERS
     )
     tokens = _parse_int_header(answer.headers, b"endpoint-tokens", 0)
-    if isinstance(answer, StreamedAnswer):
+    if isinstance(answer, StreamedResponse):
         return Response(
             status=answer.status,
             headers=headers,
-            stream=AnswerStream(answer),
+            stream=ResponseStream(answer),
             tokens=tokens,
         )
     return Response(
