--- a/daisyhub/cluster/__init__.py
+++ b/daisyhub/cluster/__init__.py
@@ -1,4 +1,4 @@
-"""The daemons of one system: who lives, what each knows, the true time."""
+"""Cluster state: live peers, relayed store calls, a shared clock."""
 
 from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._controller import ClusterController
--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -1,4 +1,4 @@
-"""Pings the other daemons and takes their pings."""
+"""Pings the other daemons of the cluster and handles their pings."""
 
 import time
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from daisyhub.cluster._cluster_clock import ClusterClock
 from daisyhub.cluster._messages import ManifestRequest, ManifestResponse, Ping
 from daisyhub.cluster._peers import PeerTable
-from daisyhub.cluster._ping_plan import PING_S, PingPlan
+from daisyhub.cluster._ping_plan import PING_INTERVAL_S, PingPlan
 from daisyhub.exceptions import DaisyhubError
 from daisyhub.logs import DecisionLog
 from daisyhub.objects import (
@@ -29,35 +29,43 @@
 
 DAEMONS_KIND = "daemons"
 _CALL_TIMEOUT_S = 0.5
-_REGISTER_PAUSE_S = 1.0
-# Rounds of pings between those that carry all addresses: they are two thirds
-# of a ping's bytes among 55 daemons, and change when a daemon comes.
-_ADDRESSES_EACH = 5
-# Seconds between looks at the store's list while no other daemon is heard.
-_LONELY_LOOK_S = 2.0
+_RETRY_DELAY_S = 1.0
+# Every so many rounds, the pings carry the addresses of all known daemons. The
+# addresses are two thirds of a ping's bytes in a cluster of 55 daemons and
+# change only when a daemon joins.
+_ADDRESS_LIST_ROUNDS = 5
+# Seconds between reads of the list of daemons in the store while no other
+# daemon is live.
+_DISCOVERY_INTERVAL_S = 2.0
 
 
 class _DaemonRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A daemon's object in the store: where its peer socket listens."""
+    """A daemon's object in the store.
+
+    Attributes:
+        address: Where its peer socket listens, `IP:PORT`.
+        domain: Its failure domain.
+    """
 
     address: str
     domain: str
 
 
 class ClusterController(Controller):
-    """Keeps the peer table and the true clock up to date.
+    """Keeps the peer table and the cluster clock up to date.
 
     Args:
         own_id: Id of this daemon.
         own_address: Where its peer socket listens.
-        seeds: Peer sockets known from the settings.
-        network: Sends and receives.
-        peers: The table to keep.
-        clock: Takes the peers' times.
-        manifests: Learns newer manifests from peers.
-        store: Where daemons find each other.
-        make_ping: Returns what to tell; its `peers` are filled in here.
-        log: Where decisions are noted.
+        seeds: Addresses of peer sockets from the settings.
+        network: Sends and receives messages.
+        peers: The table to update.
+        clock: The clock to update with the peers' times of day.
+        manifests: Receives newer manifests that peers have.
+        store: Holds one object per daemon, used for discovery.
+        make_ping: Returns the ping to send, without `peers`, which this
+            controller fills in.
+        log: Log of decisions.
     """
 
     name = "cluster"
@@ -92,11 +100,11 @@
         self._is_fetching = False
 
     def set_watchers(self, watchers: tuple[KindWatcher, ...]) -> None:
-        """Compares these watchers with what peers saw."""
+        """Sets the watchers that receive the newest revisions of peers."""
         self._watchers = watchers
 
     def status(self) -> dict[str, object]:
-        """Tells the daemons that are heard and those that aren't."""
+        """Returns the ids of the live and of the silent daemons."""
         live = {peer.daemon_id for peer in self._peers.live()}
         return {
             "live": sorted(live),
@@ -108,25 +116,28 @@
         }
 
     async def run(self) -> None:
-        """Registers, finds the others and pings until cancelled."""
+        """Registers this daemon, discovers peers and pings them regularly."""
         for number, seed in enumerate(self._seeds):
             if seed != self._own_address:
                 self._network.set_address(f"seed {number}", seed)
         async with anyio.create_task_group() as tasks:
-            tasks.start_soon(self._find_others)
+            tasks.start_soon(self._discover_peers)
             while True:
                 self.send_pings()
-                await anyio.sleep(PING_S)
-                for daemon_id in self._peers.note_time():
+                await anyio.sleep(PING_INTERVAL_S)
+                for daemon_id in self._peers.expire_peers():
                     self._addresses.pop(daemon_id, None)
                     self._network.drop_address(daemon_id)
                 if self._needs_manifest():
                     tasks.start_soon(self._fetch_manifest)
 
     def send_pings(self) -> None:
-        """Sends a ping to every daemon known, or a part of many in turn."""
+        """Pings the daemons that `PingPlan` chooses for this round.
+
+        The seeds are pinged as well while no peer is live.
+        """
         ping = self._make_ping()
-        if self._round % _ADDRESSES_EACH == 0:
+        if self._round % _ADDRESS_LIST_ROUNDS == 0:
             ping = msgspec.structs.replace(ping, peers=dict(self._addresses))
         self._round += 1
         has_duty = bool(ping.duties)
@@ -137,13 +148,16 @@
             {peer.daemon_id for peer in live if peer.ping.duties},
             has_duty=has_duty,
         )
-        unheard = not live
+        has_no_live_peer = not live
         seeds = [f"seed {n}" for n in range(len(self._seeds))]
-        for name in [*names, *(seeds if unheard else ())]:
+        for name in [*names, *(seeds if has_no_live_peer else ())]:
             self._network.send(name, ping)
 
-    def learn_address(self, daemon_id: str, address: str) -> None:
-        """Notes where a daemon listens."""
+    def set_peer_address(self, daemon_id: str, address: str) -> None:
+        """Sets the address at which a daemon's peer socket listens.
+
+        Ignores this daemon's id and empty addresses; logs invalid ones.
+        """
         if daemon_id == self._own_id or not address:
             return
         if self._addresses.get(daemon_id) == address:
@@ -157,26 +171,26 @@
         self._log.note("peer_learned", peer=daemon_id, address=address)
 
     def receive(self, envelope, message: object) -> None:
-        """Takes a ping."""
+        """Handles a ping of a peer; ignores other messages."""
         if not isinstance(message, Ping) or envelope.sender == self._own_id:
             return
         sender = envelope.sender
-        self.learn_address(sender, message.address)
+        self.set_peer_address(sender, message.address)
         for daemon_id, address in message.peers.items():
             if daemon_id not in self._addresses:
-                self.learn_address(daemon_id, address)
-        self._peers.note_ping(sender, envelope.incarnation, message)
-        self._clock.note(sender, message.wall_s)
+                self.set_peer_address(daemon_id, address)
+        self._peers.record_ping(sender, envelope.incarnation, message)
+        self._clock.record_peer_time(sender, message.wall_s)
         now_s = time.monotonic()
         for watcher in self._watchers:
             newest = message.newest.get(watcher.kind, 0)
-            watcher.note_peer_revision(newest, now_s)
+            watcher.record_peer_revision(newest, now_s)
 
-    async def _find_others(self) -> None:
-        """Writes the own object, then reads those of the others.
+    async def _discover_peers(self) -> None:
+        """Writes this daemon's object, then reads those of the others.
 
-        Of two daemons, the one that wrote later finds the other and pings
-        it; so neither needs to watch.
+        Of two daemons, the one that wrote its object later finds the other and
+        pings it, so neither needs a watch.
         """
         await self._register()
         while True:
@@ -184,16 +198,16 @@
                 listed = await self._store.list_all(DAEMONS_KIND)
             except ObjectStoreError as exc:
                 self._log.note("daemons_not_listed", reason=str(exc))
-                await anyio.sleep(_REGISTER_PAUSE_S)
+                await anyio.sleep(_RETRY_DELAY_S)
                 continue
             for found in listed.items:
-                self._note_daemon(found)
-            await anyio.sleep(_LONELY_LOOK_S)
+                self._add_listed_daemon(found)
+            await anyio.sleep(_DISCOVERY_INTERVAL_S)
             while self._peers.live():
-                await anyio.sleep(_LONELY_LOOK_S)
+                await anyio.sleep(_DISCOVERY_INTERVAL_S)
 
-    def _note_daemon(self, found: StoredObject) -> None:
-        """Takes a daemon's object from the store."""
+    def _add_listed_daemon(self, found: StoredObject) -> None:
+        """Sets a daemon's address from its object unless the daemon is live."""
         try:
             record = msgspec.json.decode(found.spec, type=_DaemonRecord)
         except msgspec.DecodeError as exc:
@@ -203,12 +217,12 @@
             return
         peer = self._peers.get(found.name)
         if peer is None or not self._peers.is_live(found.name):
-            self.learn_address(found.name, record.address)
+            self.set_peer_address(found.name, record.address)
 
     async def handle_manifest_request(
         self, _: ManifestRequest
     ) -> ManifestResponse:
-        """Hands the manifest in force to a peer."""
+        """Returns the active manifest to a peer."""
         return ManifestResponse(found=self._manifests.active_object)
 
     def _needs_manifest(self) -> bool:
@@ -220,12 +234,12 @@
         )
 
     async def _fetch_manifest(self) -> None:
-        """Asks the live peer with the newest manifest for it."""
+        """Fetches the manifest from the live peer that has the newest one."""
         peers = self._peers.live()
         newest = max(peers, key=lambda p: p.ping.manifest_revision)
         self._is_fetching = True
         try:
-            answer = await self._network.call(
+            response = await self._network.call(
                 newest.daemon_id, ManifestRequest(), _CALL_TIMEOUT_S
             )
         except DaisyhubError as exc:
@@ -237,11 +251,11 @@
             return
         finally:
             self._is_fetching = False
-        if answer.found is not None:
-            self._manifests.adopt(answer.found, newest.daemon_id)
+        if response.found is not None:
+            self._manifests.adopt(response.found, newest.daemon_id)
 
     async def _register(self) -> None:
-        """Writes the own object, until the store holds this address."""
+        """Writes this daemon's object to the store; retries after failures."""
         record = _DaemonRecord(
             address=str(self._own_address), domain=self._make_ping().domain
         )
@@ -251,7 +265,7 @@
                 await self._write_record(spec)
             except (ObjectStoreError, ObjectConflictError) as exc:
                 self._log.note("register_failed", reason=str(exc))
-                await anyio.sleep(_REGISTER_PAUSE_S)
+                await anyio.sleep(_RETRY_DELAY_S)
                 continue
             return
 
--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -23,21 +23,22 @@
 
 
 class Ping(msgspec.Struct, frozen=True, kw_only=True, tag="ping"):
-    """What a daemon tells its peers several times a second.
+    """The state of a daemon, sent to its peers several times a second.
 
     Attributes:
         domain: Its failure domain.
         address: Where its peer socket listens, `IP:PORT`.
         wall_s: Its time of day, seconds since 1970.
         is_leaving: Whether it is shutting down.
-        reaches_store: Whether its last call of the store succeeded.
-        manifest_revision: Revision of the manifest in force there, 0 for none.
-        newest: Revision of the newest change that it saw, by kind.
-        duties: Fencing numbers of the duties that it holds.
-        usage: What it counted in recent windows.
-        speed: Its machine's processor, in cores.
+        reaches_store: Whether its last direct call of the store succeeded.
+        manifest_revision: Revision of its active manifest, 0 for none.
+        newest: Revision of the newest change that it received, by kind.
+        duties: Fencing numbers of the duties that it holds, by duty.
+        usage: Its usage counts of recent windows.
+        speed: Speed of its machine's processor, in cores.
         closed_before: The first window whose counts may still rise there.
-        peers: Addresses of the daemons that it hears, by id; in some pings.
+        peers: Addresses of the daemons that it knows, by id. Only some pings
+            carry them.
     """
 
     domain: str
@@ -55,15 +56,15 @@
 
 
 class StoreRequest(msgspec.Struct, frozen=True, kw_only=True, tag="sq"):
-    """Asks a peer to carry a call of the store.
+    """Asks a peer to relay a call to the store.
 
     Attributes:
         verb: Name of the method of `ObjectStore`.
         kind: Kind of the objects.
-        name: Name of the object, if it is about one.
-        content: The spec or the status, JSON.
-        revision: Revision that a write expects, or a watch goes on from.
-        wait_s: How long a watch waits.
+        name: Name of the object, empty for a list or a watch.
+        content: The spec or the status to write, JSON.
+        revision: Revision that a write expects, or after which a watch starts.
+        wait_s: Maximum wait of a watch, in seconds.
     """
 
     verb: str
@@ -75,13 +76,13 @@
 
 
 class StoreResponse(msgspec.Struct, frozen=True, kw_only=True, tag="sa"):
-    """What a carried call brought.
+    """The result of a relayed store call.
 
     Attributes:
-        failure: `conflict`, `history_gone`, `unavailable`, or empty.
-        detail: One sentence on the failure.
-        may_be_done: Whether a call that failed may have taken effect.
-        found: The object that was read, written or met.
+        failure: `conflict`, `history_gone` or `unavailable`; empty on success.
+        detail: One sentence that describes the failure.
+        may_be_done: Whether a failed call may have taken effect.
+        found: The object that was read, written or in conflict.
         revision: The revision of a list or a watch.
         items: The objects of a list, or the changes of a watch.
     """
@@ -95,22 +96,22 @@
 
 
 class ManifestRequest(msgspec.Struct, frozen=True, kw_only=True, tag="mq"):
-    """Asks for the manifest in force."""
+    """Requests the active manifest."""
 
 
 class ManifestResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ma"):
-    """The manifest in force, None if there is none."""
+    """The active manifest, None if there is none."""
 
     found: StoredObject | None
 
 
 class LotResultsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="rq"):
-    """Asks a lot's holder for results.
+    """Requests results of a lot from its holder.
 
     Attributes:
         lot_id: The lot.
-        after: First position wanted.
-        wait_s: How long to wait if there is none yet.
+        after: First position requested.
+        wait_s: Maximum wait in seconds if there is no result yet.
     """
 
     lot_id: str
@@ -119,38 +120,38 @@
 
 
 class LotItemBodyRequest(msgspec.Struct, frozen=True, kw_only=True, tag="bq"):
-    """Asks a lot's holder for the body of an item."""
+    """Requests the body of an item from the lot's holder."""
 
     lot_id: str
     item_id: str
 
 
 class LotHeadRequest(msgspec.Struct, frozen=True, kw_only=True, tag="hq"):
-    """Asks a lot's holder for the lot without its items."""
+    """Requests a lot without its items from its holder."""
 
     lot_id: str
 
 
 class LotAcceptedNotification(msgspec.Struct, frozen=True, tag="lt"):
-    """Tells a lot's holder that the lot was accepted; `head` is encoded."""
+    """Notifies the holder of a lot that was accepted; `head` is JSON."""
 
     head: bytes
 
 
 class LotEndedNotification(msgspec.Struct, frozen=True, tag="le"):
-    """Tells a lot's holder that the lot was ended."""
+    """Notifies the holder of a lot that the lot was ended."""
 
     lot_id: str
 
 
 class LotResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
-    """A holder's answer.
+    """A holder's response to a request about a lot.
 
     Attributes:
-        is_held: Whether the daemon holds the lot at all.
-        content: Encoded results, an encoded head, or an item's body.
-        is_found: Whether what was asked for exists.
-        is_ended: Whether the lot was ended; the store tells its results.
+        is_held: Whether the daemon is the lot's holder and can serve it.
+        content: Results as JSON, a head as JSON, or an item's body.
+        is_found: Whether the requested item exists.
+        is_ended: Whether the lot was ended; its results are in the store.
     """
 
     is_held: bool
@@ -160,7 +161,7 @@
 
 
 class _Call(msgspec.Struct, frozen=True, kw_only=True, tag="call"):
-    """Asks for one answer; `call_id` is unique for the sender."""
+    """A request that expects one response; `call_id` is unique per sender."""
 
     call_id: int
     content: (
@@ -172,15 +173,15 @@
     )
 
 
-class _CallAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
-    """Answers a call; without content the callee could not serve it."""
+class _CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
+    """The response to a call; `content` is None if the call failed."""
 
     call_id: int
     content: StoreResponse | ManifestResponse | LotResponse | None
 
 
 class _Envelope(msgspec.Struct, frozen=True, kw_only=True):
-    """All messages of one sender to one receiver at one time."""
+    """Messages that one daemon sends to another in one transmission."""
 
     sender: str
     incarnation: int
@@ -189,9 +190,9 @@
         | LotAcceptedNotification
         | LotEndedNotification
         | _Call
-        | _CallAnswer,
+        | _CallResponse,
         ...,
     ]
 
 
-CLUSTER_PROTOCOL = PeerProtocol(_Envelope, _Call, _CallAnswer)
+CLUSTER_PROTOCOL = PeerProtocol(_Envelope, _Call, _CallResponse)
--- a/daisyhub/cluster/_store_calls.py
+++ b/daisyhub/cluster/_store_calls.py
@@ -1,4 +1,4 @@
-"""Store calls that one daemon carries for another."""
+"""Store calls that one daemon relays for another."""
 
 from collections.abc import Awaitable
 
@@ -22,19 +22,19 @@
 
 
 class StoreRequestHandler:
-    """Answers peers' store calls over the own direct way.
+    """Handles peers' store requests with direct calls to the store.
 
     Args:
-        store: The store as this daemon reaches it.
+        store: Calls the store directly, never through a peer.
     """
 
     def __init__(self, store: ObjectStore):
         self._store = store
 
-    async def answer(self, asked: StoreRequest) -> StoreResponse:
-        """Carries out one call."""
+    async def handle(self, request: StoreRequest) -> StoreResponse:
+        """Makes one store call and returns its result or failure."""
         try:
-            return await self._answer(asked)
+            return await self._execute(request)
         except ObjectConflictError as exc:
             return StoreResponse(
                 failure="conflict", detail=str(exc), found=exc.found
@@ -48,9 +48,9 @@
                 may_be_done=exc.may_be_done,
             )
 
-    async def _answer(self, asked: StoreRequest) -> StoreResponse:
-        store, kind, name = self._store, asked.kind, asked.name
-        match asked.verb:
+    async def _execute(self, request: StoreRequest) -> StoreResponse:
+        store, kind, name = self._store, request.kind, request.name
+        match request.verb:
             case "read":
                 return StoreResponse(found=await store.read(kind, name))
             case "list":
@@ -60,32 +60,33 @@
                 )
             case "watch":
                 batch = await store.watch(
-                    kind, after_revision=asked.revision, wait_s=asked.wait_s
+                    kind, after_revision=request.revision, wait_s=request.wait_s
                 )
                 return StoreResponse(
                     revision=batch.revision, items=batch.changes
                 )
             case "create":
-                found = await store.create(kind, name, asked.content)
+                found = await store.create(kind, name, request.content)
                 return StoreResponse(found=found)
             case "replace":
                 found = await store.replace(
-                    kind, name, asked.content, revision=asked.revision
+                    kind, name, request.content, revision=request.revision
                 )
                 return StoreResponse(found=found)
             case "set_status":
-                found = await store.set_status(kind, name, asked.content)
+                found = await store.set_status(kind, name, request.content)
                 return StoreResponse(found=found)
             case "delete":
                 await store.delete(kind, name)
                 return StoreResponse()
         raise ObjectStoreError(
-            f"a peer asked for {asked.verb!r}", may_be_done=False
+            f"unknown verb {request.verb!r} in a peer's store request",
+            may_be_done=False,
         )
 
 
 class _PeerStore(ObjectStore):
-    """The store as one peer reaches it."""
+    """Calls the store through one peer."""
 
     def __init__(self, network: PeerNetwork, peer_id: str, timeout_s: float):
         self._network = network
@@ -95,15 +96,15 @@
     async def read(
         self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
-        del can_be_stale  # The few calls that peers carry are never late.
-        answer = await self._call(
+        del can_be_stale  # Peers relay few calls, so none needs to be stale.
+        response = await self._call(
             StoreRequest(verb="read", kind=kind, name=name)
         )
-        return answer.found
+        return response.found
 
     async def list_all(self, kind: str) -> ObjectList:
-        answer = await self._call(StoreRequest(verb="list", kind=kind))
-        return ObjectList(revision=answer.revision, items=answer.items)
+        response = await self._call(StoreRequest(verb="list", kind=kind))
+        return ObjectList(revision=response.revision, items=response.items)
 
     async def watch(
         self,
@@ -114,69 +115,72 @@
         can_be_stale: bool = False,
     ) -> WatchBatch:
         del can_be_stale
-        asked = StoreRequest(
+        request = StoreRequest(
             verb="watch", kind=kind, revision=after_revision, wait_s=wait_s
         )
-        answer = await self._call(asked, wait_s)
-        return WatchBatch(revision=answer.revision, changes=answer.items)
+        response = await self._call(request, wait_s)
+        return WatchBatch(revision=response.revision, changes=response.items)
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
-        asked = StoreRequest(verb="create", kind=kind, name=name, content=spec)
-        return (await self._call(asked)).found
+        request = StoreRequest(
+            verb="create", kind=kind, name=name, content=spec
+        )
+        return (await self._call(request)).found
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
     ) -> StoredObject:
-        asked = StoreRequest(
+        request = StoreRequest(
             verb="replace",
             kind=kind,
             name=name,
             content=spec,
             revision=revision,
         )
-        return (await self._call(asked)).found
+        return (await self._call(request)).found
 
     async def set_status(
         self, kind: str, name: str, status: bytes
     ) -> StoredObject | None:
-        asked = StoreRequest(
+        request = StoreRequest(
             verb="set_status", kind=kind, name=name, content=status
         )
-        return (await self._call(asked)).found
+        return (await self._call(request)).found
 
     async def delete(self, kind: str, name: str) -> None:
         await self._call(StoreRequest(verb="delete", kind=kind, name=name))
 
     async def _call(
-        self, asked: StoreRequest, wait_s: float = 0
+        self, request: StoreRequest, wait_s: float = 0
     ) -> StoreResponse:
-        is_write = asked.verb not in _READS
+        is_write = request.verb not in _READS
         call: Awaitable = self._network.call(
-            self._peer_id, asked, self._timeout_s + wait_s
+            self._peer_id, request, self._timeout_s + wait_s
         )
         try:
-            answer = await call
+            response = await call
         except PeerUnreachableError as exc:
             raise ObjectStoreError(str(exc), may_be_done=is_write) from exc
-        detail = f"by {self._peer_id}: {answer.detail}"
-        match answer.failure:
+        detail = f"relayed by {self._peer_id}: {response.detail}"
+        match response.failure:
             case "":
-                return answer
+                return response
             case "conflict":
-                raise ObjectConflictError(detail, answer.found)
+                raise ObjectConflictError(detail, response.found)
             case "history_gone":
                 raise HistoryGoneError(detail)
-        raise ObjectStoreError(detail, may_be_done=answer.may_be_done)
+        raise ObjectStoreError(detail, may_be_done=response.may_be_done)
 
 
 class PeerRelayProvider(RelayProvider):
-    """Finds peers that reach the store.
+    """Provides relays through live peers that reach the store.
 
     Args:
         network: Calls peers.
-        peers: Tells who reaches the store.
+        peers: Known peers and whether they reach the store.
         domain: Failure domain of this daemon.
-        timeout_s: Longest wait for a carried call, besides a watch's wait.
+        timeout_s: Timeout of a relayed call in seconds, to which a watch adds
+            its own wait.
     """
 
     def __init__(
@@ -192,10 +196,10 @@
         self._timeout_s = timeout_s
 
     def stores(self) -> list[ObjectStore]:
-        """Returns the stores of live peers, those of other domains last."""
-        reaching = [p for p in self._peers.live() if p.ping.reaches_store]
-        reaching.sort(key=lambda p: p.ping.domain != self._domain)
+        """Returns the relays, those in other failure domains last."""
+        connected = [p for p in self._peers.live() if p.ping.reaches_store]
+        connected.sort(key=lambda p: p.ping.domain != self._domain)
         return [
             _PeerStore(self._network, p.daemon_id, self._timeout_s)
-            for p in reaching
+            for p in connected
         ]
--- a/daisyhub/cluster/_verifier.py
+++ b/daisyhub/cluster/_verifier.py
@@ -1,7 +1,7 @@
 """Compares watches with the store while this daemon has a duty.
 
-One daemon looks, as each look is a call of the store; the others hear of what
-it finds by its pings.
+Only one daemon does so, as each comparison costs a call to the store. The
+others learn of missed changes from the revisions in its pings.
 """
 
 import anyio
@@ -11,17 +11,17 @@
 
 __all__ = ["WatchVerifier"]
 
-# Seconds between looks: with a ping and a fetch, a change is in force well
-# before the two seconds after which it must be.
-_VERIFY_S = 1.0
+# Seconds between comparisons. With the time for a ping and a fetch added, a
+# missed change becomes active well within the required two seconds.
+_VERIFY_INTERVAL_S = 1.0
 
 
 class WatchVerifier(Controller):
-    """Verifies watchers, one after the other.
+    """Verifies all watchers at an interval, concurrently.
 
     Args:
-        duty: Tells whether this daemon is the one that looks.
-        watchers: What to verify.
+        duty: The duty whose holder verifies.
+        watchers: The watchers to verify.
     """
 
     name = "watch_verifier"
@@ -31,13 +31,13 @@
         self._watchers = watchers
 
     def status(self) -> dict[str, object]:
-        """Tells the kinds that are verified."""
+        """Returns the kinds that are verified."""
         return {"kinds": [watcher.kind for watcher in self._watchers]}
 
     async def run(self) -> None:
         """Verifies until cancelled."""
         while True:
-            await anyio.sleep(_VERIFY_S)
+            await anyio.sleep(_VERIFY_INTERVAL_S)
             if not self._duty.fencing:
                 continue
             async with anyio.create_task_group() as tasks:
--- a/daisyhub/cluster/tests/__init__.py
+++ b/daisyhub/cluster/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests."""
+"""Tests of the cluster package."""
--- a/daisyhub/cluster/tests/test_cluster_controller.py
+++ b/daisyhub/cluster/tests/test_cluster_controller.py
@@ -1,4 +1,4 @@
-"""Daemons find each other without watching, and hear who has a duty."""
+"""Daemons discover each other without a watch and track duty holders."""
 
 import types
 import unittest
@@ -56,7 +56,7 @@
 
 
 class ClusterControllerTest(unittest.IsolatedAsyncioTestCase):
-    async def meet(self, store, count):
+    async def discover(self, store, count):
         hub = {}
         daemons = [new_daemon(hub, store, n) for n in range(count)]
         async with anyio.create_task_group() as tasks:
@@ -67,16 +67,16 @@
                     await anyio.sleep(0.01)
             tasks.cancel_scope.cancel()
 
-    async def test_daemons_that_start_together_find_each_other(self):
+    async def test_daemons_started_together_discover_each_other(self):
         store = MemoryStore()
-        await self.meet(store, 8)
+        await self.discover(store, 8)
         self.assertEqual(store.calls["watch"], 0)
         self.assertEqual(store.calls["create"], 8)
 
-    async def test_a_list_that_fails_is_asked_for_again(self):
+    async def test_a_failed_list_is_retried(self):
         store = MemoryStore()
         store.fail_next("list_all", Fault.REFUSED, Fault.REFUSED)
-        await self.meet(store, 3)
+        await self.discover(store, 3)
 
 
 class PeerTableTest(unittest.TestCase):
@@ -87,29 +87,29 @@
         self.addCleanup(clock.stop)
         self.peers = PeerTable("own", LOG)
 
-    def hear(self, name, **told):
-        ping = Ping(domain="z", address="127.0.0.1:1", wall_s=0.0, **told)
-        self.peers.note_ping(name, 1, ping)
+    def receive_ping(self, name, **fields):
+        ping = Ping(domain="z", address="127.0.0.1:1", wall_s=0.0, **fields)
+        self.peers.record_ping(name, 1, ping)
 
-    def test_many_daemons_ping_in_turn_and_count_as_live_meanwhile(self):
+    def test_many_daemons_ping_in_rotation_and_stay_live_between_pings(self):
         for number in range(54):
-            self.hear(f"d{number}")
-        self.hear("holder", duties={"rollouts": 1}, reaches_store=True)
+            self.receive_ping(f"d{number}")
+        self.receive_ping("holder", duties={"rollouts": 1}, reaches_store=True)
         self.now_s += 2.0
         live = {peer.daemon_id for peer in self.peers.live()}
         self.assertEqual(len(live), 54)
         self.assertNotIn("holder", live)
         self.assertFalse(self.peers.has_live_holder_with_store())
 
-    def test_a_holder_that_reaches_the_store_tells_of_changes(self):
-        self.hear("a", duties={"rollouts": 1}, reaches_store=False)
+    def test_a_duty_holder_counts_only_if_it_reaches_the_store(self):
+        self.receive_ping("a", duties={"rollouts": 1}, reaches_store=False)
         self.assertFalse(self.peers.has_live_holder_with_store())
-        self.hear("b", duties={"accounts": 1}, reaches_store=True)
+        self.receive_ping("b", duties={"accounts": 1}, reaches_store=True)
         self.assertTrue(self.peers.has_live_holder_with_store())
 
 
 class PingTest(unittest.TestCase):
-    def test_a_ping_of_an_older_release_is_read(self):
+    def test_a_ping_of_an_older_release_is_decoded(self):
         old = {"type": "ping", "domain": "z", "address": "", "wall_s": 0.0}
         ping = msgspec.msgpack.decode(msgspec.msgpack.encode(old), type=Ping)
         self.assertEqual(ping.speed, 0.0)
