--- a/daisyhub/peers/__init__.py
+++ b/daisyhub/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Messages between daemons."""
+"""Membership and messages between daemons."""
 
 from daisyhub.peers._membership import (
     HeartbeatReceived,
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -1,11 +1,14 @@
-"""Decides which daemons to tell, and which ones are live.
-
-A daemon tells only a few others. Inside its failure domain these are the next
-live ones on the ring of sorted ids and one that changes with each tick; each
-heartbeat carries the highest beat known of every member, so that all hear of
-all within some ticks. To other failure domains only relays talk, the lowest
-live ids. A beat is the incarnation plus the ticks since, so that one number
-orders both.
+"""Chooses the targets of heartbeats and determines which daemons are live.
+
+This is a gossip protocol. A daemon sends heartbeats to only a few others. In
+its failure domain these are its live successor on the ring of sorted ids and
+one member in rotation. Each heartbeat carries the highest known beat of every
+member, so that each beat reaches all members within some ticks. At each tick,
+only relays, the live daemons with the lowest ids, also send heartbeats to other
+failure domains.
+
+A beat is the incarnation plus the number of ticks since the start, so that one
+number orders both.
 """
 
 import dataclasses
@@ -25,18 +28,18 @@
 ]
 
 _SUCCESSORS = 1
-_LIVE_TICKS = 10
-_RELAYS = 2
-_RELAY_TARGETS = 3
+_TIMEOUT_TICKS = 10
+_RELAY_COUNT = 2
+_TARGETS_PER_DOMAIN = 3
 _DOMAINS_PER_TICK = 4
 _HASH_BYTES = 4
-# Incarnations are microseconds, ticks take longer: a step of at least this
-# size tells a restart.
+# A beat rises by 1 per tick, and ticks are much longer than the microseconds in
+# which incarnations count. A rise by at least this much means a restart.
 _RESTART_STEP = 500_000
 
 
 def hash_member_id(daemon_id: str) -> int:
-    """Returns the short name of a daemon in heartbeats."""
+    """Returns the hash that identifies a daemon in heartbeats."""
     digest = hashlib.blake2b(daemon_id.encode(), digest_size=_HASH_BYTES)
     return int.from_bytes(digest.digest(), "big")
 
@@ -48,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeartbeatReceived:
-    """Event: a heartbeat came in."""
+    """Event: a heartbeat was received."""
 
     sender: str
     heartbeat: Heartbeat
@@ -56,7 +59,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LocalStateChanged:
-    """Event: what this daemon tells of itself has changed."""
+    """Event: the state that this daemon announces has changed.
+
+    The attributes are those of `Heartbeat`.
+    """
 
     config_version: int
     withdrawn_keys: int
@@ -75,12 +81,14 @@
 @dataclasses.dataclass(slots=True)
 class _Member:
     beat: int = 0
-    advanced_s: float = float("-inf")
+    last_advanced_s: float = float("-inf")
     is_leaving: bool = False
 
 
 class MembershipCore(Core):
-    """What one daemon knows of the others; times are on any steady clock.
+    """Tracks the members of the failure domain and plans heartbeats.
+
+    Times may be on any monotonic clock.
 
     Args:
         cfg: Settings of this daemon.
@@ -91,47 +99,47 @@
         self.cfg = cfg
         self.incarnation = incarnation
         self._beat = incarnation
-        self._posture = LocalStateChanged(0, 0, "")
-        self._next_s: float | None = 0.0
+        self._local_state = LocalStateChanged(0, 0, "")
+        self._next_tick_s: float | None = 0.0
         self._members = {p.daemon_id: _Member() for p in cfg.domain_peers}
         self._ids = {hash_member_id(name): name for name in self._members}
-        self._others: dict[str, list[str]] = {}
+        self._other_domains: dict[str, list[str]] = {}
         for peer in sorted(cfg.peers, key=lambda p: p.daemon_id):
             if peer.failure_domain != cfg.failure_domain:
-                ids = self._others.setdefault(peer.failure_domain, [])
+                ids = self._other_domains.setdefault(peer.failure_domain, [])
                 ids.append(peer.daemon_id)
-        self._domain_names = sorted(self._others)
+        self._domain_names = sorted(self._other_domains)
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When the next tick is due."""
-        return self._next_s
+        """The time at which the next tick is due."""
+        return self._next_tick_s
 
     def live_members(self, now_s: float) -> list[str]:
-        """Returns the live daemons of the own domain but this, sorted."""
-        limit_s = now_s - _LIVE_TICKS * self.cfg.timing.peer_tick_s
+        """Returns the other live daemons of the own domain, sorted by id."""
+        limit_s = now_s - _TIMEOUT_TICKS * self.cfg.timing.peer_tick_s
         return sorted(
             name
             for name, member in self._members.items()
-            if member.advanced_s >= limit_s and not member.is_leaving
+            if member.last_advanced_s >= limit_s and not member.is_leaving
         )
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns heartbeats to send."""
+        """Handles one event and returns the heartbeats to send."""
         match event:
             case MembershipTick():
                 return self._on_tick(now_s)
             case HeartbeatReceived():
                 return self._on_heartbeat(event, now_s)
             case LocalStateChanged():
-                return self._on_posture(event, now_s)
+                return self._on_local_state(event, now_s)
         raise TypeError(f"not a membership event: {event!r}")
 
     def _on_tick(self, now_s: float) -> list[object]:
         self._beat += 1
-        self._next_s = now_s + self.cfg.timing.peer_tick_s
+        self._next_tick_s = now_s + self.cfg.timing.peer_tick_s
         ticks = self._beat - self.incarnation
-        actions = [self._to_domain(self.next_targets(now_s))]
+        actions = [self._domain_heartbeat(self.next_targets(now_s))]
         if self._is_relay(now_s) and self._domain_names:
             count = min(_DOMAINS_PER_TICK, len(self._domain_names))
             first = ticks * count
@@ -139,27 +147,28 @@
                 self._domain_names[(first + n) % len(self._domain_names)]
                 for n in range(count)
             ]
-            actions.append(self._to_others(names, ticks))
+            actions.append(self._relay_heartbeat(names, ticks))
         return actions
 
-    def _on_posture(self, event: LocalStateChanged, now_s) -> list[object]:
-        if event == self._posture:
+    def _on_local_state(self, event: LocalStateChanged, now_s) -> list[object]:
+        if event == self._local_state:
             return []
-        self._posture = event
+        self._local_state = event
         targets = self.next_targets(now_s)
         if event.is_leaving:
             targets = tuple(sorted(self._members))
-        actions = [self._to_domain(targets)]
+        actions = [self._domain_heartbeat(targets)]
         if self._is_relay(now_s):
             ticks = self._beat - self.incarnation
-            actions.append(self._to_others(self._domain_names, ticks))
+            actions.append(self._relay_heartbeat(self._domain_names, ticks))
         return actions
 
     def next_targets(self, now_s: float) -> tuple[str, ...]:
-        """Returns the daemons of the own domain to tell now.
+        """Returns the daemons of the own domain to send to at this tick.
 
-        The ring goes through live members only; one in turn of all members,
-        live or not, lets the parts of a domain find each other again.
+        The ring contains only live members. The additional member is chosen in
+        rotation from all members, live or not, so that the parts of a domain
+        find each other again after a partition.
         """
         live = self.live_members(now_s)
         own = self.cfg.daemon_id
@@ -173,9 +182,9 @@
 
     def _is_relay(self, now_s: float) -> bool:
         live = self.live_members(now_s)
-        return sum(n < self.cfg.daemon_id for n in live) < _RELAYS
+        return sum(n < self.cfg.daemon_id for n in live) < _RELAY_COUNT
 
-    def _to_domain(self, targets: tuple[str, ...]) -> SendHeartbeat:
+    def _domain_heartbeat(self, targets: tuple[str, ...]) -> SendHeartbeat:
         beats = [
             MemberBeat(hash_member_id(name), member.beat, member.is_leaving)
             for name, member in sorted(self._members.items())
@@ -183,21 +192,21 @@
         ]
         return SendHeartbeat(targets, self._heartbeat(tuple(beats)))
 
-    def _to_others(self, domains: list[str], turn: int) -> SendHeartbeat:
+    def _relay_heartbeat(self, domains: list[str], turn: int) -> SendHeartbeat:
         targets = []
         for domain in domains:
-            lowest = self._others[domain][:_RELAY_TARGETS]
+            lowest = self._other_domains[domain][:_TARGETS_PER_DOMAIN]
             targets.append(lowest[turn % len(lowest)])
         return SendHeartbeat(tuple(targets), self._heartbeat(()))
 
     def _heartbeat(self, members: tuple[MemberBeat, ...]) -> Heartbeat:
-        posture = self._posture
+        state = self._local_state
         return Heartbeat(
             incarnation=self.incarnation,
-            config_version=posture.config_version,
-            withdrawn_keys=posture.withdrawn_keys,
-            withdrawn_digest=posture.withdrawn_digest,
-            is_leaving=posture.is_leaving,
+            config_version=state.config_version,
+            withdrawn_keys=state.withdrawn_keys,
+            withdrawn_digest=state.withdrawn_digest,
+            is_leaving=state.is_leaving,
             beat=self._beat,
             members=members,
         )
@@ -205,20 +214,25 @@
     def _on_heartbeat(self, event: HeartbeatReceived, now_s) -> list[object]:
         beat = event.heartbeat
         if event.sender in self._members:
-            self._note(event.sender, beat.beat, beat.is_leaving, now_s)
+            self._record_beat(event.sender, beat.beat, beat.is_leaving, now_s)
             for member in beat.members:
                 name = self._ids.get(member.name_hash)
                 if name is not None:
-                    self._note(name, member.beat, member.is_leaving, now_s)
-        own = self._posture
-        told = (beat.config_version, beat.withdrawn_keys)
-        if told >= (own.config_version, own.withdrawn_keys):
+                    self._record_beat(
+                        name, member.beat, member.is_leaving, now_s
+                    )
+        own = self._local_state
+        received = (beat.config_version, beat.withdrawn_keys)
+        if received >= (own.config_version, own.withdrawn_keys):
             return []
-        # The sender is behind: it hears at once who is ahead.
+        # The sender has an older state; respond at once so that it can fetch
+        # the newer one.
         return [SendHeartbeat((event.sender,), self._heartbeat(()))]
 
-    def _note(self, name, beat: int, is_leaving: bool, now_s: float) -> None:
-        """Takes a member's beat; leaving is final for an incarnation."""
+    def _record_beat(
+        self, name, beat: int, is_leaving: bool, now_s: float
+    ) -> None:
+        """Records a member's beat; leaving is final for an incarnation."""
         member = self._members[name]
         if beat < member.beat:
             return
@@ -226,5 +240,5 @@
             if beat - member.beat >= _RESTART_STEP:
                 member.is_leaving = False
             member.beat = beat
-            member.advanced_s = now_s
+            member.last_advanced_s = now_s
         member.is_leaving = member.is_leaving or is_leaving
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -30,11 +30,11 @@
 
 
 class MemberBeat(msgspec.Struct, frozen=True, array_like=True):
-    """The highest beat that the sender knows of one daemon.
+    """The highest beat of one daemon that the sender knows.
 
     Attributes:
         name_hash: Short hash of the daemon's id.
-        beat: Its incarnation plus its ticks since.
+        beat: Its incarnation plus the number of ticks since its start.
         is_leaving: Whether it is shutting down.
     """
 
@@ -44,16 +44,17 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="hb"):
-    """Sent at each tick to a few daemons.
+    """The state of a daemon, sent at each tick to a few others.
 
     Attributes:
         incarnation: Start of the process, microseconds since the epoch.
-        config_version: The version in force there.
-        withdrawn_keys: How many key ids it knows to be withdrawn.
+        config_version: Its active configuration version.
+        withdrawn_keys: Number of key ids that it knows to be withdrawn.
         is_leaving: Whether it is shutting down.
         withdrawn_digest: Digest of these key ids.
-        beat: The incarnation plus the ticks since.
-        members: What the sender knows of its failure domain.
+        beat: The incarnation plus the number of ticks since the start.
+        members: Known beats of the members of the sender's failure domain;
+            empty in heartbeats to other domains and in responses.
     """
 
     incarnation: int
@@ -66,32 +67,32 @@
 
 
 class EndpointUpdateBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
-    """News of endpoints since the last tick."""
+    """Endpoint updates since the last batch, or those of leaving endpoints."""
 
     news: tuple[EndpointUpdate, ...]
 
 
 class UsageCopy(msgspec.Struct, frozen=True, kw_only=True, tag="uc"):
-    """Usage parts, kept by peers in case their daemon dies unflushed."""
+    """Copies of usage parts, kept in case their daemon dies before a flush."""
 
     parts: tuple[UsagePart, ...]
 
 
 class UsageCopyAck(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
-    """Tells a peer that its parts up to `number` of `epoch` are kept."""
+    """Acknowledges that copies of parts up to `number` of `epoch` are kept."""
 
     epoch: int
     number: int
 
 
 class ConfigRequest(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
-    """Asks a peer for its head and for sections that aren't known here."""
+    """Requests a peer's head and the sections whose digests aren't listed."""
 
     known_digests: tuple[str, ...]
 
 
 class ConfigResponse(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
-    """A head, the section texts asked for, and the withdrawn keys."""
+    """A head, the requested section texts by digest, and the withdrawn keys."""
 
     head: ConfigHead
     contents: dict[str, str]
@@ -99,23 +100,23 @@
 
 
 class EndpointsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
-    """Asks a peer of the same failure domain for its endpoints."""
+    """Requests the endpoints of a peer of the same failure domain."""
 
 
 class EndpointsResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
-    """The endpoints that a daemon knows, as the platform would list them."""
+    """The endpoints that a daemon knows, in the form of the platform's list."""
 
     records: tuple[EndpointRecord, ...]
 
 
 class LotCallRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
-    """A trainer's call, passed on to the daemon that holds the lot.
+    """A trainer's call, forwarded to the daemon that holds the lot.
 
     Attributes:
         lot_id: The lot.
         verb: `open`, `pull`, `ack` or `close`.
         account: Client account of the trainer's key.
-        body: The call's JSON.
+        body: The call's body, JSON.
     """
 
     lot_id: str
@@ -125,13 +126,13 @@
 
 
 class LotCallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
-    """The holder's answer to a `LotCallRequest`.
+    """The holder's response to a `LotCallRequest`.
 
     Attributes:
         status: HTTP status.
         body: JSON.
-        retry_after_s: When to ask again, if the call was refused.
-        is_elsewhere: Whether the daemon doesn't hold the lot.
+        retry_after_s: Seconds after which to retry a refused call, or None.
+        is_elsewhere: Whether the responding daemon doesn't hold the lot.
     """
 
     status: int
@@ -141,26 +142,26 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True, tag="call"):
-    """Asks for one answer; `call_id` is unique for the sender."""
+    """A request that expects one response; `call_id` is unique per sender."""
 
     call_id: int
     content: ConfigRequest | EndpointsRequest | LotCallRequest
 
 
 class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
-    """Answers a call; without content the callee could not serve it."""
+    """The response to a call; `content` is None if the call failed."""
 
     call_id: int
     content: ConfigResponse | EndpointsResponse | LotCallResponse | None
 
 
 class RateLoanRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
-    """Asks to borrow parts of accounts' limits.
+    """Requests a loan of parts of accounts' rate limits.
 
     Attributes:
-        incarnation: Of the asker.
-        stamp_s: The asker's clock; the grant repeats both.
-        wants: Accounts and quanta.
+        incarnation: Incarnation of the requester, repeated in the grant.
+        stamp_s: Time on the requester's clock, repeated in the grant.
+        wants: Accounts and the number of quanta requested of each.
     """
 
     incarnation: int
@@ -169,7 +170,7 @@
 
 
 class RateLoanGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
-    """Lends parts of accounts' limits, in answer to a `RateLoanRequest`."""
+    """The response to a `RateLoanRequest`: the accounts and quanta lent."""
 
     incarnation: int
     stamp_s: float
@@ -189,7 +190,7 @@
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True):
-    """All messages of one sender to one receiver at one time."""
+    """Messages that one daemon sends to another in one transmission."""
 
     sender: str
     incarnation: int
@@ -201,14 +202,14 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Returns the MessagePack form."""
+    """Returns an envelope as MessagePack."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Reads the MessagePack form.
+    """Decodes an envelope from MessagePack.
 
     Raises:
-        msgspec.DecodeError: The bytes are no envelope.
+        msgspec.DecodeError: The bytes are not a valid envelope.
     """
     return _decoder.decode(data)
--- a/daisyhub/peers/_network.py
+++ b/daisyhub/peers/_network.py
@@ -1,7 +1,7 @@
-"""The peer socket: batched messages and calls over ZeroMQ.
+"""Messages and calls between daemons over ZeroMQ.
 
 Each daemon binds one PULL socket and connects one PUSH socket to each peer.
-A peer that can't be reached loses messages instead of queueing them for long.
+Messages to an unreachable peer are dropped once a short queue is full.
 """
 
 import itertools
@@ -19,77 +19,77 @@
 
 __all__ = ["PeerNetwork", "PeerProtocol", "PeerUnreachableError"]
 
-_QUEUE_MESSAGES = 64
+_MAX_QUEUED_MESSAGES = 64
 _LINGER_MS = 200
 
 log = get_logger("peers")
 
-# Milliseconds between probes of a peer's connection, and without an answer
-# after which it is closed and made anew: connections may go silent for good.
-_PROBE_MS = 500
-_SILENT_MS = 1500
-# Milliseconds for one attempt to connect, and the longest pause between two.
-# An attempt that waits for the kernel's own repeats goes on for seconds after
-# a network cut has healed.
-_CONNECT_MS = 500
-_RECONNECT_MS = 500
+# Milliseconds between ZeroMQ heartbeats on a connection, and without a response
+# after which it is reopened: a dead connection may not fail by itself.
+_HEARTBEAT_INTERVAL_MS = 500
+_HEARTBEAT_TIMEOUT_MS = 1500
+# Milliseconds for one attempt to connect, and the maximum interval between two.
+# Without the timeout, an attempt waits for the kernel's retransmissions, which
+# takes seconds after a network partition has healed.
+_CONNECT_TIMEOUT_MS = 500
+_MAX_RECONNECT_INTERVAL_MS = 500
 
 Receiver = Callable[[object, object], None]
-Callee = Callable[[object], Awaitable[object]]
+RequestHandler = Callable[[object], Awaitable[object]]
 
 
 class PeerProtocol:
-    """The messages that daemons of one kind exchange.
+    """The message types that one kind of daemon exchanges.
 
     Args:
         envelope: Struct with `sender`, `incarnation` and `messages`.
         call: Struct with `call_id` and `content`.
-        answer: Struct with `call_id` and `content`.
+        response: Struct with `call_id` and `content`.
     """
 
-    def __init__(self, envelope: type, call: type, answer: type):
+    def __init__(self, envelope: type, call: type, response: type):
         self.envelope = envelope
         self.call = call
-        self.answer = answer
+        self.response = response
         self._encoder = msgspec.msgpack.Encoder()
         self._decoder = msgspec.msgpack.Decoder(envelope)
 
     def encode(self, envelope: object) -> bytes:
-        """Returns the MessagePack form."""
+        """Returns an envelope as MessagePack."""
         return self._encoder.encode(envelope)
 
     def decode(self, data: bytes) -> object:
-        """Reads the MessagePack form.
+        """Decodes an envelope from MessagePack.
 
         Raises:
-            msgspec.DecodeError: The bytes are no envelope.
+            msgspec.DecodeError: The bytes are not a valid envelope.
         """
         return self._decoder.decode(data)
 
 
-_OWN_PROTOCOL = PeerProtocol(Envelope, Call, CallResponse)
+_DEFAULT_PROTOCOL = PeerProtocol(Envelope, Call, CallResponse)
 
 
 class PeerUnreachableError(DaisyhubError):
-    """A peer did not answer a call; its effect is unknown."""
+    """A peer sent no response to a call, whose effect is unknown."""
 
     code = "peer_unreachable"
 
 
 class PeerNetwork:
-    """Sends and receives messages of one daemon.
+    """Sends and receives the messages of one daemon.
 
     Args:
         cfg: Settings of this daemon.
         incarnation: Start of this process, microseconds since the epoch.
-        protocol: The messages that pass.
+        protocol: The message types that are exchanged.
     """
 
     def __init__(
         self,
         cfg: DaemonSettings,
         incarnation: int,
-        protocol: PeerProtocol = _OWN_PROTOCOL,
+        protocol: PeerProtocol = _DEFAULT_PROTOCOL,
     ):
         self._cfg = cfg
         self._protocol = protocol
@@ -98,35 +98,35 @@
         self._context = zmq.asyncio.Context()
         self._sockets: dict[str, zmq.asyncio.Socket] = {}
         self._receivers: list[Receiver] = []
-        self._callees: dict[type, Callee] = {}
+        self._request_handlers: dict[type, RequestHandler] = {}
         self._call_ids = itertools.count(1)
-        self._answers: dict[int, object] = {}
+        self._responses: dict[int, object] = {}
         self._waiters: dict[int, anyio.Event] = {}
 
     def add_receiver(self, receiver: Receiver) -> None:
-        """Passes every message that isn't a call to `receiver`."""
+        """Adds a receiver of all messages except calls and their responses."""
         self._receivers.append(receiver)
 
-    def add_request_handler(self, kind: type, callee: Callee) -> None:
-        """Lets `callee` answer calls whose content is a `kind`."""
-        self._callees[kind] = callee
+    def add_request_handler(self, kind: type, handler: RequestHandler) -> None:
+        """Sets the handler of calls whose content is of type `kind`."""
+        self._request_handlers[kind] = handler
 
     def set_address(self, daemon_id: str, address: Address) -> None:
-        """Tells where a peer listens; a changed address replaces the old."""
+        """Sets a peer's address; a change closes the socket to the old one."""
         if self._addresses.get(daemon_id) == address:
             return
         self.drop_address(daemon_id)
         self._addresses[daemon_id] = address
 
     def drop_address(self, daemon_id: str) -> None:
-        """Forgets a peer and closes the socket to it."""
+        """Removes a peer's address and closes the socket to it."""
         self._addresses.pop(daemon_id, None)
         sock = self._sockets.pop(daemon_id, None)
         if sock is not None:
             sock.close(linger=0)
 
     def send(self, daemon_id: str, *messages: object) -> bool:
-        """Hands messages to the socket; returns False if they were lost."""
+        """Queues messages to a peer; returns False if they were dropped."""
         sock = self._socket(daemon_id)
         if sock is None or not messages:
             return False
@@ -144,10 +144,11 @@
     async def call(
         self, daemon_id: str, content: object, timeout_s: float
     ) -> object:
-        """Asks a peer and waits for its answer.
+        """Sends a request to a peer and returns the content of its response.
 
         Raises:
-            PeerUnreachableError: No answer came in time.
+            PeerUnreachableError: The request couldn't be sent, or no response
+                came in time.
         """
         call_id = next(self._call_ids)
         waiter = anyio.Event()
@@ -155,18 +156,22 @@
         try:
             call = self._protocol.call(call_id=call_id, content=content)
             if not self.send(daemon_id, call):
-                raise PeerUnreachableError(f"{daemon_id} can't be reached")
+                raise PeerUnreachableError(
+                    f"the request to {daemon_id} could not be sent"
+                )
             with anyio.move_on_after(timeout_s):
                 await waiter.wait()
-            answer = self._answers.pop(call_id, None)
-            if answer is None:
-                raise PeerUnreachableError(f"{daemon_id} did not answer")
-            return answer
+            response = self._responses.pop(call_id, None)
+            if response is None:
+                raise PeerUnreachableError(
+                    f"no response from {daemon_id} in time"
+                )
+            return response
         finally:
             del self._waiters[call_id]
 
     async def run(self) -> None:
-        """Receives until cancelled."""
+        """Receives messages until cancelled."""
         sock = self._context.socket(zmq.PULL)
         sock.setsockopt(zmq.LINGER, 0)
         sock.bind(f"tcp://{self._cfg.peer_address}")
@@ -191,11 +196,11 @@
             return None
         sock = self._context.socket(zmq.PUSH)
         sock.setsockopt(zmq.LINGER, _LINGER_MS)
-        sock.setsockopt(zmq.SNDHWM, _QUEUE_MESSAGES)
-        sock.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_MS)
-        sock.setsockopt(zmq.RECONNECT_IVL_MAX, _RECONNECT_MS)
-        sock.setsockopt(zmq.HEARTBEAT_IVL, _PROBE_MS)
-        sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, _SILENT_MS)
+        sock.setsockopt(zmq.SNDHWM, _MAX_QUEUED_MESSAGES)
+        sock.setsockopt(zmq.CONNECT_TIMEOUT, _CONNECT_TIMEOUT_MS)
+        sock.setsockopt(zmq.RECONNECT_IVL_MAX, _MAX_RECONNECT_INTERVAL_MS)
+        sock.setsockopt(zmq.HEARTBEAT_IVL, _HEARTBEAT_INTERVAL_MS)
+        sock.setsockopt(zmq.HEARTBEAT_TIMEOUT, _HEARTBEAT_TIMEOUT_MS)
         sock.connect(f"tcp://{address}")
         self._sockets[daemon_id] = sock
         return sock
@@ -204,31 +209,33 @@
         try:
             envelope = self._protocol.decode(data)
         except msgspec.DecodeError as exc:
-            log.warning("dropped an unreadable message: {}", exc)
+            log.warning("dropped a message that could not be decoded: {}", exc)
             return
         for message in envelope.messages:
             if isinstance(message, self._protocol.call):
-                tasks.start_soon(self._answer, envelope.sender, message)
-            elif isinstance(message, self._protocol.answer):
-                self._take_answer(message)
+                tasks.start_soon(self._respond, envelope.sender, message)
+            elif isinstance(message, self._protocol.response):
+                self._record_response(message)
             else:
                 for receiver in self._receivers:
                     receiver(envelope, message)
 
-    async def _answer(self, sender: str, message) -> None:
-        callee = self._callees.get(type(message.content))
+    async def _respond(self, sender: str, message) -> None:
+        handler = self._request_handlers.get(type(message.content))
         content = None
-        if callee is not None:
+        if handler is not None:
             try:
-                content = await callee(message.content)
+                content = await handler(message.content)
             except DaisyhubError as exc:
                 log.warning("call from {} failed: {}", sender, exc)
-        answer = self._protocol.answer(call_id=message.call_id, content=content)
-        self.send(sender, answer)
+        response = self._protocol.response(
+            call_id=message.call_id, content=content
+        )
+        self.send(sender, response)
 
-    def _take_answer(self, message) -> None:
+    def _record_response(self, message) -> None:
         waiter = self._waiters.get(message.call_id)
         if waiter is None or message.content is None:
             return
-        self._answers[message.call_id] = message.content
+        self._responses[message.call_id] = message.content
         waiter.set()
--- a/daisyhub/peers/tests/test_membership_at_size.py
+++ b/daisyhub/peers/tests/test_membership_at_size.py
@@ -1,4 +1,4 @@
-"""The peers' heartbeats at the target size, on a simulated clock."""
+"""Simulates the heartbeats of a fleet of the target size."""
 
 import heapq
 import itertools
@@ -17,14 +17,14 @@
 
 DOMAINS = 17
 TARGET_DAEMONS = 470
-MESSAGE_S = 0.05
-FETCH_S = 0.2
+MESSAGE_DELAY_S = 0.05
+FETCH_DELAY_S = 0.2
 PORT = Address(ip="127.0.0.1", port=1)
-US = 1_000_000
+US_PER_S = 1_000_000
 
 
 class Fleet:
-    """Cores that hear each other; a message may be lost or cut off."""
+    """Cores that exchange messages, with loss, on a simulated clock."""
 
     def __init__(self, count, seed=0, loss=0.0):
         self.random = random.Random(seed)
@@ -36,7 +36,7 @@
         )
         self.now_s = 0.0
         self.queue = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
         self.cores, self.versions, self.dead = {}, {}, set()
         self.sent, self.bytes = 0, 0
         for peer in self.peers:
@@ -54,18 +54,18 @@
             key_hash_secret="0" * 64,
             peers=tuple(p for p in self.peers if p.daemon_id != name),
         )
-        incarnation = 10**15 + int(self.now_s * US) + int(name[1:])
+        incarnation = 10**15 + int(self.now_s * US_PER_S) + int(name[1:])
         self.cores[name] = MembershipCore(cfg, incarnation)
         self.versions[name] = 0
         self.dead.discard(name)
         start_s = self.now_s + self.random.random()
-        self.put(start_s, name, MembershipTick())
+        self.schedule(start_s, name, MembershipTick())
 
-    def put(self, at_s, name, event):
-        heapq.heappush(self.queue, (at_s, next(self.order), name, event))
+    def schedule(self, at_s, name, event):
+        heapq.heappush(self.queue, (at_s, next(self.sequence), name, event))
 
-    def adopt(self, name, version):
-        """A daemon has a new version in force and tells it."""
+    def activate(self, name, version):
+        """Activates a new configuration version, which the daemon announces."""
         if name in self.dead or self.versions[name] >= version:
             return
         self.versions[name] = version
@@ -84,10 +84,12 @@
                 self.sent += 1
                 self.bytes += size_bytes
                 if self.random.random() >= self.loss:
-                    heard = HeartbeatReceived(name, action.heartbeat)
-                    self.put(self.now_s + MESSAGE_S, target, heard)
+                    received = HeartbeatReceived(name, action.heartbeat)
+                    self.schedule(
+                        self.now_s + MESSAGE_DELAY_S, target, received
+                    )
         if isinstance(event, MembershipTick):
-            self.put(core.next_wakeup_s, name, event)
+            self.schedule(core.next_wakeup_s, name, event)
 
     def run(self, seconds):
         until_s = self.now_s + seconds
@@ -96,22 +98,22 @@
             if name in self.dead:
                 continue
             if isinstance(event, int):
-                self.adopt(name, event)
+                self.activate(name, event)
                 continue
             self.feed(name, event)
             if isinstance(event, HeartbeatReceived):
                 version = event.heartbeat.config_version
                 if version > self.versions[name]:
-                    self.put(self.now_s + FETCH_S, name, version)
+                    self.schedule(self.now_s + FETCH_DELAY_S, name, version)
         self.now_s = until_s
 
     def zone(self, name):
         return self.cores[name].cfg.failure_domain
 
-    def live_seen(self, name):
+    def observed_live(self, name):
         return set(self.cores[name].live_members(self.now_s))
 
-    def live_true(self, name):
+    def actual_live(self, name):
         return {
             other
             for other in self.cores
@@ -119,55 +121,57 @@
             and other not in self.dead | {name}
         }
 
-    def wrong_views(self):
+    def daemons_with_wrong_members(self):
         return [
             name
             for name in self.cores
             if name not in self.dead
-            and self.live_seen(name) != self.live_true(name)
+            and self.observed_live(name) != self.actual_live(name)
         ]
 
 
-class MembershipAtSize(unittest.TestCase):
-    def test_target_size_fits_and_spreads(self):
+class MembershipAtTargetSizeTest(unittest.TestCase):
+    def test_traffic_is_bounded_and_versions_reach_all(self):
         fleet = Fleet(TARGET_DAEMONS)
         fleet.run(12.0)
-        self.assertEqual(fleet.wrong_views(), [])
+        self.assertEqual(fleet.daemons_with_wrong_members(), [])
         fleet.sent = fleet.bytes = 0
         fleet.run(8.0)
         per_s = 1 / (8.0 * TARGET_DAEMONS)
         self.assertLess(fleet.sent * per_s, 3)
         self.assertLess(fleet.bytes * per_s, 1500)
-        # The platform answers one daemon of one domain only.
-        fleet.adopt("d469", 1)
+        # Only one daemon of one domain gets the version from the platform.
+        fleet.activate("d469", 1)
         fleet.run(5.0)
         self.assertEqual(set(fleet.versions.values()), {1})
 
-    def test_the_dead_the_leaving_and_the_restarted_are_told_apart(self):
+    def test_dead_leaving_and_restarted_daemons_are_detected(self):
         fleet = Fleet(TARGET_DAEMONS // 5, seed=3, loss=0.1)
         fleet.run(12.0)
         lowest = ["d000", "d001", "d017"]
         fleet.dead.update(lowest)
         fleet.run(16.0)
-        self.assertEqual(fleet.wrong_views(), [])
+        self.assertEqual(fleet.daemons_with_wrong_members(), [])
         fleet.start("d000")
         fleet.run(12.0)
-        self.assertEqual(fleet.wrong_views(), [])
+        self.assertEqual(fleet.daemons_with_wrong_members(), [])
         fleet.feed("d002", LocalStateChanged(0, 0, "", True))
         fleet.run(4.0)
-        near = fleet.live_true("d002")
-        self.assertFalse([n for n in near if "d002" in fleet.live_seen(n)])
+        neighbours = fleet.actual_live("d002")
+        self.assertFalse(
+            [n for n in neighbours if "d002" in fleet.observed_live(n)]
+        )
         fleet.start("d002")
         fleet.run(12.0)
-        self.assertEqual(fleet.wrong_views(), [])
+        self.assertEqual(fleet.daemons_with_wrong_members(), [])
 
-    def test_relays_that_die_are_replaced(self):
+    def test_dead_relays_are_replaced(self):
         fleet = Fleet(TARGET_DAEMONS // 5)
         fleet.run(12.0)
         zone = sorted(n for n in fleet.cores if fleet.zone(n) == "z00")
         fleet.dead.update(zone[:3])
         fleet.run(16.0)
-        fleet.adopt(zone[-1], 1)
+        fleet.activate(zone[-1], 1)
         fleet.run(5.0)
         live = set(fleet.cores) - fleet.dead
         self.assertEqual({fleet.versions[name] for name in live}, {1})
