--- a/daisyhub/cluster/_controller.py
+++ b/daisyhub/cluster/_controller.py
@@ -164,11 +164,13 @@
             return
         ip, _, port = address.rpartition(":")
         if not port.isdigit():
-            self._log.note("peer_address_invalid", peer=daemon_id, text=address)
+            self._log.record(
+                "peer_address_invalid", peer=daemon_id, text=address
+            )
             return
         self._addresses[daemon_id] = address
         self._network.set_address(daemon_id, Address(ip=ip, port=int(port)))
-        self._log.note("peer_learned", peer=daemon_id, address=address)
+        self._log.record("peer_learned", peer=daemon_id, address=address)
 
     def receive(self, envelope, message: object) -> None:
         """Handles a ping of a peer; ignores other messages."""
@@ -197,7 +199,7 @@
             try:
                 listed = await self._store.list_all(DAEMONS_KIND)
             except ObjectStoreError as exc:
-                self._log.note("daemons_not_listed", reason=str(exc))
+                self._log.record("daemons_not_listed", reason=str(exc))
                 await anyio.sleep(_RETRY_DELAY_S)
                 continue
             for found in listed.items:
@@ -211,7 +213,7 @@
         try:
             record = msgspec.json.decode(found.spec, type=_DaemonRecord)
         except msgspec.DecodeError as exc:
-            self._log.note(
+            self._log.record(
                 "daemon_unreadable", name=found.name, reason=str(exc)
             )
             return
@@ -243,7 +245,7 @@
                 newest.daemon_id, ManifestRequest(), _CALL_TIMEOUT_S
             )
         except DaisyhubError as exc:
-            self._log.note(
+            self._log.record(
                 "manifest_fetch_failed",
                 peer=newest.daemon_id,
                 reason=str(exc),
@@ -264,7 +266,7 @@
             try:
                 await self._write_record(spec)
             except (ObjectStoreError, ObjectConflictError) as exc:
-                self._log.note("register_failed", reason=str(exc))
+                self._log.record("register_failed", reason=str(exc))
                 await anyio.sleep(_RETRY_DELAY_S)
                 continue
             return
--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -66,7 +66,7 @@
         self._peers[daemon_id] = PeerState(daemon_id, incarnation, ping, now_s)
         if daemon_id in self._lost:
             self._lost.discard(daemon_id)
-            self._log.note("peer_regained", peer=daemon_id)
+            self._log.record("peer_regained", peer=daemon_id)
         return is_new
 
     def get(self, daemon_id: str) -> PeerState | None:
@@ -129,7 +129,7 @@
             is_live_now = self._is_within_timeout(peer, now_s)
             if not is_live_now and daemon_id not in self._lost:
                 self._lost.add(daemon_id)
-                self._log.note(
+                self._log.record(
                     "peer_lost",
                     peer=daemon_id,
                     quiet_s=round(quiet_s, 2),
--- a/daisyhub/objects/_relayed.py
+++ b/daisyhub/objects/_relayed.py
@@ -239,9 +239,9 @@
             return
         if exc is None and self._direct_failed_at_s is not None:
             self._direct_failed_at_s = None
-            self._log.note("store_regained")
+            self._log.record("store_regained")
         if exc is not None and self._direct_failed_at_s is None:
             self._direct_failed_at_s = time.monotonic()
-            self._log.note("store_lost", reason=str(exc))
+            self._log.record("store_lost", reason=str(exc))
             for scope in list(self._direct_watches):
                 scope.cancel()
--- a/daisyhub/objects/_watcher.py
+++ b/daisyhub/objects/_watcher.py
@@ -124,7 +124,7 @@
         try:
             listed = await self._store.list_all(self._kind)
         except ObjectStoreError as exc:
-            self._log.note("verify_failed", kind=self._kind, reason=str(exc))
+            self._log.record("verify_failed", kind=self._kind, reason=str(exc))
             return
         if listed.revision < self._newest_revision:
             # The list is older than the changes from the watch.
@@ -135,7 +135,7 @@
 
     def _restart_with_list(self, revision: int) -> None:
         """Cancels the watch that missed a change; the kind is then listed."""
-        self._log.note(
+        self._log.record(
             "watch_silent",
             kind=self._kind,
             revision=self._newest_revision,
@@ -160,7 +160,7 @@
             try:
                 await self._step()
             except HistoryGoneError:
-                self._log.note("watch_history_gone", kind=self._kind)
+                self._log.record("watch_history_gone", kind=self._kind)
                 self._revision = None
             except ObjectStoreError as exc:
                 self._record_failure(exc)
@@ -235,7 +235,7 @@
     def _record_failure(self, exc: ObjectStoreError) -> None:
         if self._failed_since_s is None:
             self._failed_since_s = time.monotonic()
-            self._log.note(
+            self._log.record(
                 "watch_lost",
                 kind=self._kind,
                 revision=self._revision,
@@ -247,7 +247,7 @@
             return
         away_s = time.monotonic() - self._failed_since_s
         self._failed_since_s = None
-        self._log.note(
+        self._log.record(
             "watch_regained",
             kind=self._kind,
             revision=self._revision,
--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -25,7 +25,7 @@
 class UnreachableStore(MemoryStore):
     """A store at which every call fails without effect."""
 
-    def _meet(self, verb, call):
+    def _call_with_fault(self, verb, call):
         self.calls[verb] += 1
         raise ObjectStoreError("unreachable", may_be_done=False)
 
