--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -1,9 +1,10 @@
-"""Proof: groups are delivered once, fresh, and with their true versions.
+"""Stateful test: groups are delivered once, fresh, with correct versions.
 
-Faults: holders that crash, freeze and wake up, several at a time; writes that
-are lost, late or unanswered; engines that fail, lie, answer twice or late and
-swap weights in a sample; a trainer that gives up waiting, asks elsewhere and
-advances; duplicates of old calls and lost acknowledgements.
+Faults: several holders that crash, freeze and resume; writes that are lost,
+late or unanswered; engines that fail, return invalid spans, respond twice
+or late, and swap weights within a sample; a trainer that stops waiting, calls
+another holder and advances its version; duplicates of old calls; lost
+acknowledgements.
 """
 
 import unittest
@@ -61,25 +62,25 @@
     spare_samples=1,
 )
 WAIT_S = 1.0
-HEAL_ROUNDS = 60
+RECOVERY_ROUNDS = 60
 STORE_FAULTS = ("lose", "fail", "delay")
 ENGINE_FAULTS = ("swap", "fail", "missing", "gap", "short", "twice")
 
 
-def engine_answer(versions, lie=""):
-    """Returns an answer whose tokens are the versions that made them."""
+def engine_response(versions, fault=""):
+    """Returns a response whose tokens equal the versions that produced them."""
     spans = []
-    for place, version in enumerate(versions):
+    for position, version in enumerate(versions):
         if spans and spans[-1].version == version:
             start = spans.pop().start
         else:
-            start = place
-        spans.append(Span(version=version, start=start, end=place + 1))
-    if lie == "missing":
+            start = position
+        spans.append(Span(version=version, start=start, end=position + 1))
+    if fault == "missing":
         spans = []
-    elif lie == "gap":
+    elif fault == "gap":
         spans = spans[:-1] + [Span(version=9, start=99, end=100)]
-    elif lie == "short":
+    elif fault == "short":
         versions = (*versions, versions[-1] + 1)
     return EngineResponse(tokens=tuple(versions), spans=tuple(spans))
 
@@ -97,55 +98,58 @@
         self.delayed = []
         self.starts = 0
         self.cores = {}
-        self.out = {}
+        self.actions = {}
         self.frozen = set()
         for holder in HOLDERS:
             self.crash(holder)
-        self.trainer = self.engines = 1
+        self.trainer_version = self.engine_version = 1
         self.calls = 0
         self.pulls = dict.fromkeys(RANKS, 1)
         self.waiting = {}
         self.old_calls = []
-        self.taken = {}
+        self.delivered = {}
         self.billed = set()
         self.has_failed = False
 
     def check(self, is_met, what):
-        """Notes a failure, so that the teardown doesn't hide it."""
+        """Asserts; records a failure so that the teardown doesn't hide it."""
         self.has_failed |= not is_met
         assert is_met, what
 
     def crash(self, holder):
         self.starts += 1
         self.cores[holder] = self.core_class(SPEC, f"h{self.starts}")
-        self.out[holder] = []
+        self.actions[holder] = []
         self.frozen.discard(holder)
 
     def feed(self, holder, event):
-        if self.cores[holder].is_over:
+        if self.cores[holder].is_finished:
             self.crash(holder)
-        self.out[holder] += self.cores[holder].handle(event, self.now_s)
+        self.actions[holder] += self.cores[holder].handle(event, self.now_s)
 
-    # What the trainer and its ranks do.
+    # Rules of the trainer and its ranks.
 
     @rule(
         rank=st.sampled_from(RANKS),
         holder=st.sampled_from(HOLDERS),
         fault=st.sampled_from([""] * 5 + ["idle", "freeze", *STORE_FAULTS]),
         kind=st.sampled_from([""] * 5 + [*ENGINE_FAULTS]),
-        is_heard=st.sampled_from([True, True, True, False]),
+        is_response_delivered=st.sampled_from([True, True, True, False]),
     )
-    def ask(self, rank, holder, fault="", kind="", is_heard=True):
-        """A rank gives up its call, if any, and asks again.
-
-        Most often the holder works on it: engines answer, one of them with
-        a fault, and its write to the store meets a fault.
+    def request_groups(
+        self, rank, holder, fault="", kind="", is_response_delivered=True
+    ):
+        """A rank abandons its call, if any, and sends a new one.
+
+        Unless the fault is "idle" the holder then works on it: engines respond,
+        the first one with the fault `kind`, and its write to the store gets
+        the fault `fault`.
         """
         self.calls += 1
         call = PullRequested(
             call=self.calls,
             pull_id=f"{rank}-{self.pulls[rank]}",
-            version=self.trainer,
+            version=self.trainer_version,
             max_groups=2,
             until_s=self.now_s + WAIT_S,
         )
@@ -156,12 +160,12 @@
         self.feed(holder, call)
         if fault != "idle":
             self.work(holder, fault, kind)
-        if is_heard:
-            self.answer_trainer(holder)
+        if is_response_delivered:
+            self.respond_to_trainer(holder)
 
     @rule(pick=st.integers(0, 50))
-    def hear_duplicate(self, pick):
-        """A call that the network held back arrives (again)."""
+    def receive_duplicate(self, pick):
+        """A delayed call or a duplicate of a call arrives."""
         if self.old_calls:
             holder, call = self.old_calls[pick % len(self.old_calls)]
             if holder not in self.frozen:
@@ -169,7 +173,7 @@
 
     @rule(holder=st.sampled_from(HOLDERS), pick=st.integers(0, 20))
     def ack(self, holder, pick):
-        done = sorted(set(self.taken.values()))
+        done = sorted(set(self.delivered.values()))
         if done and holder not in self.frozen:
             self.calls += 1
             pull_id = done[pick % len(done)]
@@ -181,11 +185,13 @@
 
     @rule(who=st.sampled_from(["trainer", "engines", "both"]))
     def advance(self, who):
-        self.trainer += who != "engines"
-        self.engines = max(self.trainer, self.engines + (who != "trainer"))
+        self.trainer_version += who != "engines"
+        self.engine_version = max(
+            self.trainer_version, self.engine_version + (who != "trainer")
+        )
 
-    def take(self, response):
-        """The oracle: what a rank takes from the call it waits for."""
+    def accept_response(self, response):
+        """Checks a response, if a rank still waits for its call."""
         for rank, call in list(self.waiting.items()):
             if call.call != response.call:
                 continue
@@ -196,19 +202,23 @@
                 self.check_group(group, call)
 
     def check_group(self, group, call):
-        is_new = group.group not in self.taken
-        self.check(is_new, ("doubled", group, self.taken))
-        self.taken[group.group] = call.pull_id
+        is_new = group.group not in self.delivered
+        self.check(is_new, ("delivered twice", group, self.delivered))
+        self.delivered[group.group] = call.pull_id
         indexes = [sample.index for sample in group.samples]
-        self.check(indexes == list(range(SPEC.group_size)), "not whole")
+        self.check(indexes == list(range(SPEC.group_size)), "incomplete group")
         for sample in group.samples:
             spans = sample.spans
-            named = [s.version for s in spans for _ in range(s.start, s.end)]
-            self.check(named == list(sample.tokens), ("untrue", sample))
+            span_versions = [
+                s.version for s in spans for _ in range(s.start, s.end)
+            ]
+            self.check(
+                span_versions == list(sample.tokens), ("wrong versions", sample)
+            )
             is_fresh = min(sample.tokens) >= call.version - STALENESS
             self.check(is_fresh, ("stale", sample, call))
 
-    # What holders, store and engines do.
+    # Rules of the holders, the store and the engines.
 
     @rule(
         holder=st.sampled_from(HOLDERS),
@@ -230,13 +240,13 @@
         elif step == "work":
             self.work(holder)
         elif step == "answer":
-            self.answer_trainer(holder)
+            self.respond_to_trainer(holder)
         elif step == "release":
             self.feed(holder, LotReleased())
         elif step == "engine":
-            self.reach_engine(holder, kind)
+            self.run_generation(holder, kind)
         else:
-            self.reach_store(holder, step)
+            self.run_store_call(holder, step)
 
     @rule(seconds=st.sampled_from([0.25, 1.1]))
     def pass_time(self, seconds):
@@ -245,48 +255,50 @@
             self.feed(holder, LotTick())
 
     @rule()
-    def hear_late_write(self):
-        """A write whose sender gave up on the answer reaches the store."""
+    def apply_late_write(self):
+        """A delayed write with an uncertain outcome reaches the store."""
         if self.delayed:
             self.apply(self.delayed.pop(0))
 
     def work(self, holder, fault="", kind=""):
-        """A holder works until it waits; its next write meets the fault."""
+        """A holder works until it waits; its next write gets the fault."""
         for _ in range(12):
-            while self.reach_engine(holder, kind):
+            while self.run_generation(holder, kind):
                 kind = ""
             is_write = isinstance(self.next_store_action(holder), WriteState)
             if is_write and fault == "freeze":
                 self.frozen.add(holder)
                 return
-            if not self.reach_store(holder, fault if is_write else "store"):
+            if not self.run_store_call(holder, fault if is_write else "store"):
                 return
             if is_write and fault:
                 return
 
     def next_store_action(self, holder):
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, ReadState | WriteState):
                 return action
         return None
 
     def pop(self, holder, *kinds):
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, kinds):
-                self.out[holder].remove(action)
+                self.actions[holder].remove(action)
                 return action
         return None
 
-    def answer_trainer(self, holder):
+    def respond_to_trainer(self, holder):
         cancelled = {
-            a.attempt for a in self.out[holder] if isinstance(a, CancelSample)
+            a.attempt
+            for a in self.actions[holder]
+            if isinstance(a, CancelSample)
         }
         rest = []
-        for action in self.out[holder]:
+        for action in self.actions[holder]:
             if isinstance(action, DeliverGroups):
-                self.take(action)
+                self.accept_response(action)
             elif isinstance(action, RefuseCall):
-                # Only pulls that were taken are acknowledged here.
+                # This test acknowledges only pulls with delivered groups.
                 is_known = action.reason is not RefusalReason.UNKNOWN_PULL
                 self.check(is_known, ("acknowledgement refused", action))
             elif isinstance(action, CountUsage):
@@ -297,19 +309,19 @@
                 isinstance(action, Generate) and action.attempt not in cancelled
             ):
                 rest.append(action)
-        self.out[holder] = rest
+        self.actions[holder] = rest
 
-    def reach_engine(self, holder, kind):
+    def run_generation(self, holder, kind):
         action = self.pop(holder, Generate)
         if action is None:
             return False
         if kind == "fail":
             self.feed(holder, SampleFailed(action.attempt))
             return True
-        versions = (self.engines,) * 2
+        versions = (self.engine_version,) * 2
         if kind == "swap":
-            versions = (self.engines - 1, self.engines)
-        response = engine_answer(versions, kind)
+            versions = (self.engine_version - 1, self.engine_version)
+        response = engine_response(versions, kind)
         for _ in range(2 if kind == "twice" else 1):
             self.feed(holder, SampleReceived(action.attempt, response))
         return True
@@ -324,11 +336,11 @@
         self.write_ids[self.version] = write.write_id
         return True
 
-    def reach_store(self, holder, fault):
+    def run_store_call(self, holder, fault):
         action = self.next_store_action(holder)
         if action is None:
             return False
-        self.out[holder].remove(action)
+        self.actions[holder].remove(action)
         if isinstance(action, ReadState):
             event = StateReadFailed()
             if fault in ("", "store"):
@@ -347,113 +359,117 @@
         return True
 
     def teardown(self):
-        """All faults end; then every group must arrive."""
+        """Ends all faults and checks that every group is delivered."""
         if getattr(self, "has_failed", True):
             return
         self.frozen.clear()
-        self.engines = max(self.engines, self.trainer)
-        for number in range(HEAL_ROUNDS):
-            if len(self.taken) == GROUPS:
+        self.engine_version = max(self.engine_version, self.trainer_version)
+        for number in range(RECOVERY_ROUNDS):
+            if len(self.delivered) == GROUPS:
                 return
             for rank in RANKS:
                 if rank not in self.waiting or not number % 8:
-                    self.ask(rank, 0)
+                    self.request_groups(rank, 0)
             self.pass_time(0.25)
             for holder in HOLDERS:
                 self.work(holder)
-                self.answer_trainer(holder)
-        raise AssertionError(f"only {sorted(self.taken)} arrived")
+                self.respond_to_trainer(holder)
+        raise AssertionError(f"only {sorted(self.delivered)} were delivered")
 
 
-class HandsOverUncommitted(LotCore):
-    """Broken: takes a write for done before its effect is known."""
+class DeliversUncommitted(LotCore):
+    """Broken: treats a write with an uncertain outcome as successful."""
 
-    def _on_store_trouble(self, event, now_s):
-        if isinstance(event, StateWriteUncertain) and self._write:
-            self._adopt(self._write.state, self._version)
-        super()._on_store_trouble(event, now_s)
+    def _on_store_failure(self, event, now_s):
+        if isinstance(event, StateWriteUncertain) and self._pending_write:
+            self._apply_state(self._pending_write.state, self._version)
+        super()._on_store_failure(event, now_s)
 
 
-class KeepsOwnMap(LotCore):
-    """Broken: after a refused write it puts its own map over the stored."""
+class OverwritesStoredMap(LotCore):
+    """Broken: overwrites the stored map after a rejected write."""
 
     def _on_read(self, event):
         state = event.state if self._state is None else self._state
         return super()._on_read(StateRead(state, event.version))
 
 
-class FreesRepeatedGroups(LotCore):
-    """Broken: a repeat whose samples are gone frees the pull's groups."""
+class ReleasesRepeatedGroups(LotCore):
+    """Broken: a repeated pull without samples releases its groups."""
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
-        whole = self._slots.whole_groups
-        if record and not record.is_acked and set(record.groups) - set(whole):
+        complete = self._slots.complete_groups
+        if (
+            record
+            and not record.is_acked
+            and set(record.groups) - set(complete)
+        ):
             pulls = dict(self._state.pulls)
             del pulls[call.pull_id]
             self._state = LotState(pulls=pulls)
-            self._owned -= set(record.groups)
-            self._slots.want(record.groups)
+            self._committed_groups -= set(record.groups)
+            self._slots.add_groups(record.groups)
             return []
         return super()._serve_pull(call, now_s)
 
 
-class RepeatsStaleSamples(LotCore):
-    """Broken: a repeat isn't checked against its own version."""
+class DeliversStaleRepeats(LotCore):
+    """Broken: a repeated pull isn't checked for stale samples."""
 
     def _serve_pull(self, call, now_s):
         record = self._state.pulls.get(call.pull_id)
-        if record and set(record.groups) <= set(self._slots.whole_groups):
-            return [self._hand_over(call, record.groups)]
+        if record and set(record.groups) <= set(self._slots.complete_groups):
+            return [self._deliver(call, record.groups)]
         return super()._serve_pull(call, now_s)
 
 
-class TrustsSpans(LotCore):
-    """Broken: takes whatever spans an engine names."""
+class AcceptsInvalidSpans(LotCore):
+    """Broken: accepts samples with invalid spans."""
 
-    def _on_ready(self, event, now_s):
-        place = self._slots.slot_of(event.attempt)
+    def _on_sample(self, event, now_s):
+        position = self._slots.slot_of(event.attempt)
         spans = event.response.spans or (Span(version=99, start=0, end=1),)
-        if place is None:
+        if position is None:
             return []
         sample = Sample(
-            index=place[1], tokens=event.response.tokens, spans=spans
+            index=position[1], tokens=event.response.tokens, spans=spans
         )
-        return self._slots.finish(event.attempt, sample)
+        return self._slots.complete_attempt(event.attempt, sample)
 
 
-class RefusesUnread(LotCore):
-    """Broken: refuses an acknowledgement by what was read before it."""
+class RefusesWithoutRead(LotCore):
+    """Broken: refuses an acknowledgement without a new read."""
 
-    def _read_first(self, call):
+    def _require_read(self, call):
         pass
 
 
 class BillsEveryWrite(LotCore):
-    """Broken: bills a commit that another holder's write prevented."""
+    """Broken: bills commits whose write was rejected."""
 
-    def _bill(self):
-        counted = list(self._unbilled.values())
-        self._unbilled.clear()
+    def _pop_confirmed_usage(self):
+        counted = list(self._unbilled_usage.values())
+        self._unbilled_usage.clear()
         return counted
 
 
 BROKEN = (
-    HandsOverUncommitted,
-    KeepsOwnMap,
-    FreesRepeatedGroups,
-    RepeatsStaleSamples,
-    TrustsSpans,
-    RefusesUnread,
+    DeliversUncommitted,
+    OverwritesStoredMap,
+    ReleasesRepeatedGroups,
+    DeliversStaleRepeats,
+    AcceptsInvalidSpans,
+    RefusesWithoutRead,
     BillsEveryWrite,
 )
 
 
 class LotProof(unittest.TestCase):
-    def test_groups_come_once_fresh_and_with_true_versions(self):
+    def test_groups_are_delivered_once_fresh_and_with_correct_versions(self):
         run_proof(LotMachine, examples=600)
 
-    def test_the_machine_catches_broken_lots(self):
+    def test_broken_lot_cores_are_detected(self):
         for broken in BROKEN:
             with self.subTest(broken.__name__):
                 machine = type("Machine", (LotMachine,), {"core_class": broken})
