--- a/daisyhub/objects/tests/test_kind_watcher.py
+++ b/daisyhub/objects/tests/test_kind_watcher.py
@@ -74,7 +74,7 @@
         self,
     ):
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
         watcher = self.new_watcher(store, can_be_stale=lambda: True)
 
         async def test():
@@ -125,7 +125,7 @@
 
     async def test_a_lost_history_is_followed_by_a_list(self):
         store = MemoryStore()
-        store.fail_next("watch", Fault.GONE)
+        store.fail_next("watch", Fault.HISTORY_GONE)
         store.put("k", "a", b"1")
 
         async def test(watched):
@@ -149,7 +149,7 @@
         A watch may miss a change without failing.
         """
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
 
         async def test(watched):
             await watched.wait_until(lambda: store.calls["watch"] == 1)
@@ -162,7 +162,7 @@
 
     async def test_a_peer_that_stays_ahead_causes_a_list(self):
         store = MemoryStore()
-        store.fail_next("watch", Fault.DEAF)
+        store.fail_next("watch", Fault.EMPTY)
 
         async def test(watched):
             await watched.wait_until(lambda: store.calls["watch"] == 1)
@@ -221,7 +221,7 @@
             async def test(watched, rng=rng, store=store):
                 for step in range(60):
                     verb = rng.choice(["watch", "list_all"])
-                    kinds = [Fault.GONE, Fault.REFUSED]
+                    kinds = [Fault.HISTORY_GONE, Fault.REFUSED]
                     if rng.random() < 0.3:
                         fault = rng.choice(kinds)
                         if verb == "list_all":
--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -47,7 +47,7 @@
     async def test_a_create_whose_response_was_lost_succeeds(self):
         shared = MemoryStore()
         store = RelayedStore(shared, FixedRelayProvider(shared), silent_log())
-        shared.fail_next("create", Fault.LOST)
+        shared.fail_next("create", Fault.RESPONSE_LOST)
         found = await store.create("k", "n", b'{"a":1}')
         self.assertEqual(found.spec, b'{"a":1}')
 
@@ -64,7 +64,7 @@
     async def test_an_unknown_outcome_stays_unknown_if_peers_fail(self):
         shared, peer = MemoryStore(), MemoryStore()
         store = RelayedStore(shared, FixedRelayProvider(peer), silent_log())
-        shared.fail_next("create", Fault.LATE)
+        shared.fail_next("create", Fault.DELAYED)
         peer.fail_next("create", Fault.REFUSED)
         with self.assertRaises(ObjectStoreError) as caught:
             await store.create("k", "n", b"1")
