--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -3,7 +3,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.catalog import RouteKind
 from daisyhub.cluster import ClusterClock
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.logs import DecisionLog
 from daisyhub.lots._calls import EndLot, ReadItemBody, ReadResults
 from daisyhub.lots._lot_store import LotStore
@@ -88,7 +88,9 @@
                 if exc.may_be_done
                 else ErrorCode.PLATFORM_UNAVAILABLE,
                 f"the lot is not known to be stored: {exc}",
-                ran=Ran.UNKNOWN if exc.may_be_done else Ran.NOT_RUN,
+                ran=ExecutionStatus.UNKNOWN
+                if exc.may_be_done
+                else ExecutionStatus.NOT_RUN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from exc
         if head.account != req.account:
@@ -96,7 +98,7 @@
                 ErrorCode.LOT_CONFLICT, "another account has a lot with this id"
             )
         self._reader.record_accepted(head)
-        self._log.note(
+        self._log.record(
             "lot_accepted",
             id=req.request_id,
             account=req.account,
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -204,7 +204,7 @@
             "waiting": self._core.waiting_items,
         }
 
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Runs lots until the duty is lost."""
         watcher = KindWatcher(
             self._deps.store, LOTS_KIND, self._deps.log, self._on_lot_changed
@@ -245,11 +245,11 @@
             )
         except (ObjectStoreError, ObjectConflictError) as exc:
             lot.progress_revision = 0
-            self._deps.log.note(
+            self._deps.log.record(
                 "progress_not_kept", lot=lot_id, reason=str(exc)
             )
             return
-        self._deps.log.note("progress_kept", lot=lot_id, items=len(progress))
+        self._deps.log.record("progress_kept", lot=lot_id, items=len(progress))
 
     async def _save_unfinished_texts_periodically(self) -> None:
         """Saves unfinished texts regularly, in case this daemon crashes."""
@@ -283,7 +283,7 @@
         try:
             head, status = decode_head(found)
         except msgspec.DecodeError as exc:
-            self._deps.log.note(
+            self._deps.log.record(
                 "lot_unreadable", lot=found.name, reason=str(exc)
             )
             return
@@ -324,7 +324,7 @@
         while len(self._unfinished_texts) > _MAX_CACHED_TEXTS:
             del self._unfinished_texts[next(iter(self._unfinished_texts))]
         lot = self._lots[lot_id]
-        self._deps.log.note(
+        self._deps.log.record(
             "lot_closed",
             lot=lot_id,
             reason=reason,
@@ -348,7 +348,7 @@
                     self._unfinished_texts.update(saved)
                 break
             except (ObjectStoreError, msgspec.DecodeError) as exc:
-                self._deps.log.note(
+                self._deps.log.record(
                     "lot_read_failed", lot=head.lot_id, reason=str(exc)
                 )
                 await anyio.sleep(_READ_RETRY_DELAY_S)
@@ -358,7 +358,7 @@
         self._demand[head.model] = float(tokens)
         age_s = self._deps.clock.now_s() - head.accepted_s
         now_s = time.monotonic()
-        self._deps.log.note(
+        self._deps.log.record(
             "lot_opened",
             lot=head.lot_id,
             step=head.step,
@@ -416,7 +416,7 @@
     def _cancel_run(self, action: CancelRun) -> None:
         scope = self._run_scopes.pop(action.run, None)
         if scope is not None:
-            self._deps.log.note(
+            self._deps.log.record(
                 "run_cancelled", run=action.run, reason=action.reason
             )
             scope.cancel()
@@ -439,7 +439,7 @@
                 )
             finally:
                 self._run_scopes.pop(action.run, None)
-                self._deps.log.note(
+                self._deps.log.record(
                     "run",
                     run=action.run,
                     id=action.item.item_id,
@@ -466,12 +466,12 @@
                 lot_id, action.first, action.results
             )
         except (ObjectStoreError, msgspec.DecodeError) as exc:
-            self._deps.log.note(
+            self._deps.log.record(
                 "list_failed", lot=lot_id, first=action.first, reason=str(exc)
             )
             self._feed_listing(lot, ChunkWriteFailed())
             return
-        self._deps.log.note(
+        self._deps.log.record(
             "listed",
             lot=lot_id,
             first=action.first,
@@ -525,7 +525,7 @@
         try:
             await self._load_listed_chunks(lot)
         except (ObjectStoreError, msgspec.DecodeError) as exc:
-            self._deps.log.note(
+            self._deps.log.record(
                 "lot_read_failed", lot=lot.head.lot_id, reason=str(exc)
             )
             return False
@@ -602,4 +602,4 @@
                     continue
                 with contextlib.suppress(ObjectStoreError):
                     await self._deps.lots.delete(lot.head, lot.listing.chunks)
-                self._deps.log.note("lot_deleted", lot=found.name)
+                self._deps.log.record("lot_deleted", lot=found.name)
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -137,7 +137,7 @@
         except ObjectStoreError as exc:
             raise _store_unavailable(exc) from exc
         lot.is_ended = True
-        self._log.note("lot_ended", lot=lot_id)
+        self._log.record("lot_ended", lot=lot_id)
         self._holder.end(lot_id)
         self._notify_holder(LotEndedNotification(lot_id=lot_id))
 
@@ -271,7 +271,7 @@
                 holder.daemon_id, request, wait_s + _CALL_TIMEOUT_MARGIN_S
             )
         except DaisyhubError as exc:
-            self._log.note(
+            self._log.record(
                 "holder_silent", holder=holder.daemon_id, reason=str(exc)
             )
             return None
--- a/daisyhub/lots/_rewards.py
+++ b/daisyhub/lots/_rewards.py
@@ -81,7 +81,7 @@
         max_attempts: int = 1,
     ) -> RewardCallFailed:
         item_id = action.item.item_id
-        self._log.note("reward_failed", id=item_id, reason=reason)
+        self._log.record("reward_failed", id=item_id, reason=reason)
         return RewardCallFailed(
             action.lot_id, item_id, is_endpoint_failure, max_attempts
         )
