--- a/daisyhub/lots/_calls.py
+++ b/daisyhub/lots/_calls.py
@@ -1,4 +1,4 @@
-"""Calls of callers to submitted lots."""
+"""Calls that clients make to submitted lots."""
 
 import dataclasses
 
@@ -12,7 +12,7 @@
     Attributes:
         lot_id: The lot.
         after: Position of the first result to return, from 0.
-        wait_s: How long to wait if it isn't listed yet, in seconds.
+        wait_s: Seconds to wait if that result isn't listed yet.
     """
 
     lot_id: str
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadItemBody:
-    """Reads the body of an item."""
+    """Reads the request body of an item."""
 
     lot_id: str
     item_id: str
--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -119,7 +119,7 @@
         )
 
     @property
-    def running_items(self) -> int:
+    def total_open_runs(self) -> int:
         """Number of open runs."""
         return len(self._runs)
 
@@ -150,7 +150,11 @@
         }
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Handles one dispatch event; returns actions."""
+        """Handles one dispatch event; returns actions.
+
+        Stream events start no runs: a slot that one of them frees is filled
+        at the next event of another type.
+        """
         actions: list[object] = []
         match event:
             case StreamEventReceived():
@@ -266,7 +270,7 @@
         )
 
     def _abandon_run(self, run_id: int, reason: str) -> list[object]:
-        """Cancels a run, but keeps its text as far as it can be reused."""
+        """Cancels a run, but keeps its text if it can be reused."""
         run = self._remove_run(run_id)
         lot = self._lots[run.lot_id]
         item = lot.items[run.item_id]
@@ -285,7 +289,11 @@
         return run
 
     def _on_completed(self, event: RunCompleted, now_s: float) -> list[object]:
-        """Takes a complete text; cancels the item's other runs."""
+        """Stores a complete text; cancels the item's other runs.
+
+        A run that completed without any text is discarded, and the item is
+        run again.
+        """
         if event.run not in self._runs:
             return []
         run = self._remove_run(event.run)
@@ -467,6 +475,7 @@
         )
 
     def _median_event_interval_s(self) -> float:
+        """Returns the median of the known event intervals; 0 without any."""
         intervals_s = [
             e.event_interval_s
             for e in self._engines.values()
@@ -539,7 +548,7 @@
 
 
 def _update_progress(item: Item, run: Run) -> None:
-    """Takes over a run's text if it is longer than the item's."""
+    """Replaces an item's text by a run's if that is longer."""
     if item.progress.is_whole or len(run.texts) <= len(item.progress.texts):
         return
     item.progress = Progress(tuple(run.texts), tuple(run.versions))
@@ -567,7 +576,10 @@
 def _engine_rank(
     engine: Engine, median_interval_s: float
 ) -> tuple[float, float, str]:
-    """Returns a sort key: fast engines by load, then slow ones by speed."""
+    """Returns a sort key: fast engines by load, then slow ones by speed.
+
+    Engines of unknown speed count as fast.
+    """
     load = (len(engine.runs) + 1) / engine.view.slots
     slowness = (
         engine.event_interval_s / median_interval_s
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -32,7 +32,7 @@
         lots: Lots in the store.
         reader: Serves reads of lots.
         wire: Wire format of lots.
-        clock: The true time.
+        clock: Clock that all daemons agree on.
         log: Log of decisions.
     """
 
@@ -53,7 +53,7 @@
         self._log = log
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Serves calls to lots and passes other requests on."""
+        """Accepts lots, serves calls to lots, passes other requests on."""
         match req.lot_call:
             case ReadResults(lot_id, after, wait_s):
                 total, results = await self._reader.results(
@@ -76,8 +76,9 @@
         """Stores a submitted lot.
 
         Raises:
-            Refusal: The lot isn't stored, or it is unknown whether it is, or
-                another account has a lot with this id.
+            Refusal: The body isn't a valid lot, the lot isn't stored, it is
+                unknown whether it is, or another account has a lot with this
+                id.
         """
         spec = self._wire.read_lot(req, self._clock.now_s())
         try:
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -69,8 +69,8 @@
 # write to the store takes milliseconds, and requests are served meanwhile.
 _SAVE_TIMEOUT_S = 1.0
 # Seconds between saves of unfinished texts. A crash of the holder loses the
-# progress of at most this time, of a step that is due in 7.5 s; each save costs
-# one write for each open lot.
+# progress of at most this time, and a trainer's step is due in 7.5 s; each save
+# costs one write for each open lot.
 _SAVE_INTERVAL_S = 1.0
 # Maximum number of texts of unfinished items of closed lots that are cached.
 # Trainers resubmit at most half of the groups of a step.
@@ -103,7 +103,7 @@
             weights.
         has_lost_peers: Returns whether a peer that was reachable before is
             unreachable now.
-        clock: The true time.
+        clock: Clock that all daemons agree on.
         metrics: Counts runs.
         log: Log of decisions.
         status_s: Seconds for which a lot must stay readable.
@@ -180,9 +180,9 @@
         return self._core.waiting_items
 
     @property
-    def running_items(self) -> int:
+    def total_open_runs(self) -> int:
         """Number of open runs."""
-        return self._core.running_items
+        return self._core.total_open_runs
 
     def open_run_count(self, endpoint_id: str) -> int:
         """Returns the number of open runs at an engine."""
@@ -200,7 +200,7 @@
                 for lot_id, lot in self._lots.items()
                 if not lot.is_ended
             },
-            "running": self._core.running_items,
+            "running": self._core.total_open_runs,
             "waiting": self._core.waiting_items,
         }
 
@@ -258,6 +258,10 @@
             await self.save_unfinished_texts()
 
     def _tick(self) -> None:
+        """Passes the current engines and the time to the cores.
+
+        Endpoints that are leaving or have no weight versions get no runs.
+        """
         deps = self._deps
         engines = tuple(
             EngineView(
@@ -334,7 +338,10 @@
         self._feed_dispatch(LotClosed(lot_id))
 
     async def _load_lot(self, lot: _LotState) -> None:
-        """Reads a lot's results and items, then runs the unlisted items."""
+        """Reads a lot's results and items, then runs the unlisted items.
+
+        Failed reads are retried until they succeed.
+        """
         head = lot.head
         while True:
             try:
@@ -425,6 +432,7 @@
         """Runs an item on an engine, and logs the outcome."""
         run = self._core.find_run(action.run)
         if run is None:
+            # It was cancelled before this task started.
             return
         self._deps.metrics.count("runs")
         lot = self._lots[action.lot_id]
@@ -533,7 +541,10 @@
         return True
 
     def head(self, lot_id: str) -> LotHead | None:
-        """Returns a lot's head, None if this daemon doesn't hold the lot."""
+        """Returns a lot's head.
+
+        None if the lot is unknown here, or this daemon doesn't have the duty.
+        """
         lot = self._lots.get(lot_id)
         return lot.head if lot and self._duty.fencing else None
 
@@ -584,7 +595,10 @@
                 self.end(lot_id)
 
     async def _delete_expired_lots(self, watcher: KindWatcher) -> None:
-        """Deletes lots whose retention time is over, at intervals."""
+        """Deletes lots whose retention time is over, at intervals.
+
+        A failed delete is logged likewise, and retried at the next interval.
+        """
         while True:
             await anyio.sleep(_DELETE_INTERVAL_S)
             now_s = self._deps.clock.now_s()
@@ -601,5 +615,7 @@
                 if now_s - lot.head.accepted_s < retention_s:
                     continue
                 with contextlib.suppress(ObjectStoreError):
-                    await self._deps.lots.delete(lot.head, lot.listing.chunks)
+                    await self._deps.lots.delete(
+                        lot.head, lot.listing.chunk_positions
+                    )
                 self._deps.log.record("lot_deleted", lot=found.name)
--- a/daisyhub/lots/_listing_core.py
+++ b/daisyhub/lots/_listing_core.py
@@ -26,8 +26,8 @@
 _MAX_GROUP_WAIT_S = 0.25
 # Seconds before a failed write is retried: some round trips to the store.
 _WRITE_RETRY_DELAY_S = 0.2
-# Maximum text length of a chunk that holds several results. An object may have
-# a megabyte, JSON escapes included.
+# Maximum text length of a chunk that contains several results. An object may
+# have a megabyte, JSON escapes included.
 _MAX_CHUNK_CHARACTERS = 400_000
 
 
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChunkStored:
-    """The store holds this chunk at a position.
+    """This chunk is stored at a position.
 
     Attributes:
         first: Position of its first result.
@@ -103,7 +103,7 @@
         return self._listed
 
     @property
-    def chunks(self) -> list[int]:
+    def chunk_positions(self) -> list[int]:
         """Positions of the first results of the stored chunks."""
         return self._chunk_positions
 
@@ -152,6 +152,7 @@
     def _on_chunk_stored(self, event: ChunkStored, now_s: float) -> None:
         self._is_writing = False
         if event.first != len(self._listed):
+            # Another read or write already reported the chunk at this position.
             return
         self._chunk_positions.append(event.first)
         for result in event.results:
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -75,6 +75,10 @@
 class LotStore:
     """Reads and writes lots.
 
+    Unless stated otherwise, methods raise `ObjectStoreError` if the store gave
+    no usable response, and `msgspec.DecodeError` if an object that they read
+    has another schema.
+
     Args:
         store: The platform's store.
     """
@@ -123,7 +127,8 @@
         try:
             await self._store.create(_ITEMS_KIND, name, content)
         except ObjectConflictError:
-            # The same lot was submitted to another daemon, too.
+            # A lot with this id was submitted before, or to another daemon,
+            # too. Creating the head decides which of them is accepted.
             return
         except ObjectStoreError as exc:
             raise ObjectStoreError(str(exc), may_be_done=False) from exc
@@ -142,6 +147,11 @@
         return decode_head(found)[0]
 
     async def _read_existing(self, lot_id: str) -> StoredObject:
+        """Reads the object of a lot whose create reported a conflict.
+
+        Raises:
+            ObjectStoreError: It was deleted since, or can't be read.
+        """
         found = await self._store.read(LOTS_KIND, lot_id)
         if found is None:
             raise ObjectStoreError(
@@ -158,7 +168,12 @@
         return None if found is None else decode_head(found)
 
     async def spec(self, head: LotHead) -> LotSpec:
-        """Returns a lot with its items."""
+        """Returns a lot with its items.
+
+        Raises:
+            ObjectStoreError: The store failed, or a part doesn't exist.
+            msgspec.DecodeError: A part has another schema.
+        """
         cached = self._cache.get(head.lot_id)
         if cached is not None:
             return cached
@@ -168,7 +183,7 @@
             found = await self._read_immutable(_ITEMS_KIND, name)
             if found is None:
                 raise ObjectStoreError(
-                    f"{name} does not exist", may_be_done=False
+                    f"lot part {name} does not exist", may_be_done=False
                 )
             items += msgspec.json.decode(found.spec, type=_Part).items
         spec = LotSpec(head=head, items=tuple(items))
@@ -178,7 +193,10 @@
     async def chunk(
         self, lot_id: str, first: int
     ) -> tuple[ItemResult, ...] | None:
-        """Returns the chunk that starts at a position, None without one."""
+        """Returns the results of the chunk that starts at a position.
+
+        None if no chunk starts there.
+        """
         name = _chunk_name(lot_id, first)
         found = await self._read_immutable(_RESULTS_KIND, name)
         return None if found is None else _decode_chunk(found)
@@ -186,8 +204,8 @@
     async def results(self, lot_id: str, first: int) -> list[ItemResult]:
         """Returns results from a position on, at least one chunk if stored.
 
-        Further chunks are added up to a size, if the cheaper reads that may
-        return stale data find them.
+        Further chunks are added until `_READ_LIMIT_BYTES` is reached or a
+        read that may return stale data, and so is cheaper, finds none.
         """
         results = list(await self.chunk(lot_id, first) or ())
         size = 0
@@ -230,7 +248,7 @@
             existing = await self.chunk(lot_id, first)
             if existing is None:
                 raise ObjectStoreError(
-                    f"{name} was deleted", may_be_done=True
+                    f"result chunk {name} was deleted", may_be_done=True
                 ) from exc
             return existing
         return results
@@ -248,6 +266,10 @@
 
         Returns:
             The revision to pass to the next call.
+
+        Raises:
+            ObjectStoreError: The store gave no usable response.
+            ObjectConflictError: The object was changed since `revision`.
         """
         content = msgspec.json.encode(progress)
         try:
@@ -283,14 +305,14 @@
         found = await self._store.set_status(LOTS_KIND, lot_id, content)
         return found is not None
 
-    async def delete(self, head: LotHead, chunks: list[int]) -> None:
+    async def delete(self, head: LotHead, chunk_positions: list[int]) -> None:
         """Deletes all objects of a lot, the head last.
 
         Args:
             head: The lot.
-            chunks: Positions of its chunks.
+            chunk_positions: Positions of the first results of its chunks.
         """
-        for first in chunks:
+        for first in chunk_positions:
             name = _chunk_name(head.lot_id, first)
             await self._store.delete(_RESULTS_KIND, name)
         await self._store.delete(_PROGRESS_KIND, head.lot_id)
--- a/daisyhub/lots/_reader.py
+++ b/daisyhub/lots/_reader.py
@@ -44,7 +44,7 @@
 
 @dataclasses.dataclass(slots=True)
 class _CachedLot:
-    """What this daemon knows of one lot.
+    """This daemon's cached state of one lot.
 
     Attributes:
         head: The lot.
@@ -63,7 +63,8 @@
     Args:
         duty: Name of the duty for lots.
         lots: Lots in the store.
-        holder: This daemon's own holder, active only while it has the duty.
+        holder: This daemon's own holder, active only while the daemon has the
+            duty.
         peers: Known peers, used to find the holder.
         network: Sends calls and messages to peers.
         log: Log of decisions.
@@ -94,7 +95,8 @@
         Waits up to `wait_s` seconds for a result at the position.
 
         Raises:
-            Refusal: The lot doesn't exist, or its results can't be read now.
+            Refusal: The account has no such lot, or its results can't be read
+                now.
         """
         lot = await self._find(lot_id, account)
         if after >= len(lot.results) and not self._is_complete(lot):
@@ -102,10 +104,11 @@
         return lot.head.total, lot.results[after:]
 
     async def body(self, lot_id: str, account: str, item_id: str) -> bytes:
-        """Returns the body of an item.
+        """Returns the request body of an item.
 
         Raises:
-            Refusal: The item doesn't exist, or can't be read now.
+            Refusal: The account has no such lot, the lot has no such item, or
+                the item can't be read now.
         """
         lot = await self._find(lot_id, account)
         request = LotItemBodyRequest(lot_id=lot_id, item_id=item_id)
@@ -127,7 +130,7 @@
         """Ends a lot; its end is stored when this returns.
 
         Raises:
-            Refusal: The lot doesn't exist, or its end may not be stored.
+            Refusal: The account has no such lot, or its end may not be stored.
         """
         lot = await self._find(lot_id, account)
         if lot.is_ended:
@@ -154,6 +157,11 @@
         )
 
     async def _find(self, lot_id: str, account: str) -> _CachedLot:
+        """Returns a lot from the cache, the holder or the store.
+
+        Raises:
+            Refusal: The account has no such lot, or the store can't be read.
+        """
         lot = self._cache.get(lot_id)
         if lot is None:
             lot = await self._head_from_holder(lot_id)
@@ -164,7 +172,7 @@
         return lot
 
     async def _head_from_holder(self, lot_id: str) -> _CachedLot | None:
-        """Returns a lot that the holder knows, or None.
+        """Returns a lot as the holder reports it, or None.
 
         Asking the holder saves each daemon a read of the store.
         """
@@ -234,7 +242,10 @@
     async def _results_from_holder(
         self, lot: _CachedLot, first: int, wait_s: float
     ) -> list[ItemResult] | None:
-        """Returns the holder's results, None if the store must be read."""
+        """Returns results from this daemon's own holder or from a peer.
+
+        None if the store must be read.
+        """
         lot_id = lot.head.lot_id
         own = await self._holder.results(lot_id, first, wait_s)
         if own is not None:
@@ -281,6 +292,6 @@
     """Returns the refusal of a call that needs the store."""
     return Refusal(
         ErrorCode.PLATFORM_UNAVAILABLE,
-        f"the store did not answer: {exc}",
+        f"access to the store failed: {exc}",
         retry_after_s=_RETRY_AFTER_S,
     )
--- a/daisyhub/lots/_rewards.py
+++ b/daisyhub/lots/_rewards.py
@@ -15,7 +15,7 @@
 __all__ = ["RewardCaller"]
 
 # Upper limit in seconds of the timeout that a reward call's route sets.
-_REWARD_TIMEOUT_S = 5.0
+_MAX_REWARD_TIMEOUT_S = 5.0
 _SUCCESS = range(200, 300)
 
 
@@ -44,7 +44,11 @@
     async def request_score(
         self, action: StartRewardCall
     ) -> RewardCallSucceeded | RewardCallFailed:
-        """Makes one call, which succeeds only with the endpoint's proof."""
+        """Makes one reward call.
+
+        It succeeds only if the response has a success status and the
+        endpoint's proof, which is returned as the score.
+        """
         item = action.item
         reward = item.reward
         route = self._manifests.manifest.find_route(reward.host, reward.path)
@@ -58,7 +62,7 @@
             host=reward.host,
             body=reward.body,
             deadline_s=time.monotonic()
-            + min(_REWARD_TIMEOUT_S, route.timeout_s),
+            + min(_MAX_REWARD_TIMEOUT_S, route.timeout_s),
         )
         try:
             resp = await self._sender.send(task)
--- a/daisyhub/lots/_run_types.py
+++ b/daisyhub/lots/_run_types.py
@@ -105,8 +105,9 @@
         spec: The lot.
         pool: The pool that serves its items.
         due_at_s: When its results are due, on the core's clock.
-        give_up_at_s: When its items may be given up, on the core's clock.
-        listed: Ids of items that are already listed.
+        give_up_at_s: Time from which items that still need a run are given up,
+            on the core's clock.
+        listed: Ids of items that were listed before; they aren't run.
         progress: Text that earlier runs generated, by item id.
     """
 
@@ -127,7 +128,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEventReceived:
-    """An event of a run's stream was received."""
+    """An event of a run's stream was received.
+
+    Attributes:
+        run: The run.
+        data: The piece of text that the event adds.
+        version: Weight version that generated it.
+    """
 
     run: int
     data: str
@@ -151,7 +158,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RewardCallSucceeded:
-    """A reward call returned a score."""
+    """A reward call returned a score.
+
+    Attributes:
+        lot_id: The lot.
+        item_id: The item.
+        score: The proof in the endpoint's response.
+    """
 
     lot_id: str
     item_id: str
@@ -199,7 +212,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelRun:
-    """Action: close a run's connection."""
+    """Action: close a run's connection.
+
+    Attributes:
+        run: The run.
+        reason: Why it is cancelled, for the log.
+    """
 
     run: int
     reason: str
@@ -250,7 +268,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Item:
-    """An item that isn't listed.
+    """An item that wasn't listed when its lot was opened.
 
     Attributes:
         spec: What to generate.
--- a/daisyhub/lots/_types.py
+++ b/daisyhub/lots/_types.py
@@ -68,10 +68,12 @@
         oldest_version: Oldest weight version that may generate its tokens.
         wanted_groups: Number of groups that the trainer waits for.
         total: Number of items.
-        parts: Number of objects that hold the items.
-        accepted_s: True time of its acceptance, in seconds since 1970.
+        parts: Number of objects that contain the items.
+        accepted_s: Time of its acceptance on the cluster's clock, in seconds
+            since 1970.
         due_s: Seconds from its acceptance until its results are due.
-        max_wait_s: Seconds from its acceptance until items may be given up.
+        max_wait_s: Seconds from its acceptance until items that still need a
+            run are given up.
         max_attempts: Number of engine failures after which an item is given
             up.
         is_single_version: Whether each text must come from a single version.
@@ -117,7 +119,8 @@
         text: The data of all events, joined by line feeds.
         versions: Weight versions that generated events of the text, in
             ascending order.
-        score: Proof that the reward call returned; empty without a call.
+        score: Proof in the response of the reward call; empty without a
+            call.
     """
 
     item_id: str
--- a/daisyhub/lots/_wire.py
+++ b/daisyhub/lots/_wire.py
@@ -50,7 +50,7 @@
 
         Args:
             req: The request, with its account, route and body set.
-            accepted_s: True time, in seconds since 1970.
+            accepted_s: Time on the cluster's clock, in seconds since 1970.
 
         Raises:
             Refusal: The body isn't a valid lot.
@@ -60,7 +60,7 @@
     def write_results(
         self, total: int, after: int, results: list[ItemResult]
     ) -> bytes:
-        """Returns a response body.
+        """Returns the response body of a read of results.
 
         Args:
             total: Number of items of the lot.
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -218,7 +218,7 @@
         (done,) = self.feed(RewardCallSucceeded("L", "a", "p"))
         self.assertEqual(done.result.text, "x\ny")
 
-    def test_loading_engine_has_longer_timeout_and_gets_no_new_runs(self):
+    def test_loading_engine_has_longer_timeout(self):
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), item("b")))[:1]
         self.driver.stream(run.run, "x")
@@ -260,6 +260,7 @@
         (run,) = self.feed(lot(item("a"), max_attempts=1))
         for _ in range(5):
             self.feed(RunFailed(run.run, RunFault.NOT_RUN))
+            # Unpacking fails unless the item is run again.
             (run,) = self.driver.tick(after_s=0.2)
 
     def test_reward_call_uses_max_attempts_of_its_own_route(self):
@@ -288,6 +289,7 @@
         runs = self.feed(lot(*(item(n) for n in "abc")))
         for number in range(12):
             for run in runs:
+                # The slow engine sends one event for four of the others.
                 is_slow = run.endpoint_id == "slow"
                 if not is_slow or number % 4 == 0:
                     self.feed(
@@ -313,7 +315,7 @@
         for seed in range(20):
             driver = Driver()
             driver.feed(engines(*event_intervals_s, slots=6))
-            # The core learns from some short texts which engines are slow.
+            # Some short texts let the core measure which engines are slow.
             simulate(
                 driver,
                 "warm",
@@ -378,8 +380,10 @@
                 draw = rng.random()
                 if draw < 0.05:
                     del open_runs[run]
+                    # The first four faults never give up an item.
                     driver.feed(RunFailed(run, rng.choice(list(RunFault)[:4])))
                 elif draw < 0.1:
+                    # The engine sends no event in this round.
                     continue
                 elif sent == 5:
                     del open_runs[run]
--- a/daisyhub/lots/tests/test_proof_listing.py
+++ b/daisyhub/lots/tests/test_proof_listing.py
@@ -72,6 +72,12 @@
         outcome=st.sampled_from(["good", "good", "lost", "late", "fail"]),
     )
     def write(self, number, outcome):
+        """Performs a daemon's next write.
+
+        Outcomes: "good" is stored and confirmed, "lost" is stored but its
+        response is lost, "late" is reported as failed and applied later, "fail"
+        is never applied.
+        """
         if not self.writes[number]:
             return
         action = self.writes[number].pop(0)
--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -1,4 +1,4 @@
-"""Tests of reads on a daemon that neither accepted nor holds the lots."""
+"""Tests of reads on a daemon that neither accepted nor runs the lots."""
 
 import types
 import unittest
@@ -105,6 +105,7 @@
         await LotStore(self.store).write_chunk("L", 0, (RESULT,))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, [RESULT]))
+        # The lot's head, its first chunk, and the chunk that could follow.
         self.assertEqual(self.store.calls["late read"], 3)
 
     async def test_lot_unknown_to_the_holder_is_read_from_the_store(self):
