--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -100,7 +100,7 @@
         self.assertEqual((total, results), (1, [RESULT]))
 
     async def test_stale_read_that_misses_an_object_is_repeated(self):
-        self.store.fail_next("late read", *[Fault.DEAF] * 3)
+        self.store.fail_next("late read", *[Fault.EMPTY] * 3)
         reader = self.reader(FakeNetwork({}, is_unreachable=True))
         await LotStore(self.store).write_chunk("L", 0, (RESULT,))
         total, results = await reader.results("L", "a", 0, 0.0)
