--- a/daisyhub/controllers/tests/test_membership_processes.py
+++ b/daisyhub/controllers/tests/test_membership_processes.py
@@ -19,7 +19,7 @@
 class MembershipProcessTest(unittest.IsolatedAsyncioTestCase):
     async def asyncSetUp(self):
         self.keys = DemoKeys.make()
-        self.deployment = Deployment(engines_each=1)
+        self.deployment = Deployment(engines_per_domain=1)
         self.addCleanup(self.deployment.stop)
         await self.deployment.start()
         self.caller = Caller(self.deployment.platform.address)
@@ -66,7 +66,7 @@
         await self.caller.send("POST", "/faults", {"kind": "hang"})
         self.deployment.start_daemon(killed.name)
         started = self.deployment.processes[killed.name]
-        await self.deployment.wait_until_up(started)
+        await self.deployment.wait_until_listening(started)
         await self.wait()
         await self.deployment.wait_for_status(
             lambda status: status["config"]["withdrawn_keys"] == 1
--- a/daisyhub/objects/tests/test_relayed_store.py
+++ b/daisyhub/objects/tests/test_relayed_store.py
@@ -45,7 +45,7 @@
     async def test_a_create_whose_answer_was_lost_counts_as_done(self):
         shared = MemoryStore()
         store = RelayedStore(shared, Carrier(shared), quiet_log())
-        shared.fail_next("create", Fault.LOST)
+        shared.fail_next("create", Fault.RESPONSE_LOST)
         found = await store.create("k", "n", b'{"a":1}')
         self.assertEqual(found.spec, b'{"a":1}')
 
@@ -60,7 +60,7 @@
     async def test_an_unknown_outcome_stays_unknown_if_peers_refuse(self):
         shared, peer = MemoryStore(), MemoryStore()
         store = RelayedStore(shared, Carrier(peer), quiet_log())
-        shared.fail_next("create", Fault.LATE)
+        shared.fail_next("create", Fault.DELAYED)
         peer.fail_next("create", Fault.REFUSED)
         with self.assertRaises(ObjectStoreError) as caught:
             await store.create("k", "n", b"1")
