--- a/daisyhub/rollouts/tests/test_lot_processes.py
+++ b/daisyhub/rollouts/tests/test_lot_processes.py
@@ -23,7 +23,7 @@
     async def asyncSetUp(self):
         self.keys = DemoKeys.make()
         self.deployment = Deployment(
-            domains=(DOMAIN,), daemons_each=2, services_each=0
+            domains=(DOMAIN,), daemons_per_domain=2, services_per_domain=0
         )
         self.addCleanup(self.deployment.stop)
         await self.deployment.start()
@@ -78,7 +78,7 @@
                 for daemon in self.deployment.daemons():
                     if daemon is skip:
                         continue
-                    caller = Caller(daemon.operators)
+                    caller = Caller(daemon.operators_address)
                     status = await caller.json("GET", "/status")
                     await caller.aclose()
                     lot = status["lots"].get("lot", {})
@@ -88,8 +88,8 @@
 
     def check(self, result):
         self.assertEqual(sorted(result.groups), list(range(GROUPS)))
-        self.assertEqual(result.doubled, 0)
-        self.assertEqual(result.stale, 0)
+        self.assertEqual(result.duplicate_groups, 0)
+        self.assertEqual(result.stale_samples, 0)
         for samples in result.groups.values():
             indexes = [sample["index"] for sample in samples]
             self.assertEqual(indexes, list(range(GROUP_SIZE)))
@@ -99,7 +99,7 @@
             holder.send_signal(signal.SIGKILL)
 
         result = await self.train(inject_fault)
-        self.assertGreater(result.repeats, 0)
+        self.assertGreater(result.retries, 0)
 
     async def test_no_group_is_duplicated_when_a_frozen_holder_resumes(self):
         async def inject_fault(holder):
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -24,17 +24,17 @@
     """What happens to one call."""
 
     REFUSED = "refused"
-    LOST = "lost"
-    LATE = "late"
-    GONE = "gone"
-    DEAF = "deaf"
+    RESPONSE_LOST = "lost"
+    DELAYED = "late"
+    HISTORY_GONE = "gone"
+    EMPTY = "deaf"
 
 
 class MemoryStore(ObjectStore):
     """Keeps objects in memory; one instance may serve many clients.
 
     `faults` holds what happens to the next calls of a verb: refused without
-    effect, done with the answer lost, done by `carry_out_late` with the
+    effect, done with the answer lost, done by `run_delayed_writes` with the
     answer lost, history gone, or a watch that hears nothing.
     """
 
@@ -51,7 +51,7 @@
         """Lets the next calls of a verb meet faults."""
         self.faults.setdefault(verb, collections.deque()).extend(faults)
 
-    def carry_out_late(self) -> None:
+    def run_delayed_writes(self) -> None:
         """Does the writes whose answers were lost before they were done."""
         late, self._late = self._late, []
         for write in late:
@@ -76,7 +76,7 @@
         """See `ObjectStore.read`."""
         if can_be_stale:
             self.calls["late read"] += 1
-            if self._next_fault("late read") is Fault.DEAF:
+            if self._next_fault("late read") is Fault.EMPTY:
                 return None
         return self._call_with_fault(
             "read", lambda: self.objects.get((kind, name))
@@ -97,9 +97,9 @@
         """See `ObjectStore.watch`."""
         self.calls["late watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
-        if fault is Fault.GONE:
+        if fault is Fault.HISTORY_GONE:
             raise HistoryGoneError(kind)
-        if fault is Fault.DEAF:
+        if fault is Fault.EMPTY:
             await anyio.sleep(wait_s)
             return WatchBatch(revision=after_revision, changes=())
         if fault is not None:
@@ -159,11 +159,13 @@
         fault = self._next_fault(verb)
         if fault is None:
             return call()
-        if fault is Fault.LOST:
+        if fault is Fault.RESPONSE_LOST:
             call()
-        elif fault is Fault.LATE:
+        elif fault is Fault.DELAYED:
             self._late.append(call)
-        is_unknown = fault in (Fault.LOST, Fault.LATE) and verb not in _READS
+        is_unknown = (
+            fault in (Fault.RESPONSE_LOST, Fault.DELAYED) and verb not in _READS
+        )
         raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
 
     def _next_fault(self, verb: str) -> Fault | None:
