--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -46,7 +46,7 @@
     async def limit_concurrency(self):
         """Restarts the daemons with a low limit, so that requests queue."""
         for daemon in self.deployment.daemons():
-            plan = self.deployment._plans[daemon.name]
+            plan = self.deployment._daemon_settings[daemon.name]
             plan["limits"] = {"concurrent_requests": CONCURRENCY_LIMIT}
             daemon.send_signal(signal.SIGKILL)
             daemon.wait()
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -113,7 +113,7 @@
         for domain in self.domains:
             await self.publish_endpoints(domain)
         self._plan_daemons()
-        for name in list(self._plans):
+        for name in list(self._daemon_settings):
             self.start_daemon(name)
         await self._wait_for_listeners()
 
@@ -155,7 +155,7 @@
 
     def start_daemon(self, name: str) -> None:
         """Starts a planned daemon, again if it ended before."""
-        plan = self._plans[name]
+        plan = self._daemon_settings[name]
         path = self.folder / f"{name}.jsonc"
         path.write_text(json.dumps(plan, indent=2), encoding="utf-8")
         args = ["-m", "daisyhub.daemon", f"--settings={path}"]
@@ -230,20 +230,20 @@
                 return port
 
     def _plan_daemons(self) -> None:
-        self._plans: dict[str, dict] = {}
+        self._daemon_settings: dict[str, dict] = {}
         peers = []
         for domain in self.domains:
             for number in range(self.daemons_per_domain):
                 name = f"daemon-{domain}-{number}"
-                self._plans[name] = self._plan(name, domain)
+                self._daemon_settings[name] = self._plan(name, domain)
                 peers.append(
                     {
                         "daemon_id": name,
                         "failure_domain": domain,
-                        "address": self._plans[name]["peer_address"],
+                        "address": self._daemon_settings[name]["peer_address"],
                     }
                 )
-        for name, plan in self._plans.items():
+        for name, plan in self._daemon_settings.items():
             plan["peers"] = [p for p in peers if p["daemon_id"] != name]
 
     def _plan(self, name: str, domain: str) -> dict:
