--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -46,13 +46,13 @@
     async def limit_concurrency(self):
         """Restarts the daemons with a low limit, so that requests queue."""
         for daemon in self.deployment.daemons():
-            plan = self.deployment._plans[daemon.name]
+            plan = self.deployment._daemon_settings[daemon.name]
             plan["limits"] = {"concurrent_requests": CONCURRENCY_LIMIT}
             daemon.send_signal(signal.SIGKILL)
             daemon.wait()
             self.deployment.start_daemon(daemon.name)
         for daemon in self.deployment.daemons():
-            await self.deployment.wait_until_up(daemon)
+            await self.deployment.wait_until_listening(daemon)
 
     def caller(self, number, key):
         daemon = self.deployment.daemons()[number]
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -40,8 +40,8 @@
     """
 
     def __init__(self):
-        self.faults: list[str] = []
-        self.reused: set[str] = set()
+        self.unsafe_reuses: list[str] = []
+        self.reused_ids: set[str] = set()
         self.connections = 0
         self._silent: set[int] = set()
         self._tasks: set[asyncio.Task] = set()
@@ -75,9 +75,9 @@
                 _, request_id, behaviour = path.split("/")
                 count += 1
                 if count > 1:
-                    self.reused.add(request_id)
+                    self.reused_ids.add(request_id)
                 if is_doubtful:
-                    self.faults.append(path)
+                    self.unsafe_reuses.append(path)
                 if number in self._silent or behaviour == "silent":
                     is_doubtful = True
                     continue
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -35,7 +35,7 @@
     name: str
     popen: subprocess.Popen
     address: Address
-    operators: Address | None = None
+    operators_address: Address | None = None
 
     def send_signal(self, number: int) -> None:
         """Sends a signal to this process only."""
@@ -113,7 +113,7 @@
         for domain in self.domains:
             await self.publish_endpoints(domain)
         self._plan_daemons()
-        for name in list(self._plans):
+        for name in list(self._daemon_settings):
             self.start_daemon(name)
         await self._wait_for_listeners()
 
@@ -155,7 +155,7 @@
 
     def start_daemon(self, name: str) -> None:
         """Starts a planned daemon, again if it ended before."""
-        plan = self._plans[name]
+        plan = self._daemon_settings[name]
         path = self.folder / f"{name}.jsonc"
         path.write_text(json.dumps(plan, indent=2), encoding="utf-8")
         args = ["-m", "daisyhub.daemon", f"--settings={path}"]
@@ -184,7 +184,10 @@
             "platform_address": {"ip": platform.ip, "port": platform.port},
             "key_hash_secret": HASH_KEY,
             "daemons": {
-                d.name: {"ip": d.operators.ip, "port": d.operators.port}
+                d.name: {
+                    "ip": d.operators_address.ip,
+                    "port": d.operators_address.port,
+                }
                 for d in self.daemons()
             },
         }
@@ -227,20 +230,20 @@
                 return port
 
     def _plan_daemons(self) -> None:
-        self._plans: dict[str, dict] = {}
+        self._daemon_settings: dict[str, dict] = {}
         peers = []
         for domain in self.domains:
             for number in range(self.daemons_per_domain):
                 name = f"daemon-{domain}-{number}"
-                self._plans[name] = self._plan(name, domain)
+                self._daemon_settings[name] = self._plan(name, domain)
                 peers.append(
                     {
                         "daemon_id": name,
                         "failure_domain": domain,
-                        "address": self._plans[name]["peer_address"],
+                        "address": self._daemon_settings[name]["peer_address"],
                     }
                 )
-        for name, plan in self._plans.items():
+        for name, plan in self._daemon_settings.items():
             plan["peers"] = [p for p in peers if p["daemon_id"] != name]
 
     def _plan(self, name: str, domain: str) -> dict:
@@ -262,12 +265,12 @@
     async def _wait_for_listeners(self) -> None:
         for process in self.processes.values():
             if process.popen.poll() is None:
-                await self.wait_until_up(process)
+                await self.wait_until_listening(process)
 
-    async def wait_until_up(self, process: Process) -> None:
+    async def wait_until_listening(self, process: Process) -> None:
         """Waits until a process listens."""
-        address = process.operators or process.address
-        target = "/healthz" if process.operators else "/load"
+        address = process.operators_address or process.address
+        target = "/healthz" if process.operators_address else "/load"
         caller = Caller(address)
         with anyio.fail_after(_READY_WAIT_S):
             while True:
@@ -296,7 +299,7 @@
             for process in self.daemons():
                 if process.name in skip:
                     continue
-                caller = Caller(process.operators)
+                caller = Caller(process.operators_address)
                 while not is_met(await caller.json("GET", "/status")):
                     await anyio.sleep(0.01)
                 await caller.aclose()
