--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -186,7 +186,7 @@
         )
         if is_refused:
             raise _make_refusal(outcome, usual_s)
-        return _make_response(outcome.answer)
+        return _make_response(outcome.response)
 
     async def _attempt(
         self, state: "_SendState", action: StartAttempt
