--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -30,7 +30,7 @@
 
     Attributes:
         event: The event for the core.
-        answer: The response of the endpoint; None if the attempt failed.
+        response: The response of the endpoint; None if the attempt failed.
     """
 
     event: AttemptCompleted | AttemptFailed
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -98,7 +98,7 @@
         )
         if isinstance(outcome, FailRequest):
             raise _make_refusal(outcome)
-        return _make_response(outcome.answer)
+        return _make_response(outcome.response)
 
     def _make_chooser(self, route: Route):
         def choose(excluded: frozenset[str]) -> str | None:
@@ -119,7 +119,7 @@
         self._metrics.count("attempts", pool=state.pool)
         failed = True
         try:
-            answer = await self._send(req, state, fresh=action.fresh)
+            response = await self._send(req, state, fresh=action.fresh)
             failed = False
         except RequestFailedError as exc:
             self._client.drop_idle_connections(state.address)
@@ -136,12 +136,14 @@
             self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.apply_update(parse_endpoint_headers(state, answer.headers))
-        if _NOT_RUN_HEADER in answer.headers:
-            if isinstance(answer, StreamedResponse):
-                await answer.aclose()
+        self._table.apply_update(
+            parse_endpoint_headers(state, response.headers)
+        )
+        if _NOT_RUN_HEADER in response.headers:
+            if isinstance(response, StreamedResponse):
+                await response.aclose()
             return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
-        return AttemptOutcome(AttemptCompleted(action.attempt), answer)
+        return AttemptOutcome(AttemptCompleted(action.attempt), response)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
@@ -215,20 +217,23 @@
     return tuple(headers)
 
 
-def _make_response(answer: HttpResponse | StreamedResponse) -> Response:
+def _make_response(response: HttpResponse | StreamedResponse) -> Response:
     headers = tuple(
-        item for item in answer.headers if item[0] in RESPONSE_HEADERS
+        item for item in response.headers if item[0] in RESPONSE_HEADERS
     )
-    tokens = _parse_int_header(answer.headers, b"endpoint-tokens", 0)
-    if isinstance(answer, StreamedResponse):
+    tokens = _parse_int_header(response.headers, b"endpoint-tokens", 0)
+    if isinstance(response, StreamedResponse):
         return Response(
-            status=answer.status,
+            status=response.status,
             headers=headers,
-            stream=ResponseStream(answer),
+            stream=ResponseStream(response),
             tokens=tokens,
         )
     return Response(
-        status=answer.status, headers=headers, body=answer.body, tokens=tokens
+        status=response.status,
+        headers=headers,
+        body=response.body,
+        tokens=tokens,
     )
 
 
