--- a/daisyhub/testing/soak/__init__.py
+++ b/daisyhub/testing/soak/__init__.py
@@ -1,4 +1,4 @@
-"""A randomized soak: real daemons, faults from outside, promises checked."""
+"""A randomized soak test: real daemons, injected faults, checked guarantees."""
 
 from daisyhub.testing.soak._ledger import Ledger
 from daisyhub.testing.soak._links import Link, LinkMode
--- a/daisyhub/testing/soak/__main__.py
+++ b/daisyhub/testing/soak/__main__.py
@@ -1,4 +1,4 @@
-"""Runs soaks: `python -m daisyhub.testing.soak --seed=1 --runs=10`."""
+"""Runs soak tests: `python -m daisyhub.testing.soak --seed=1 --runs=10`."""
 
 import sys
 
@@ -9,12 +9,16 @@
 from daisyhub.testing.soaked_daemon import BROKEN
 
 _SEED = flags.DEFINE_integer("seed", 1, "Seed of the first soak.")
-_RUNS = flags.DEFINE_integer("runs", 1, "Soaks, each with the next seed.")
-_SECONDS = flags.DEFINE_float("seconds", 15.0, "Seconds of disturbances.")
-_DAEMONS = flags.DEFINE_integer("daemons", 4, "Daemons of a soak.")
-_SERVERS = flags.DEFINE_integer("servers", 3, "Servers of a soak.")
+_RUNS = flags.DEFINE_integer(
+    "runs", 1, "Number of soaks, with consecutive seeds."
+)
+_SECONDS = flags.DEFINE_float(
+    "seconds", 15.0, "Seconds during which disturbances start."
+)
+_DAEMONS = flags.DEFINE_integer("daemons", 4, "Number of daemons.")
+_SERVERS = flags.DEFINE_integer("servers", 3, "Number of servers.")
 _BROKEN = flags.DEFINE_enum(
-    "broken", "", ["", *BROKEN], "A daemon broken on purpose."
+    "broken", "", ["", *BROKEN], "Bug to inject into the daemons."
 )
 
 
@@ -36,7 +40,7 @@
             print(f"  {line}")
         if report.logs:
             print(f"  logs: {report.logs}", flush=True)
-    print(f"{_RUNS.value - failed} of {_RUNS.value} soaks kept all promises")
+    print(f"{_RUNS.value - failed} of {_RUNS.value} soaks kept all guarantees")
     return 1 if failed else 0
 
 
--- a/daisyhub/testing/soak/_ledger.py
+++ b/daisyhub/testing/soak/_ledger.py
@@ -1,4 +1,4 @@
-"""What callers and servers saw, and which promises it breaks."""
+"""Records requests, responses and runs, and checks the daemons' guarantees."""
 
 import collections
 import dataclasses
@@ -7,173 +7,211 @@
 __all__ = ["Ledger"]
 
 _OK = 200
-# These answers promise that the request has not run and never will.
-_NOT_RUN = frozenset({408, 421, 429, 503})
+# These statuses guarantee that the request has not run and will not run.
+_NOT_RUN_STATUSES = frozenset({408, 421, 429, 503})
 
 
 @dataclasses.dataclass(slots=True)
-class _Sent:
-    """A request of a caller; its status is 0 while no answer has come."""
+class _SentRequest:
+    """A sent request; its status is 0 until a response is received."""
 
     path: str
-    is_repeatable: bool
+    is_idempotent: bool
     status: int = 0
 
 
 class Ledger:
-    """Collects what was seen; `violations` holds one line for each breach.
+    """Records the events of a soak and checks them against the guarantees.
 
     Args:
         account: The client account whose requests may run.
+
+    Attributes:
+        violations: One line per violated guarantee; it begins with the
+            guarantee's code.
+        counts: Number of responses by status, lots and disturbances.
     """
 
     def __init__(self, account: str):
         self._account = account
-        self._sent: dict[str, _Sent] = {}
-        self._refused_keys: set[str] = set()
-        self._items: dict[str, str] = {}
-        self._rewards: set[str] = set()
-        self._lots: dict[str, int] = {}
-        self._listed: dict[str, list[dict]] = {}
+        self._requests: dict[str, _SentRequest] = {}
+        self._unauthorized_ids: set[str] = set()
+        self._lot_by_item: dict[str, str] = {}
+        self._reward_ids: set[str] = set()
+        self._item_counts: dict[str, int] = {}
+        self._results: dict[str, list[dict]] = {}
         self.violations: list[str] = []
         self.counts: collections.Counter[str] = collections.Counter()
 
     @property
     def lots(self) -> Mapping[str, int]:
         """Number of items of each accepted lot."""
-        return self._lots
+        return self._item_counts
 
     def record_sent(
         self,
         request_id: str,
         path: str,
         *,
-        is_repeatable: bool,
+        is_idempotent: bool,
         has_key: bool = True,
     ) -> None:
-        """Notes a request before it is sent."""
-        self._sent[request_id] = _Sent(path, is_repeatable)
+        """Records a request before it is sent."""
+        self._requests[request_id] = _SentRequest(path, is_idempotent)
         if not has_key:
-            self._refused_keys.add(request_id)
+            self._unauthorized_ids.add(request_id)
 
-    def note_answer(
-        self, request_id: str, status: int, told: object, *, is_stamped: bool
+    def record_response(
+        self, request_id: str, status: int, body: object, *, is_stamped: bool
     ) -> None:
-        """Notes an answer; `told` is its decoded content."""
-        sent = self._sent[request_id]
+        """Records a response and checks that it belongs to the request.
+
+        Args:
+            request_id: Id of the request.
+            status: Status of the response; 0 if there was none.
+            body: The decoded body; None if it isn't JSON or not a success.
+            is_stamped: Whether the response carries the stamp of a server.
+        """
+        sent = self._requests[request_id]
         sent.status = status
         self.counts[f"status {status}"] += 1
         if status != _OK:
             return
-        if not is_stamped or told != {"path": sent.path}:
-            self._break(f"MIXED {request_id}: {sent.path} got {told!r}")
+        if not is_stamped or body != {"path": sent.path}:
+            self._add_violation(f"MIXED {request_id}: {sent.path} got {body!r}")
 
-    def note_lot(self, lot_id: str, item_ids: Iterable[str]) -> None:
-        """Notes a lot before it is handed in."""
+    def record_submitted_lot(
+        self, lot_id: str, item_ids: Iterable[str]
+    ) -> None:
+        """Records a lot before it is submitted."""
         for item_id in item_ids:
-            self._items[item_id] = lot_id
-            self._rewards.add(f"{item_id}-r")
+            self._lot_by_item[item_id] = lot_id
+            self._reward_ids.add(f"{item_id}-r")
 
-    def note_accepted(self, lot_id: str) -> None:
-        """Notes that a lot was accepted."""
-        total = sum(lot == lot_id for lot in self._items.values())
-        self._lots[lot_id] = total
+    def record_accepted_lot(self, lot_id: str) -> None:
+        """Records that a lot was accepted."""
+        total = sum(lot == lot_id for lot in self._lot_by_item.values())
+        self._item_counts[lot_id] = total
         self.counts["lots"] += 1
 
-    def note_results(
+    def record_results(
         self, daemon: str, lot_id: str, after: int, results: Sequence[dict]
     ) -> None:
-        """Compares what a daemon lists with what was listed before."""
-        known = self._listed.setdefault(lot_id, [])
-        shared = known[after : after + len(results)]
-        if list(results[: len(shared)]) != shared:
-            self._break(f"ORDER {lot_id}: a position changed at {daemon}")
+        """Compares results with earlier listings and records new ones."""
+        known = self._results.setdefault(lot_id, [])
+        overlap = known[after : after + len(results)]
+        if list(results[: len(overlap)]) != overlap:
+            self._add_violation(
+                f"ORDER {lot_id}: a position changed at {daemon}"
+            )
             return
         known += results[len(known) - after :]
 
-    def listed(self, lot_id: str) -> int:
-        """Returns how many results of a lot were read."""
-        return len(self._listed.get(lot_id, ()))
+    def result_count(self, lot_id: str) -> int:
+        """Returns the number of results of a lot read so far."""
+        return len(self._results.get(lot_id, ()))
 
-    def note_missing(self, daemon: str, lot_id: str, status: int) -> None:
-        """Notes a read of an accepted lot that found nothing."""
-        self._break(f"LOST {lot_id}: {daemon} answers {status}")
+    def record_missing_lot(self, daemon: str, lot_id: str, status: int) -> None:
+        """Records that a daemon doesn't know an accepted lot."""
+        self._add_violation(f"LOST {lot_id}: {daemon} responds {status}")
 
     def check_texts(self, events: int) -> None:
-        """Checks lots that were read whole: each item once, its own text."""
-        for lot_id, total in self._lots.items():
-            listed = self._listed.get(lot_id, [])
-            ids = [result["id"] for result in listed]
+        """Checks that each lot lists every item once, with its own text."""
+        for lot_id, total in self._item_counts.items():
+            results = self._results.get(lot_id, [])
+            ids = [result["id"] for result in results]
             if len(set(ids)) != len(ids):
-                self._break(f"ORDER {lot_id}: an item is listed twice")
+                self._add_violation(f"ORDER {lot_id}: an item is listed twice")
             if len(ids) != total:
-                self._break(f"LOST {lot_id}: {len(ids)} of {total} listed")
-            for result in listed:
+                self._add_violation(
+                    f"LOST {lot_id}: {len(ids)} of {total} listed"
+                )
+            for result in results:
                 self._check_text(lot_id, result, events)
 
     def _check_text(self, lot_id: str, result: dict, events: int) -> None:
-        if self._items.get(result["id"]) != lot_id:
-            self._break(f"MIXED {lot_id}: lists {result['id']}")
+        if self._lot_by_item.get(result["id"]) != lot_id:
+            self._add_violation(f"MIXED {lot_id}: lists {result['id']}")
         if result["state"] != "completed":
             return
-        whole = "\n".join(f"{result['id']}-{n}" for n in range(1, events + 1))
-        if result["text"] != whole:
-            self._break(f"ORDER {result['id']}: text {result['text']!r}")
+        expected_text = "\n".join(
+            f"{result['id']}-{n}" for n in range(1, events + 1)
+        )
+        if result["text"] != expected_text:
+            self._add_violation(
+                f"ORDER {result['id']}: text {result['text']!r}"
+            )
 
     def check_runs(self, runs: Iterable[dict]) -> None:
-        """Checks what ran at the servers against what was asked for."""
-        times: collections.Counter[str] = collections.Counter()
+        """Checks the requests that servers ran against those that were sent."""
+        run_counts: collections.Counter[str] = collections.Counter()
         for run in runs:
             run_id = run["id"]
-            times[run_id] += 1
+            run_counts[run_id] += 1
             is_known = (
-                run_id in self._sent
-                or run_id in self._items
-                or run_id in self._rewards
+                run_id in self._requests
+                or run_id in self._lot_by_item
+                or run_id in self._reward_ids
             )
             if not is_known:
-                self._break(f"UNASKED {run_id} ran")
-            if run_id in self._refused_keys:
-                self._break(f"ROUTE {run_id} ran without a key in force")
+                self._add_violation(f"UNASKED {run_id} ran")
+            if run_id in self._unauthorized_ids:
+                self._add_violation(f"ROUTE {run_id} ran without a valid key")
             if run["has_key"]:
-                self._break(f"UNASKED {run_id}: a key was passed on")
-            is_public = run_id in self._rewards
+                self._add_violation(
+                    f"UNASKED {run_id}: an API key was forwarded"
+                )
+            is_public = run_id in self._reward_ids
             if run["account"] != self._account and not is_public:
-                self._break(f"UNASKED {run_id}: ran for {run['account']!r}")
-        for request_id, sent in self._sent.items():
-            self._check_times(request_id, sent, times[request_id])
-
-    def _check_times(self, request_id: str, sent: _Sent, times: int) -> None:
-        if sent.is_repeatable:
+                self._add_violation(
+                    f"UNASKED {run_id}: ran for {run['account']!r}"
+                )
+        for request_id, sent in self._requests.items():
+            self._check_run_count(request_id, sent, run_counts[request_id])
+
+    def _check_run_count(
+        self, request_id: str, sent: _SentRequest, run_count: int
+    ) -> None:
+        if sent.is_idempotent:
             return
-        if times > 1:
-            self._break(f"TWICE {request_id} ran {times} times")
-        if times and sent.status in _NOT_RUN:
-            self._break(f"REFUSED {request_id}: {sent.status}, but it ran")
+        if run_count > 1:
+            self._add_violation(f"TWICE {request_id} ran {run_count} times")
+        if run_count and sent.status in _NOT_RUN_STATUSES:
+            self._add_violation(
+                f"REFUSED {request_id}: {sent.status}, but it ran"
+            )
 
     def check_usage(self, reports: Iterable[dict]) -> None:
-        """Checks usage reports: one per window, one holder per number."""
+        """Checks usage reports.
+
+        All reports of a window must have the same counts, and all reports
+        with a fencing number the same holder.
+        """
         counts: dict[int, dict] = {}
         holders: dict[int, str] = {}
         for report in reports:
             window = report["window-id"]
             if counts.setdefault(window, report["counts"]) != report["counts"]:
-                self._break(f"ONE window {window} was reported twice")
+                self._add_violation(
+                    f"ONE window {window} was reported with different counts"
+                )
             fencing, holder = report["fencing"], report["holder"]
             if holders.setdefault(fencing, holder) != holder:
-                self._break(f"ONE number {fencing} was used by two daemons")
+                self._add_violation(
+                    f"ONE fencing number {fencing} was used by two daemons"
+                )
 
-    def note_not_back(self, daemon: str, what: str) -> None:
-        """Notes a daemon that serves nothing after all has healed."""
-        self._break(f"RECOVER {daemon}: {what}")
+    def record_failed_recovery(self, daemon: str, reason: str) -> None:
+        """Records that a daemon doesn't serve after all faults have ended."""
+        self._add_violation(f"RECOVER {daemon}: {reason}")
 
-    def note_exit(self, daemon: str, code: int) -> None:
-        """Notes a daemon that ended by itself."""
-        self._break(f"FAULT {daemon} ended by itself with {code}")
+    def record_unexpected_exit(self, daemon: str, code: int) -> None:
+        """Records that a daemon exited without a signal of the soak."""
+        self._add_violation(f"FAULT {daemon} exited by itself with {code}")
 
-    def note_still_runs(self, daemon: str) -> None:
-        """Notes a daemon that outlived its grace time."""
-        self._break(f"DRAIN {daemon}: still runs")
+    def record_missed_shutdown(self, daemon: str) -> None:
+        """Records that a daemon still runs after its shutdown timeout."""
+        self._add_violation(f"DRAIN {daemon}: still runs")
 
-    def _break(self, line: str) -> None:
+    def _add_violation(self, line: str) -> None:
         self.violations.append(line)
--- a/daisyhub/testing/soak/_links.py
+++ b/daisyhub/testing/soak/_links.py
@@ -1,4 +1,4 @@
-"""A proxy on loopback that harms the connections through it."""
+"""A TCP proxy on loopback that injects network faults."""
 
 import enum
 import socket
@@ -13,15 +13,23 @@
 
 _LOOPBACK = "127.0.0.1"
 _CHUNK_BYTES = 65536
-# Seconds by which a slow link holds each piece; half of the time that a call
-# of the store may take (0.7 s).
-_SLOW_S = 0.35
-# Closing with this option sends a reset instead of an end.
+# Seconds by which a slow link delays each chunk; half of the timeout of a store
+# call (0.7 s).
+_SLOW_DELAY_S = 0.35
+# With this value of SO_LINGER a close sends a reset (RST) instead of a FIN.
 _LINGER_RESET = struct.pack("ii", 1, 0)
 
 
 class LinkMode(enum.Enum):
-    """What happens to bytes on a link."""
+    """How a link treats the bytes that it receives.
+
+    Attributes:
+        PASS: Forwards them.
+        SLOW: Delays each chunk.
+        RESET: Resets open and new connections.
+        ONE_WAY: Buffers responses until the link is restored.
+        SILENT: Buffers bytes in both directions until the link is restored.
+    """
 
     PASS = "pass"
     SLOW = "slow"
@@ -33,23 +41,23 @@
 class Link:
     """Forwards TCP connections to one address.
 
-    Bytes that a silent link holds go on when the link is healed, so that
-    calls may take effect late. On a one-way link only answers are held.
+    A link is restored by the modes `PASS` and `SLOW`. It then forwards the
+    buffered bytes, so that a call may take effect late.
 
     Args:
-        target: Where connections go.
+        target: Address to which connections are forwarded.
     """
 
     def __init__(self, target: Address):
         self._target = target
         self._mode = LinkMode.PASS
         self._healed = anyio.Event()
-        self._open: set[anyio.abc.SocketStream] = set()
+        self._open_streams: set[anyio.abc.SocketStream] = set()
         self._listener: anyio.abc.Listener | None = None
         self.address: Address | None = None
 
     async def listen(self) -> Address:
-        """Opens the listener; returns where it is."""
+        """Opens the listener; returns its address."""
         self._listener = await anyio.create_tcp_listener(local_host=_LOOPBACK)
         port = self._listener.extra(anyio.abc.SocketAttribute.local_port)
         self.address = Address(ip=_LOOPBACK, port=port)
@@ -61,41 +69,47 @@
             await self._listener.serve(self._serve)
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Harms or heals the link, also for connections that are open."""
+        """Sets the mode, also for open connections."""
         self._mode = mode
         if mode is LinkMode.RESET:
-            for stream in list(self._open):
+            for stream in list(self._open_streams):
                 _reset(stream)
         if mode in (LinkMode.PASS, LinkMode.SLOW):
             self._healed.set()
             self._healed = anyio.Event()
 
-    async def _serve(self, near: anyio.abc.SocketStream) -> None:
+    async def _serve(self, client_stream: anyio.abc.SocketStream) -> None:
         if self._mode is LinkMode.RESET:
-            _reset(near)
+            _reset(client_stream)
             return
         try:
-            far = await anyio.connect_tcp(self._target.ip, self._target.port)
+            server_stream = await anyio.connect_tcp(
+                self._target.ip, self._target.port
+            )
         except OSError:
-            _reset(near)
+            _reset(client_stream)
             return
-        self._open |= {near, far}
+        self._open_streams |= {client_stream, server_stream}
         try:
             async with anyio.create_task_group() as tasks:
-                tasks.start_soon(self._pump, near, far, False)
-                tasks.start_soon(self._pump, far, near, True)
+                tasks.start_soon(
+                    self._forward, client_stream, server_stream, False
+                )
+                tasks.start_soon(
+                    self._forward, server_stream, client_stream, True
+                )
         finally:
-            self._open -= {near, far}
-            for stream in (near, far):
+            self._open_streams -= {client_stream, server_stream}
+            for stream in (client_stream, server_stream):
                 with anyio.CancelScope(shield=True):
                     await anyio.aclose_forcefully(stream)
 
-    async def _pump(self, source, sink, is_answer: bool) -> None:
+    async def _forward(self, source, sink, is_response: bool) -> None:
         try:
             while True:
-                piece = await source.receive(_CHUNK_BYTES)
-                await self._hold(is_answer)
-                await sink.send(piece)
+                data = await source.receive(_CHUNK_BYTES)
+                await self._delay(is_response)
+                await sink.send(data)
         except anyio.EndOfStream:
             try:
                 await sink.send_eof()
@@ -105,21 +119,21 @@
             _reset(source)
             _reset(sink)
 
-    async def _hold(self, is_answer: bool) -> None:
+    async def _delay(self, is_response: bool) -> None:
         if self._mode is LinkMode.SLOW:
-            await anyio.sleep(_SLOW_S)
+            await anyio.sleep(_SLOW_DELAY_S)
         while self._mode is LinkMode.SILENT or (
-            self._mode is LinkMode.ONE_WAY and is_answer
+            self._mode is LinkMode.ONE_WAY and is_response
         ):
             await self._healed.wait()
 
 
 def _reset(stream: anyio.abc.SocketStream) -> None:
-    """Closes a connection so that the other end sees a reset."""
+    """Shuts a connection down so that the peer receives a reset."""
     raw = stream.extra(anyio.abc.SocketAttribute.raw_socket)
     try:
         raw.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_RESET)
-        # The event loop still owns the descriptor: shut down, don't close.
+        # The event loop owns the descriptor: shut down, don't close it.
         raw.shutdown(socket.SHUT_RDWR)
     except OSError:
         return
--- a/daisyhub/testing/soak/_plan.py
+++ b/daisyhub/testing/soak/_plan.py
@@ -1,4 +1,4 @@
-"""Draws the disturbances of a soak from its seed."""
+"""Draws the disturbances of a soak at random from its seed."""
 
 import dataclasses
 import enum
@@ -7,18 +7,34 @@
 
 __all__ = ["Disturbance", "Kind", "make_plan"]
 
-# Disturbances in each ten seconds; they last up to four, so some overlap.
-_PER_TEN_S = 8
-_LONGEST_S = 4.0
-# Share of disturbances that come as a series on one target.
-_SERIES_SHARE = 0.25
-_SERIES_GAP_S = 0.7
-# Largest jump of a restarted daemon's time of day, seconds.
-_CLOCK_JUMP_S = 30.0
+# Disturbances per ten seconds; they last up to four seconds, so some overlap.
+_DISTURBANCES_PER_TEN_S = 8
+_MAX_DURATION_S = 4.0
+# Probability that a disturbance is repeated on the same target.
+_REPEAT_PROBABILITY = 0.25
+_MAX_REPEAT_GAP_S = 0.7
+# Maximum offset of the wall clock of a restarted daemon, in either direction.
+_MAX_CLOCK_JUMP_S = 30.0
 
 
 class Kind(enum.Enum):
-    """What is done."""
+    """Kind of a disturbance.
+
+    Attributes:
+        KILL: A daemon is killed and restarted.
+        STOP: A daemon is terminated by SIGTERM and restarted.
+        PAUSE: A daemon is suspended (SIGSTOP).
+        HANG_UP: A daemon receives SIGHUP.
+        CLOCK: A daemon is killed and restarted with a shifted wall clock.
+        STORE_LINK: A network fault between one daemon and the store.
+        ALL_STORE_LINKS: A network fault between all daemons and the store.
+        STORE_FAULT: The store responds with faults.
+        SERVER_LINK: A network fault between all daemons and one server.
+        SERVER_FAULT: A server responds with faults.
+        CONFIG: The manifest is written again with a new version.
+        KEYS: The manifest contains a second account for a time.
+        KILL_ALL: All daemons are killed and restarted.
+    """
 
     KILL = "kill"
     STOP = "stop"
@@ -35,7 +51,7 @@
     KILL_ALL = "kill_all"
 
 
-# Draws for each kind; those that hit all daemons come less often.
+# Relative frequency of each kind; lower for most that affect all daemons.
 _WEIGHTS = {
     Kind.KILL: 4,
     Kind.STOP: 3,
@@ -51,75 +67,78 @@
     Kind.KEYS: 1,
     Kind.KILL_ALL: 1,
 }
-_HARMS = ("slow", "reset", "one_way", "silent")
+_LINK_MODES = ("slow", "reset", "one_way", "silent")
 _STORE_FAULTS = ("error", "lose", "late", "truncate")
 _SERVER_FAULTS = ("error", "lose", "late", "truncate", "hang")
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Disturbance:
-    """One disturbance.
+    """A disturbance to apply to the processes of a soak.
 
     Attributes:
         at_s: Seconds from the start of the soak.
-        for_s: How long it lasts.
-        kind: What is done.
-        target: Name of a daemon or a server; empty for all.
-        how: Mode of a link, or kind of a fault; empty for others.
-        amount: Jump of a clock, seconds.
+        duration_s: How long it lasts; ignored by kinds without a duration.
+        kind: Its kind.
+        target: Name of a daemon or a server, or `platform`; empty for all.
+        mode: Mode of a link, or kind of a fault; empty for others.
+        clock_jump_s: Offset of the wall clock; used by `Kind.CLOCK` only.
     """
 
     at_s: float
-    for_s: float
+    duration_s: float
     kind: Kind
     target: str = ""
-    how: str = ""
-    amount: float = 0.0
+    mode: str = ""
+    clock_jump_s: float = 0.0
 
 
 def make_plan(
     seed: int, seconds: float, daemons: Sequence[str], servers: Sequence[str]
 ) -> tuple[Disturbance, ...]:
-    """Returns the disturbances of a soak, by time; equal for equal seeds."""
+    """Returns the disturbances of a soak by start time.
+
+    The result depends on the arguments only.
+    """
     rng = random.Random(seed)
     plan: list[Disturbance] = []
-    for _ in range(max(1, round(seconds / 10 * _PER_TEN_S))):
+    for _ in range(max(1, round(seconds / 10 * _DISTURBANCES_PER_TEN_S))):
         first = _draw(rng, seconds, daemons, servers)
         plan.append(first)
-        if rng.random() >= _SERIES_SHARE:
+        if rng.random() >= _REPEAT_PROBABILITY:
             continue
-        gap_s = first.for_s + rng.uniform(0.0, _SERIES_GAP_S)
-        again = dataclasses.replace(first, at_s=first.at_s + gap_s)
-        if again.at_s < seconds:
-            plan.append(again)
+        gap_s = first.duration_s + rng.uniform(0.0, _MAX_REPEAT_GAP_S)
+        repeat = dataclasses.replace(first, at_s=first.at_s + gap_s)
+        if repeat.at_s < seconds:
+            plan.append(repeat)
     return tuple(sorted(plan, key=lambda d: d.at_s))
 
 
 def _draw(rng, seconds, daemons, servers) -> Disturbance:
     kind = rng.choices(list(_WEIGHTS), list(_WEIGHTS.values()))[0]
     at_s = rng.uniform(0.0, seconds)
-    for_s = rng.uniform(0.2, _LONGEST_S)
-    target = how = ""
+    duration_s = rng.uniform(0.2, _MAX_DURATION_S)
+    target = mode = ""
     match kind:
         case Kind.STORE_LINK:
-            target, how = rng.choice(daemons), rng.choice(_HARMS)
+            target, mode = rng.choice(daemons), rng.choice(_LINK_MODES)
         case Kind.ALL_STORE_LINKS:
-            how = rng.choice(_HARMS)
+            mode = rng.choice(_LINK_MODES)
         case Kind.STORE_FAULT:
-            target, how = "platform", rng.choice(_STORE_FAULTS)
+            target, mode = "platform", rng.choice(_STORE_FAULTS)
         case Kind.SERVER_LINK:
-            target, how = rng.choice(servers), rng.choice(_HARMS)
+            target, mode = rng.choice(servers), rng.choice(_LINK_MODES)
         case Kind.SERVER_FAULT:
-            target, how = rng.choice(servers), rng.choice(_SERVER_FAULTS)
+            target, mode = rng.choice(servers), rng.choice(_SERVER_FAULTS)
         case Kind.CONFIG | Kind.KEYS | Kind.KILL_ALL:
             pass
         case _:
             target = rng.choice(daemons)
     return Disturbance(
         at_s=at_s,
-        for_s=for_s,
+        duration_s=duration_s,
         kind=kind,
         target=target,
-        how=how,
-        amount=rng.uniform(-_CLOCK_JUMP_S, _CLOCK_JUMP_S),
+        mode=mode,
+        clock_jump_s=rng.uniform(-_MAX_CLOCK_JUMP_S, _MAX_CLOCK_JUMP_S),
     )
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -1,4 +1,4 @@
-"""Runs daemons under a plan of disturbances and checks their promises."""
+"""Runs daemons under a plan of disturbances and checks their guarantees."""
 
 import contextlib
 import dataclasses
@@ -12,40 +12,41 @@
 from daisyhub.connections import RequestFailedError
 from daisyhub.settings import Address
 from daisyhub.testing.fleet import KEY, Fleet
-from daisyhub.testing.soak._callers import Callers
 from daisyhub.testing.soak._ledger import Ledger
 from daisyhub.testing.soak._links import Link, LinkMode
+from daisyhub.testing.soak._load_generator import LoadGenerator
 from daisyhub.testing.soak._plan import Disturbance, Kind, make_plan
 
 __all__ = ["Soak", "SoakReport"]
 
 _ACCOUNT = "t"
-_OTHER_KEY = "key-of-u"
+_EXTRA_KEY = "key-of-u"
 _MODULE = "daisyhub.testing.soaked_daemon"
-# Events of an item at the stand-in of a server.
-_EVENTS = 6
-# Seconds after the last disturbance within which service must be back.
-_RECOVER_S = 12.0
-# Seconds after that within which every lot must be listed whole.
-_FINISH_S = 20.0
-# Seconds from SIGTERM within which a daemon must be gone.
-_GRACE_S = 8.0
-# Seconds between reads of a lot that a daemon doesn't list whole yet.
-_READ_PAUSE_S = 0.05
-# Seconds that a daemon stays down after it ended.
-_RESTART_S = 0.3
+# Events that a fake server streams per item.
+_EVENTS_PER_ITEM = 6
+# Seconds after the last disturbance within which every daemon must serve.
+_RECOVERY_TIMEOUT_S = 12.0
+# Seconds after recovery within which every lot must be listed completely.
+_LOT_TIMEOUT_S = 20.0
+# Seconds after a signal to end within which a daemon must have exited.
+_SHUTDOWN_TIMEOUT_S = 8.0
+# Seconds between reads of a lot that a daemon doesn't list completely yet.
+_READ_INTERVAL_S = 0.05
+# Seconds between the exit of a daemon and its restart, and between the retries
+# of an operator or of a recovery check.
+_RESTART_DELAY_S = 0.3
 _OK = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SoakReport:
-    """What a soak found.
+    """The result of a soak.
 
     Attributes:
         seed: Its seed.
-        violations: One line for each broken promise.
-        counts: Answers by status, lots and disturbances.
-        logs: Folder with the processes' logs, if a promise was broken.
+        violations: One line per violated guarantee.
+        counts: Number of responses by status, lots and disturbances.
+        logs: Folder with the processes' logs; empty if all guarantees held.
     """
 
     seed: int
@@ -55,41 +56,42 @@
 
 
 class _SoakFleet(Fleet):
-    """A fleet whose calls go through links."""
+    """A fleet whose connections to the store and servers go through links."""
 
     def __init__(self, **options):
         super().__init__(module=_MODULE, **options)
         self.links: dict[str, Link] = {}
 
     async def open_link(self, name: str, target: Address, tasks) -> None:
-        """Puts a link before an address."""
+        """Opens a link to an address."""
         link = self.links[name] = Link(target)
         await link.listen()
         tasks.start_soon(link.run)
 
     def build_settings(self, name: str) -> dict:
-        """See `Fleet`; the store is behind this daemon's link."""
+        """See `Fleet`; the store's address is that of the daemon's link."""
         settings = super().build_settings(name)
         settings["store"] = str(self.links[f"store {name}"].address)
         return settings
 
     def build_server_entry(self, name: str) -> dict:
-        """See `Fleet`; the server is behind its link."""
+        """See `Fleet`; the address is that of the server's link."""
         entry = super().build_server_entry(name)
         entry["address"] = str(self.links[name].address)
         return entry
 
 
 class Soak:
-    """One soak.
+    """One soak test.
 
     Args:
-        seed: Decides about disturbances and calls.
-        seconds: How long it disturbs.
+        seed: Seed of the disturbances and of the load.
+        seconds: Duration in which disturbances start.
         daemons: Number of daemons.
         servers: Number of servers.
-        broken: A variant of the daemon that is broken on purpose.
-        plan: Disturbances to use instead of drawn ones.
+        broken: A bug to inject into the daemons, one of
+            `soaked_daemon.BROKEN`; empty for none.
+        plan: Disturbances to apply; None draws them from the seed.
     """
 
     def __init__(
@@ -108,26 +110,26 @@
             seed, seconds, self.fleet.daemon_names, self.fleet.server_names
         )
         self.ledger = Ledger(_ACCOUNT)
-        self.callers = Callers(seed, self.fleet, self.ledger)
-        self._broken = broken
-        self._down: set[str] = set()
+        self.load_generator = LoadGenerator(seed, self.fleet, self.ledger)
+        self._bug = broken
+        self._restarting: set[str] = set()
 
     async def run(self) -> SoakReport:
-        """Starts all, disturbs, heals, checks, and ends all."""
+        """Starts all processes, disturbs them, checks them, and kills them."""
         logs = ""
         try:
             async with anyio.create_task_group() as tasks:
                 await self._start(tasks)
-                tasks.start_soon(self.callers.run)
-                tasks.start_soon(self._watch_exits)
+                tasks.start_soon(self.load_generator.run)
+                tasks.start_soon(self._restart_exited_daemons)
                 await self._disturb()
-                await self._recover()
-                await self._finish()
+                await self._check_recovery()
+                await self._check_guarantees()
                 tasks.cancel_scope.cancel()
             if self.ledger.violations:
-                logs = self._keep_logs()
+                logs = self._save_logs()
         finally:
-            await self.callers.aclose()
+            await self.load_generator.aclose()
             await self.fleet.http.aclose()
             self.fleet.stop()
         return SoakReport(
@@ -139,7 +141,7 @@
 
     async def _start(self, tasks) -> None:
         fleet = self.fleet
-        env = {"DAISYHUB_SOAK_BROKEN": self._broken}
+        env = {"DAISYHUB_SOAK_BROKEN": self._bug}
         fleet.daemon_env = {name: dict(env) for name in fleet.daemon_names}
         await fleet.start_fakes()
         for name in fleet.server_names:
@@ -150,7 +152,7 @@
             )
         await fleet.start_daemons()
 
-    # What is done to the processes.
+    # Disturbances.
 
     async def _disturb(self) -> None:
         started_s = time.monotonic()
@@ -161,164 +163,171 @@
                 self.ledger.counts[disturbance.kind.value] += 1
                 tasks.start_soon(self._apply, disturbance)
 
-    async def _apply(self, what: Disturbance) -> None:
+    async def _apply(self, disturbance: Disturbance) -> None:
         fleet = self.fleet
-        match what.kind:
+        match disturbance.kind:
             case Kind.KILL:
-                await self._restart(what.target, signal.SIGKILL)
+                await self._restart(disturbance.target, signal.SIGKILL)
             case Kind.STOP:
-                await self._restart(what.target, signal.SIGTERM)
+                await self._restart(disturbance.target, signal.SIGTERM)
             case Kind.CLOCK:
-                env = fleet.daemon_env[what.target]
-                env["DAISYHUB_SOAK_CLOCK_S"] = str(what.amount)
-                await self._restart(what.target, signal.SIGKILL)
+                env = fleet.daemon_env[disturbance.target]
+                env["DAISYHUB_SOAK_CLOCK_S"] = str(disturbance.clock_jump_s)
+                await self._restart(disturbance.target, signal.SIGKILL)
             case Kind.KILL_ALL:
                 await self._kill_all()
             case Kind.PAUSE:
-                await self._pause(what)
+                await self._pause(disturbance)
             case Kind.HANG_UP:
-                self._signal(what.target, signal.SIGHUP)
+                self._signal(disturbance.target, signal.SIGHUP)
             case Kind.STORE_LINK | Kind.SERVER_LINK | Kind.ALL_STORE_LINKS:
-                await self._harm_links(what)
+                await self._degrade_links(disturbance)
             case Kind.STORE_FAULT | Kind.SERVER_FAULT:
-                fault = {"kind": what.how, "delay_s": 0.5, "path": "/"}
-                await fleet.inject_fault(what.target, fault)
-                await anyio.sleep(what.for_s)
-                await fleet.inject_fault(what.target, None)
+                fault = {"kind": disturbance.mode, "delay_s": 0.5, "path": "/"}
+                await fleet.inject_fault(disturbance.target, fault)
+                await anyio.sleep(disturbance.duration_s)
+                await fleet.inject_fault(disturbance.target, None)
             case Kind.CONFIG:
-                await self._configure({_ACCOUNT: [KEY]})
+                await self._write_config({_ACCOUNT: [KEY]})
             case Kind.KEYS:
-                held = {_ACCOUNT: [KEY], "u": [_OTHER_KEY]}
-                await self._configure(held)
-                await anyio.sleep(what.for_s)
-                await self._configure({_ACCOUNT: [KEY]})
+                keys = {_ACCOUNT: [KEY], "u": [_EXTRA_KEY]}
+                await self._write_config(keys)
+                await anyio.sleep(disturbance.duration_s)
+                await self._write_config({_ACCOUNT: [KEY]})
 
-    async def _configure(self, keys: dict[str, list[str]]) -> None:
-        """Writes a manifest; an operator tries until the store takes it."""
+    async def _write_config(self, keys: dict[str, list[str]]) -> None:
+        """Writes a manifest; retries until the store accepts it."""
         while True:
             with contextlib.suppress(RequestFailedError):
                 await self.fleet.write_config(keys)
                 return
-            await anyio.sleep(_RESTART_S)
+            await anyio.sleep(_RESTART_DELAY_S)
 
     def _signal(self, name: str, number: int) -> None:
-        """Signals a daemon, unless it is down or its interpreter starts.
+        """Sends a signal to a daemon, unless it is being restarted.
 
-        No program can handle a signal before its first line.
+        SIGHUP is only sent once the process handles it: while its interpreter
+        starts, no program can prevent that SIGHUP ends it.
         """
-        if name in self._down:
+        if name in self._restarting:
             return
-        if number == signal.SIGHUP and not _handles(
+        if number == signal.SIGHUP and not _is_signal_handled(
             self.fleet.processes[name].pid, number
         ):
             return
         self.fleet.signal(name, number)
 
     async def _restart(self, name: str, number: int) -> None:
-        """Ends a daemon and starts it again; one at a time for each."""
-        if name in self._down:
+        """Ends a daemon and starts it again, unless it is being restarted."""
+        if name in self._restarting:
             return
         process = self.fleet.processes[name]
         if process.poll() is not None:
             return
-        self._down.add(name)
+        self._restarting.add(name)
         process.send_signal(signal.SIGCONT)
         process.send_signal(number)
-        with anyio.move_on_after(_GRACE_S):
+        with anyio.move_on_after(_SHUTDOWN_TIMEOUT_S):
             while process.poll() is None:
                 await anyio.sleep(0.02)
         if process.poll() is None:
-            self.ledger.note_still_runs(name)
+            self.ledger.record_missed_shutdown(name)
             process.kill()
         process.wait()
-        await anyio.sleep(_RESTART_S)
+        await anyio.sleep(_RESTART_DELAY_S)
         self.fleet.start_daemon(name)
-        self._down.discard(name)
+        self._restarting.discard(name)
 
     async def _kill_all(self) -> None:
         async with anyio.create_task_group() as tasks:
             for name in self.fleet.daemon_names:
                 tasks.start_soon(self._restart, name, signal.SIGKILL)
 
-    async def _pause(self, what: Disturbance) -> None:
-        self._signal(what.target, signal.SIGSTOP)
-        await anyio.sleep(what.for_s)
-        self._signal(what.target, signal.SIGCONT)
+    async def _pause(self, disturbance: Disturbance) -> None:
+        self._signal(disturbance.target, signal.SIGSTOP)
+        await anyio.sleep(disturbance.duration_s)
+        self._signal(disturbance.target, signal.SIGCONT)
 
-    async def _harm_links(self, what: Disturbance) -> None:
+    async def _degrade_links(self, disturbance: Disturbance) -> None:
         names = [f"store {name}" for name in self.fleet.daemon_names]
-        if what.kind is Kind.STORE_LINK:
-            names = [f"store {what.target}"]
-        elif what.kind is Kind.SERVER_LINK:
-            names = [what.target]
+        if disturbance.kind is Kind.STORE_LINK:
+            names = [f"store {disturbance.target}"]
+        elif disturbance.kind is Kind.SERVER_LINK:
+            names = [disturbance.target]
         for name in names:
-            self.fleet.links[name].set_mode(LinkMode(what.how))
-        await anyio.sleep(what.for_s)
+            self.fleet.links[name].set_mode(LinkMode(disturbance.mode))
+        await anyio.sleep(disturbance.duration_s)
         for name in names:
             self.fleet.links[name].set_mode(LinkMode.PASS)
 
-    async def _watch_exits(self) -> None:
-        """Notes daemons that end by themselves, and starts them again."""
+    async def _restart_exited_daemons(self) -> None:
+        """Records daemons that exit by themselves, and restarts them."""
         while True:
             await anyio.sleep(0.05)
             for name in self.fleet.daemon_names:
                 process = self.fleet.processes[name]
-                if name in self._down or process.poll() is None:
+                if name in self._restarting or process.poll() is None:
                     continue
-                self.ledger.note_exit(name, process.returncode)
+                self.ledger.record_unexpected_exit(name, process.returncode)
                 self.fleet.start_daemon(name)
 
-    # What must hold in the end.
+    # Checks.
 
-    async def _recover(self) -> None:
-        """Checks that each daemon serves again soon after the last fault.
+    async def _check_recovery(self) -> None:
+        """Checks that each daemon serves again within `_RECOVERY_TIMEOUT_S`.
 
-        To be called as soon as that is over.
+        The time counts from the call.
         """
-        latest_s = time.monotonic() + _RECOVER_S
+        deadline_s = time.monotonic() + _RECOVERY_TIMEOUT_S
         for daemon in self.fleet.daemon_names:
             while True:
-                request_id = self.callers.next_id("r")
+                request_id = self.load_generator.next_id("r")
                 path = f"/records/{request_id}"
-                self.ledger.record_sent(request_id, path, is_repeatable=True)
-                status, _, _ = await self.callers.call(
+                self.ledger.record_sent(request_id, path, is_idempotent=True)
+                status, _, _ = await self.load_generator.call(
                     daemon, "POST", path, request_id
                 )
                 if status == _OK:
                     break
-                if time.monotonic() > latest_s:
-                    self.ledger.note_not_back(daemon, f"status {status}")
+                if time.monotonic() > deadline_s:
+                    self.ledger.record_failed_recovery(
+                        daemon, f"status {status}"
+                    )
                     break
-                await anyio.sleep(_RESTART_S)
+                await anyio.sleep(_RESTART_DELAY_S)
 
-    async def _finish(self) -> None:
-        """Reads every lot whole at every daemon, then checks everything.
+    async def _check_guarantees(self) -> None:
+        """Reads all lots from every daemon twice, then checks all guarantees.
 
-        All daemons are killed between two readings: what was listed must lie
-        in the store.
+        All daemons are killed between the two reads, so that the second read
+        shows whether the listed results were stored.
         """
-        self.callers.stop()
-        with anyio.move_on_after(_FINISH_S):
-            await self.callers.ended.wait()
-        await self._read_all()
+        self.load_generator.stop()
+        with anyio.move_on_after(_LOT_TIMEOUT_S):
+            await self.load_generator.finished.wait()
+        await self._read_all_lots()
         await self._kill_all()
-        await self._recover()
-        await self._read_all()
-        self.ledger.check_texts(_EVENTS)
+        await self._check_recovery()
+        await self._read_all_lots()
+        self.ledger.check_texts(_EVENTS_PER_ITEM)
         self.ledger.check_runs(await self.fleet.executed_requests())
         self.ledger.check_usage(await self.fleet.usage())
 
-    async def _read_all(self) -> None:
-        latest_s = time.monotonic() + _FINISH_S
+    async def _read_all_lots(self) -> None:
+        deadline_s = time.monotonic() + _LOT_TIMEOUT_S
         for lot_id in tuple(self.ledger.lots):
             for daemon in self.fleet.daemon_names:
-                while not await self.callers.read(daemon, lot_id, 0):
-                    if time.monotonic() > latest_s:
+                while not await self.load_generator.read_lot(daemon, lot_id, 0):
+                    if time.monotonic() > deadline_s:
                         break
-                    await anyio.sleep(_READ_PAUSE_S)
+                    await anyio.sleep(_READ_INTERVAL_S)
 
-    def _keep_logs(self) -> str:
-        """Copies the logs of all processes beside the soak's folder."""
+    def _save_logs(self) -> str:
+        """Copies the logs of all processes and the plan to `.soak/`.
+
+        Returns:
+            The folder of the copies.
+        """
         folder = pathlib.Path(".soak") / f"{self.seed}-{os.getpid()}"
         folder.mkdir(parents=True, exist_ok=True)
         for log in self.fleet.folder.glob("*.log"):
@@ -329,8 +338,8 @@
         return str(folder)
 
 
-def _handles(pid: int, number: int) -> bool:
-    """Whether a process ignores or catches a signal now."""
+def _is_signal_handled(pid: int, number: int) -> bool:
+    """Returns whether a process ignores or catches a signal now."""
     try:
         status = pathlib.Path(f"/proc/{pid}/status").read_text("utf-8")
     except OSError:
--- a/daisyhub/testing/soak/tests/test_ledger.py
+++ b/daisyhub/testing/soak/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""The soak's checks see each broken promise, and nothing else."""
+"""The ledger reports each violated guarantee, and nothing else."""
 
 import unittest
 
@@ -10,31 +10,33 @@
     return {"id": item_id, "state": "completed", "text": text}
 
 
-def ran(request_id, account="t", has_key=False):
+def executed(request_id, account="t", has_key=False):
     return {"id": request_id, "account": account, "has_key": has_key}
 
 
 class LedgerTest(unittest.TestCase):
     def setUp(self):
         self.ledger = Ledger("t")
-        self.ledger.record_sent("r1", "/records/1", is_repeatable=True)
-        self.ledger.record_sent("w1", "/writes/1", is_repeatable=False)
-        self.ledger.note_lot("L", ["a", "b"])
-        self.ledger.note_accepted("L")
+        self.ledger.record_sent("r1", "/records/1", is_idempotent=True)
+        self.ledger.record_sent("w1", "/writes/1", is_idempotent=False)
+        self.ledger.record_submitted_lot("L", ["a", "b"])
+        self.ledger.record_accepted_lot("L")
 
-    def broken(self):
+    def violated_codes(self):
         return [line.split()[0] for line in self.ledger.violations]
 
-    def test_a_calm_day_breaks_nothing(self):
-        told = {"path": "/records/1"}
-        self.ledger.note_answer("r1", 200, told, is_stamped=True)
-        self.ledger.note_answer("w1", 504, None, is_stamped=False)
-        self.ledger.note_results("d0", "L", 0, [result("b")])
-        self.ledger.note_results("d1", "L", 0, [result("b"), result("a")])
-        self.ledger.note_results("d2", "L", 1, [result("a")])
+    def test_a_valid_history_has_no_violations(self):
+        body = {"path": "/records/1"}
+        self.ledger.record_response("r1", 200, body, is_stamped=True)
+        self.ledger.record_response("w1", 504, None, is_stamped=False)
+        self.ledger.record_results("d0", "L", 0, [result("b")])
+        self.ledger.record_results("d1", "L", 0, [result("b"), result("a")])
+        self.ledger.record_results("d2", "L", 1, [result("a")])
         self.ledger.check_texts(events=2)
         runs = ["r1", "r1", "w1", "a", "a", "b"]
-        self.ledger.check_runs([ran(n) for n in runs] + [ran("a-r", "")])
+        self.ledger.check_runs(
+            [executed(n) for n in runs] + [executed("a-r", "")]
+        )
         self.ledger.check_usage(
             [
                 {
@@ -48,59 +50,63 @@
         )
         self.assertEqual(self.ledger.violations, [])
 
-    def test_an_answer_of_another_request_or_without_stamp_is_seen(self):
+    def test_a_response_of_another_request_or_without_stamp_is_reported(self):
         other = {"path": "/records/2"}
-        self.ledger.note_answer("r1", 200, other, is_stamped=True)
-        told = {"path": "/writes/1"}
-        self.ledger.note_answer("w1", 200, told, is_stamped=False)
-        self.assertEqual(self.broken(), ["MIXED", "MIXED"])
-
-    def test_a_request_that_may_run_once_and_ran_twice_is_seen(self):
-        self.ledger.check_runs([ran("w1"), ran("w1")])
-        self.assertEqual(self.broken(), ["TWICE"])
-
-    def test_a_refusal_of_what_ran_is_seen(self):
-        self.ledger.note_answer("w1", 503, None, is_stamped=False)
-        self.ledger.check_runs([ran("w1")])
-        self.assertEqual(self.broken(), ["REFUSED"])
-
-    def test_runs_that_nobody_asked_for_are_seen(self):
-        self.ledger.record_sent("r2", "/r", is_repeatable=True, has_key=False)
+        self.ledger.record_response("r1", 200, other, is_stamped=True)
+        body = {"path": "/writes/1"}
+        self.ledger.record_response("w1", 200, body, is_stamped=False)
+        self.assertEqual(self.violated_codes(), ["MIXED", "MIXED"])
+
+    def test_a_non_idempotent_request_that_ran_twice_is_reported(self):
+        self.ledger.check_runs([executed("w1"), executed("w1")])
+        self.assertEqual(self.violated_codes(), ["TWICE"])
+
+    def test_a_rejected_request_that_ran_is_reported(self):
+        self.ledger.record_response("w1", 503, None, is_stamped=False)
+        self.ledger.check_runs([executed("w1")])
+        self.assertEqual(self.violated_codes(), ["REFUSED"])
+
+    def test_runs_without_a_valid_request_are_reported(self):
+        self.ledger.record_sent("r2", "/r", is_idempotent=True, has_key=False)
         self.ledger.check_runs(
             [
-                ran("x"),
-                ran("r2"),
-                ran("r1", has_key=True),
-                ran("r1", account="u"),
+                executed("x"),
+                executed("r2"),
+                executed("r1", has_key=True),
+                executed("r1", account="u"),
             ]
         )
         self.assertEqual(
-            self.broken(), ["UNASKED", "ROUTE", "UNASKED", "UNASKED"]
+            self.violated_codes(), ["UNASKED", "ROUTE", "UNASKED", "UNASKED"]
         )
 
-    def test_a_position_that_changed_is_seen(self):
-        self.ledger.note_results("d0", "L", 0, [result("a")])
-        self.ledger.note_results("d1", "L", 0, [result("b")])
-        self.assertEqual(self.broken(), ["ORDER"])
+    def test_a_changed_position_is_reported(self):
+        self.ledger.record_results("d0", "L", 0, [result("a")])
+        self.ledger.record_results("d1", "L", 0, [result("b")])
+        self.assertEqual(self.violated_codes(), ["ORDER"])
 
-    def test_missing_doubled_foreign_and_garbled_results_are_seen(self):
-        self.ledger.note_lot("M", ["c", "d"])
-        self.ledger.note_accepted("M")
-        self.ledger.note_results("d0", "L", 0, [result("a"), result("a")])
-        self.ledger.note_results("d0", "M", 0, [result("b", events=1)])
+    def test_missing_duplicate_foreign_and_wrong_results_are_reported(self):
+        self.ledger.record_submitted_lot("M", ["c", "d"])
+        self.ledger.record_accepted_lot("M")
+        self.ledger.record_results("d0", "L", 0, [result("a"), result("a")])
+        self.ledger.record_results("d0", "M", 0, [result("b", events=1)])
         self.ledger.check_texts(events=2)
-        self.assertEqual(self.broken(), ["ORDER", "LOST", "MIXED", "ORDER"])
+        self.assertEqual(
+            self.violated_codes(), ["ORDER", "LOST", "MIXED", "ORDER"]
+        )
 
-    def test_a_window_with_two_counts_and_a_shared_number_are_seen(self):
+    def test_a_window_with_two_counts_and_a_shared_number_are_reported(self):
         report = {"window-id": 1, "counts": {}, "fencing": 1, "holder": "a"}
         self.ledger.check_usage(
             [report, {**report, "counts": {"t": 1}, "holder": "b"}]
         )
-        self.assertEqual(self.broken(), ["ONE", "ONE"])
-
-    def test_losses_exits_and_failed_recoveries_are_seen(self):
-        self.ledger.note_missing("d0", "L", 404)
-        self.ledger.note_exit("d0", 1)
-        self.ledger.note_not_back("d0", "status 0")
-        self.ledger.note_still_runs("d0")
-        self.assertEqual(self.broken(), ["LOST", "FAULT", "RECOVER", "DRAIN"])
+        self.assertEqual(self.violated_codes(), ["ONE", "ONE"])
+
+    def test_losses_exits_and_failed_recoveries_are_reported(self):
+        self.ledger.record_missing_lot("d0", "L", 404)
+        self.ledger.record_unexpected_exit("d0", 1)
+        self.ledger.record_failed_recovery("d0", "status 0")
+        self.ledger.record_missed_shutdown("d0")
+        self.assertEqual(
+            self.violated_codes(), ["LOST", "FAULT", "RECOVER", "DRAIN"]
+        )
--- a/daisyhub/testing/soak/tests/test_links.py
+++ b/daisyhub/testing/soak/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links pass bytes on, and harm them in each of the ways."""
+"""Links forward bytes and inject the fault of each mode."""
 
 import contextlib
 import unittest
@@ -8,7 +8,7 @@
 from daisyhub.settings import Address
 from daisyhub.testing.soak import Link, LinkMode
 
-# What a reader sees of a connection that was reset.
+# Errors of a read from a connection that was reset.
 ENDED = (anyio.EndOfStream, anyio.BrokenResourceError)
 
 
@@ -20,7 +20,7 @@
 
 @contextlib.asynccontextmanager
 async def linked():
-    """An echo server behind a link, and a connection through it."""
+    """Yields a link to an echo server, and a connection through the link."""
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(anyio.abc.SocketAttribute.local_port)
     link = Link(Address(ip="127.0.0.1", port=port))
@@ -36,12 +36,12 @@
 
 
 class LinkTest(unittest.IsolatedAsyncioTestCase):
-    async def test_a_sound_link_passes_both_ways(self):
+    async def test_a_passing_link_forwards_in_both_directions(self):
         async with linked() as (_, conn):
             await conn.send(b"x")
             self.assertEqual(await conn.receive(), b"x")
 
-    async def test_a_reset_ends_connections_that_are_open_and_new_ones(self):
+    async def test_a_reset_ends_open_and_new_connections(self):
         async with linked() as (link, conn):
             await conn.send(b"x")
             await conn.receive()
@@ -53,7 +53,7 @@
                 with self.assertRaises(ENDED):
                     await fresh.receive()
 
-    async def test_a_silent_link_holds_bytes_until_it_is_healed(self):
+    async def test_a_silent_link_buffers_bytes_until_it_is_restored(self):
         for mode in (LinkMode.SILENT, LinkMode.ONE_WAY):
             async with linked() as (link, conn):
                 link.set_mode(mode)
--- a/daisyhub/testing/soak/tests/test_plan.py
+++ b/daisyhub/testing/soak/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Plans repeat with their seed and hold every kind of disturbance."""
+"""Plans are reproducible from their seed and cover all disturbances."""
 
 import unittest
 
@@ -14,19 +14,19 @@
         self.assertEqual(one, make_plan(7, 30.0, DAEMONS, SERVERS))
         self.assertNotEqual(one, make_plan(8, 30.0, DAEMONS, SERVERS))
 
-    def test_seeds_bring_all_kinds_in_series_and_overlapping(self):
+    def test_plans_contain_all_kinds_repeats_and_overlaps(self):
         plans = [make_plan(n, 30.0, DAEMONS, SERVERS) for n in range(20)]
-        kinds = {what.kind for plan in plans for what in plan}
+        kinds = {disturbance.kind for plan in plans for disturbance in plan}
         self.assertEqual(kinds, set(Kind))
         pairs = [(a, b) for p in plans for a, b in zip(p, p[1:], strict=False)]
-        self.assertTrue(any(b.at_s < a.at_s + a.for_s for a, b in pairs))
+        self.assertTrue(any(b.at_s < a.at_s + a.duration_s for a, b in pairs))
         self.assertTrue(
             any((a.kind, a.target) == (b.kind, b.target) for a, b in pairs)
         )
 
-    def test_all_begin_within_the_soak_in_order(self):
+    def test_disturbances_start_within_the_soak_in_order(self):
         for seed in range(20):
             plan = make_plan(seed, 10.0, DAEMONS, SERVERS)
-            times = [what.at_s for what in plan]
+            times = [disturbance.at_s for disturbance in plan]
             self.assertEqual(times, sorted(times))
             self.assertLess(times[-1], 10.0)
