--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -55,9 +55,9 @@
         )
         for name, step in steps:
             started_s = time.monotonic()
-            figures = await step()
+            summary = await step()
             took_s = time.monotonic() - started_s
-            print(f"{name:<12} {took_s:6.2f} s  {figures}", flush=True)
+            print(f"{name:<12} {took_s:6.2f} s  {summary}", flush=True)
 
     def _caller(self, daemon, key=None) -> Caller:
         text = DemoKeys.text(key) if key is not None else ""
@@ -104,13 +104,13 @@
                 times.append(time.monotonic() - started_s)
                 _check(response.status == 200, f"look-up: {response}")
                 _check(b'"account":"yard"' in response.body, f"{response.body}")
-            open_callers = Caller(daemon.address)
-            response = await open_callers.send("GET", "/open/page")
+            open_caller = Caller(daemon.address)
+            response = await open_caller.send("GET", "/open/page")
             _check(response.status == 200, f"open look-up: {response}")
-            response = await open_callers.send("GET", "/records/1")
+            response = await open_caller.send("GET", "/records/1")
             _check(response.status == 401, f"without a key: {response}")
             await caller.aclose()
-            await open_callers.aclose()
+            await open_caller.aclose()
         times.sort()
         median_ms = times[len(times) // 2] * _MS
         return f"{len(times)} look-ups, median {median_ms:.1f} ms"
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -16,7 +16,7 @@
 from daisyhub.serving import HttpServer
 from daisyhub.settings import Address
 
-__all__ = ["Request", "FakeApp", "Fault", "Response", "serve_fake"]
+__all__ = ["FakeApp", "Fault", "Request", "Response", "serve_fake"]
 
 _PORT = flags.DEFINE_integer("port", 0, "Port on loopback to listen on.")
 _FOREVER_S = 3600.0
--- a/daisyhub/testing/soak/_ledger.py
+++ b/daisyhub/testing/soak/_ledger.py
@@ -23,6 +23,20 @@
 class Ledger:
     """Records the events of a soak and checks them against the guarantees.
 
+    The codes of violations are:
+
+    - MIXED: A response or a result belongs to another request or lot.
+    - ORDER: A lot's listing changed, or lists an item twice or a wrong text.
+    - LOST: An accepted lot or one of its results is missing.
+    - UNASKED: A run without a request, for another account or with an API key.
+    - ROUTE: A run of a request without a valid key.
+    - TWICE: A non-idempotent request ran more than once.
+    - REFUSED: A request ran although its status guarantees that it didn't.
+    - ONE: Two counts of a usage window, or two holders of a fencing number.
+    - RECOVER: A daemon doesn't serve after the disturbances have ended.
+    - FAULT: A daemon exited by itself.
+    - DRAIN: A daemon didn't exit within the shutdown timeout.
+
     Args:
         account: The client account whose requests may run.
 
--- a/daisyhub/testing/soak/_links.py
+++ b/daisyhub/testing/soak/_links.py
@@ -51,7 +51,7 @@
     def __init__(self, target: Address):
         self._target = target
         self._mode = LinkMode.PASS
-        self._healed = anyio.Event()
+        self._restored = anyio.Event()
         self._open_streams: set[anyio.abc.SocketStream] = set()
         self._listener: anyio.abc.Listener | None = None
         self.address: Address | None = None
@@ -75,8 +75,8 @@
             for stream in list(self._open_streams):
                 _reset(stream)
         if mode in (LinkMode.PASS, LinkMode.SLOW):
-            self._healed.set()
-            self._healed = anyio.Event()
+            self._restored.set()
+            self._restored = anyio.Event()
 
     async def _serve(self, client_stream: anyio.abc.SocketStream) -> None:
         if self._mode is LinkMode.RESET:
@@ -125,7 +125,7 @@
         while self._mode is LinkMode.SILENT or (
             self._mode is LinkMode.ONE_WAY and is_response
         ):
-            await self._healed.wait()
+            await self._restored.wait()
 
 
 def _reset(stream: anyio.abc.SocketStream) -> None:
--- a/daisyhub/testing/soak/_load_generator.py
+++ b/daisyhub/testing/soak/_load_generator.py
@@ -70,12 +70,12 @@
     async def run(self) -> None:
         """Generates load until `stop`, then waits until all lots are read."""
         async with anyio.create_task_group() as tasks:
-            for caller in (
+            for generate in (
                 self._send_look_ups,
                 self._send_writes,
                 self._run_lots,
             ):
-                tasks.start_soon(caller)
+                tasks.start_soon(generate)
         self.finished.set()
 
     async def _send_look_ups(self) -> None:
@@ -108,12 +108,12 @@
         status, body, is_stamped = await self.call(
             self._pick_daemon(), "POST", path, request_id, key
         )
-        listing = None
+        decoded_body = None
         if status == _OK:
             with contextlib.suppress(msgspec.DecodeError):
-                listing = msgspec.json.decode(body)
+                decoded_body = msgspec.json.decode(body)
         self._ledger.record_response(
-            request_id, status, listing, is_stamped=is_stamped
+            request_id, status, decoded_body, is_stamped=is_stamped
         )
 
     async def call(
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -28,7 +28,7 @@
 _RECOVERY_TIMEOUT_S = 12.0
 # Seconds after recovery within which every lot must be listed completely.
 _LOT_TIMEOUT_S = 20.0
-# Seconds after a signal to end within which a daemon must have exited.
+# Seconds after SIGTERM within which a daemon must have exited.
 _SHUTDOWN_TIMEOUT_S = 8.0
 # Seconds between reads of a lot that a daemon doesn't list completely yet.
 _READ_INTERVAL_S = 0.05
@@ -206,8 +206,8 @@
     def _signal(self, name: str, number: int) -> None:
         """Sends a signal to a daemon, unless it is being restarted.
 
-        SIGHUP is only sent once the process handles it: while its interpreter
-        starts, no program can prevent that SIGHUP ends it.
+        SIGHUP is sent only if the process handles it, because no program can
+        handle a signal while its interpreter starts.
         """
         if name in self._restarting:
             return
@@ -218,7 +218,7 @@
         self.fleet.signal(name, number)
 
     async def _restart(self, name: str, number: int) -> None:
-        """Ends a daemon and starts it again, unless it is being restarted."""
+        """Ends and restarts a daemon that runs and isn't being restarted."""
         if name in self._restarting:
             return
         process = self.fleet.processes[name]
@@ -276,7 +276,8 @@
     async def _check_recovery(self) -> None:
         """Checks that each daemon serves again within `_RECOVERY_TIMEOUT_S`.
 
-        The time counts from the call.
+        The time starts with the call, right after the last disturbance or
+        kill.
         """
         deadline_s = time.monotonic() + _RECOVERY_TIMEOUT_S
         for daemon in self.fleet.daemon_names:
--- a/daisyhub/testing/soak/tests/test_ledger.py
+++ b/daisyhub/testing/soak/tests/test_ledger.py
@@ -10,7 +10,7 @@
     return {"id": item_id, "state": "completed", "text": text}
 
 
-def executed(request_id, account="t", has_key=False):
+def make_run(request_id, account="t", has_key=False):
     return {"id": request_id, "account": account, "has_key": has_key}
 
 
@@ -35,7 +35,7 @@
         self.ledger.check_texts(events=2)
         runs = ["r1", "r1", "w1", "a", "a", "b"]
         self.ledger.check_runs(
-            [executed(n) for n in runs] + [executed("a-r", "")]
+            [make_run(n) for n in runs] + [make_run("a-r", "")]
         )
         self.ledger.check_usage(
             [
@@ -58,22 +58,22 @@
         self.assertEqual(self.violated_codes(), ["MIXED", "MIXED"])
 
     def test_a_non_idempotent_request_that_ran_twice_is_reported(self):
-        self.ledger.check_runs([executed("w1"), executed("w1")])
+        self.ledger.check_runs([make_run("w1"), make_run("w1")])
         self.assertEqual(self.violated_codes(), ["TWICE"])
 
     def test_a_rejected_request_that_ran_is_reported(self):
         self.ledger.record_response("w1", 503, None, is_stamped=False)
-        self.ledger.check_runs([executed("w1")])
+        self.ledger.check_runs([make_run("w1")])
         self.assertEqual(self.violated_codes(), ["REFUSED"])
 
     def test_runs_without_a_valid_request_are_reported(self):
         self.ledger.record_sent("r2", "/r", is_idempotent=True, has_key=False)
         self.ledger.check_runs(
             [
-                executed("x"),
-                executed("r2"),
-                executed("r1", has_key=True),
-                executed("r1", account="u"),
+                make_run("x"),
+                make_run("r2"),
+                make_run("r1", has_key=True),
+                make_run("r1", account="u"),
             ]
         )
         self.assertEqual(
