--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -1,4 +1,9 @@
-"""Endpoint state and load balancing."""
+"""Endpoint state and load balancing.
+
+`EndpointTable` and a balancer serve `daisyhub.daemon`, whose daemons send to
+endpoints of their own failure domain. `EndpointDirectory` serves
+`daisyhub.platform`, whose daemons send to endpoints of all failure domains.
+"""
 
 from daisyhub.balancing._balancers import (
     LeastLoaded,
--- a/daisyhub/balancing/_balancers.py
+++ b/daisyhub/balancing/_balancers.py
@@ -11,7 +11,11 @@
 
 
 class RoundRobin(Balancer):
-    """Chooses candidates in turn; the baseline of the benchmarks."""
+    """Chooses candidates in turn; the baseline of the benchmarks.
+
+    Args:
+        random_state: Where in the list of candidates it starts.
+    """
 
     def __init__(self, random_state: int = 0):
         self.random_state = random_state
@@ -28,8 +32,11 @@
 class LeastLoaded(Balancer):
     """Chooses the less loaded of two random candidates.
 
-    Sampling keeps the daemons from all sending to the one endpoint that last
-    reported the least load.
+    Compares load divided by capacity. Sampling keeps the daemons from all
+    sending to the one endpoint that last reported the least load.
+
+    Args:
+        random_state: Seed of the random choice.
     """
 
     def __init__(self, random_state: int = 0):
--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -10,6 +10,8 @@
 
 Keeps the latency of single requests low while an endpoint becomes slow, stops
 responding or fails.
+
+Times are seconds on a monotonic clock.
 """
 
 import collections
@@ -129,7 +131,7 @@
     absent_since_s: float | None = None
 
     def load(self, now_s: float) -> int:
-        """Returns its estimated number of open requests."""
+        """Returns its estimated number of open requests, of all daemons."""
         if now_s - self.load_reported_at_s > _REPORTED_LOAD_TTL_S:
             return len(self.open_requests)
         return max(len(self.open_requests), self.reported_load)
@@ -167,6 +169,7 @@
         self._random = random
         self._has_connection = has_connection
         self._endpoints: dict[str, Endpoint] = {}
+        # The most recent latencies by route.
         self._latencies_s: dict[str, collections.deque[float]] = {}
         self._last_token = 0
         self._unreachable_domains: frozenset[str] = frozenset()
@@ -208,6 +211,12 @@
         While the store is unavailable, entries of live endpoints expire too.
         Without a stable store the endpoint is therefore kept until `expire`
         removes it.
+
+        Args:
+            endpoint_id: The endpoint.
+            now_s: Current time.
+            is_store_stable: Whether the store has been available for long
+                enough that the entries of live endpoints are listed again.
         """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
@@ -218,7 +227,11 @@
             endpoint.absent_since_s = now_s
 
     def expire(self, now_s: float) -> list[str]:
-        """Removes endpoints that stayed absent; returns their ids."""
+        """Removes endpoints that stayed absent beyond the grace time.
+
+        Returns:
+            Their ids.
+        """
         expired = [
             endpoint_id
             for endpoint_id, endpoint in self._endpoints.items()
@@ -281,7 +294,10 @@
         return best.entry.endpoint_id
 
     def median_latency_s(self, route: str) -> float:
-        """Returns the median latency of a route's recent responses."""
+        """Returns the median latency of a route's recent responses.
+
+        A default if the route had no response yet.
+        """
         latencies_s = self._latencies_s.get(route)
         return (
             statistics.median_low(latencies_s)
@@ -290,7 +306,11 @@
         )
 
     def record_sent(self, endpoint_id: str, route: str, now_s: float) -> int:
-        """Records that a request is sent; returns its token."""
+        """Records that a request is sent.
+
+        Returns:
+            The request's token, with which its end is recorded.
+        """
         self._last_token += 1
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is not None:
@@ -307,7 +327,10 @@
     def record_answered(
         self, endpoint_id: str, token: int, now_s: float
     ) -> None:
-        """Records a complete response and updates the latencies."""
+        """Records a response without server error; updates the latencies.
+
+        Of a streamed response the head counts.
+        """
         endpoint = self._endpoints.get(endpoint_id)
         if endpoint is None:
             return
@@ -342,7 +365,7 @@
         """Records a request that was cancelled before its response.
 
         If it was open for longer than expected, the elapsed time raises the
-        endpoint's latency ratio.
+        endpoint's latency ratio; not while the route's latency is unknown.
         """
         endpoint = self._endpoints.get(endpoint_id)
         req = endpoint.open_requests.pop(token, None) if endpoint else None
@@ -396,19 +419,21 @@
 
 
 def _estimate_latency_ratio(endpoint: Endpoint, now_s: float) -> float:
-    """Estimates the latency relative to the route's median, to one decimal.
+    """Estimates the latency of a further request, queueing included.
 
-    Near-equal endpoints thus tie, and the other criteria decide.
+    The estimate is relative to the route's median and rounded to one decimal:
+    near-equal endpoints tie, and the other criteria decide.
     """
     load = endpoint.load(now_s) + 1
     slots = max(1, endpoint.entry.slots)
     # Requests are assumed to queue once half of the slots are taken, since
     # other daemons send to the endpoint as well.
-    rounds = 1 + max(0.0, load - slots / 2) / slots
-    return round(endpoint.expected_latency_ratio(now_s) * rounds, 1)
+    queueing_factor = 1 + max(0.0, load - slots / 2) / slots
+    return round(endpoint.expected_latency_ratio(now_s) * queueing_factor, 1)
 
 
 def _is_suspect(endpoint: Endpoint, now_s: float) -> bool:
+    """Whether an endpoint is in back-off, absent or silent."""
     if now_s < endpoint.backoff_until_s or endpoint.absent_since_s is not None:
         return True
     return endpoint.is_silent(now_s)
--- a/daisyhub/balancing/_endpoint_table.py
+++ b/daisyhub/balancing/_endpoint_table.py
@@ -4,6 +4,8 @@
 responses, from operators and from peers. They may be late, duplicated or out
 of order. Leaving is final for an incarnation: only a higher incarnation makes
 an endpoint usable again.
+
+Times are seconds on a monotonic clock.
 """
 
 import dataclasses
@@ -23,10 +25,14 @@
     "EndpointUpdate",
 ]
 
+# Prefix of the keys of drain orders; the endpoint's id follows.
 DRAIN_PREFIX = "news/drain/"
+# Consecutive failures that make an endpoint suspect, and for how long.
 _MIN_FAILURES_TO_SUSPECT = 3
 _SUSPECT_DURATION_S = 2.0
+# The platform's list may lack a live endpoint for a shorter time.
 _ABSENCE_TIMEOUT_S = 5.0
+# Bounds the memory used for endpoints that left.
 _MAX_LEFT_INCARNATIONS = 20_000
 
 
@@ -118,7 +124,7 @@
         return max(self.reported_load, self.own_requests)
 
     def health(self, now_s: float) -> str:
-        """Returns `live`, `suspect` or `leaving`."""
+        """Returns `live`, `suspect` (after failures) or `leaving`."""
         if self.is_leaving:
             return _Health.LEAVING.value
         if now_s < self.suspect_until_s:
@@ -143,7 +149,7 @@
         return len(self._endpoints)
 
     def add_listener(self, listener: Callable[[EndpointUpdate], None]) -> None:
-        """Registers a callback for updates by which an endpoint is leaving."""
+        """Registers a callback for updates that make an endpoint leaving."""
         self._listeners.append(listener)
 
     def get(self, endpoint_id: str) -> EndpointState | None:
@@ -151,14 +157,14 @@
         return self._endpoints.get(endpoint_id)
 
     def all(self) -> list[EndpointState]:
-        """Returns every endpoint, by id."""
+        """Returns every endpoint, ordered by id."""
         return [self._endpoints[key] for key in sorted(self._endpoints)]
 
     def apply_list(self, records, now_s: float = 0.0) -> None:
         """Applies the platform's list of `EndpointRecord`.
 
         The list may be older than a previous one and may lack entries for a
-        short time. An endpoint that is absent for longer than
+        short time. An endpoint that is absent for at least
         `_ABSENCE_TIMEOUT_S` gets no new requests, and is removed once none of
         this daemon's requests is open there. An empty list is ignored.
         """
@@ -189,7 +195,7 @@
     def _mark_absent(self, state: EndpointState, now_s: float) -> None:
         if state.absent_since_s is None:
             state.absent_since_s = now_s
-        if _is_absent(state, now_s) and not state.own_requests:
+        if _is_absence_timed_out(state, now_s) and not state.own_requests:
             del self._endpoints[state.endpoint_id]
             self._suspects.discard(state.endpoint_id)
 
@@ -208,7 +214,8 @@
 
         Peers must be informed of such a change. An update about a higher
         incarnation than the known one means that the known one has ended.
-        Of an unknown endpoint only the incarnation that left is stored.
+        Of an unknown endpoint only the incarnation that left is stored, and
+        no listener is called.
         """
         known = self._endpoints.get(update.endpoint_id)
         left_incarnation = (
@@ -255,14 +262,14 @@
     def _rebuild_usable(self, now_s: float) -> None:
         usable: dict[str, list[EndpointState]] = {}
         for state in self.all():
-            if not state.is_leaving and not _is_absent(state, now_s):
+            if not state.is_leaving and not _is_absence_timed_out(state, now_s):
                 usable.setdefault(state.pool, []).append(state)
         self._usable_by_pool = usable
 
     def candidates(
         self, pool: str, now_s: float, excluded: frozenset[str] = frozenset()
     ) -> list[EndpointState]:
-        """Returns the endpoints of a pool that may get requests, by id.
+        """Returns a pool's endpoints that may get requests, ordered by id.
 
         Suspect endpoints are returned only if there is no other. The caller
         must not change the list.
@@ -305,7 +312,8 @@
     def record_done(self, endpoint_id: str, *, failed: bool, now_s: float):
         """Records the end of a request.
 
-        Three consecutive failures make the endpoint suspect for a time.
+        Several consecutive failures make the endpoint suspect for a time; a
+        success ends it.
         """
         state = self._endpoints.get(endpoint_id)
         if state is None:
@@ -323,7 +331,7 @@
             self._suspects.add(endpoint_id)
 
 
-def _is_absent(state: EndpointState, now_s: float) -> bool:
+def _is_absence_timed_out(state: EndpointState, now_s: float) -> bool:
     absent_since_s = state.absent_since_s
     return (
         absent_since_s is not None
@@ -332,7 +340,11 @@
 
 
 def _new_state(record, previous: EndpointState | None) -> EndpointState:
-    """Builds an entry; open requests to the previous incarnation count too."""
+    """Builds the state of a new incarnation.
+
+    Open requests to the previous incarnation continue to count, since their
+    ends are recorded for the same endpoint id.
+    """
     return EndpointState(
         endpoint_id=record.endpoint_id,
         pool=record.pool,
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -25,10 +25,12 @@
             self.directory.upsert(entry(name))
 
     def answer(self, name, latency_s, at_s, route="r"):
+        """Records a response that arrived at `at_s`."""
         token = self.directory.record_sent(name, route, at_s - latency_s)
         self.directory.record_answered(name, token, at_s)
 
     def warm_up(self):
+        """Records enough responses of route "r" for a median of 0.03 s."""
         for n in range(12):
             self.answer("abc"[n % 3], 0.03, 1.0)
 
@@ -48,6 +50,7 @@
     def test_silent_endpoint_is_avoided_at_once(self):
         self.warm_up()
         self.directory.record_sent("a", "r", 2.0)
+        # 0.2 s exceed four times the median latency.
         chosen = self.choose(2.2, frozenset("b"))
         self.assertEqual(chosen, "c")
 
@@ -60,6 +63,7 @@
         self.warm_up()
         for _ in range(20):
             self.answer("a", 1.1, 3.0, route="long")
+            # Route "never" has no response, so its median is unknown.
             token = self.directory.record_sent("b", "never", 1.9)
             self.directory.record_abandoned("b", token, 3.0)
         self.assertAlmostEqual(self.directory.median_latency_s("r"), 0.03)
--- a/daisyhub/balancing/tests/test_proof_endpoints.py
+++ b/daisyhub/balancing/tests/test_proof_endpoints.py
@@ -22,6 +22,7 @@
 
 IDS = ("e0", "e1", "e2")
 TABLES = (0, 1)
+# Below and above the time after which an absent endpoint gets no requests.
 SHORT_ABSENCE_S = 4.0
 LONG_ABSENCE_S = 6.0
 
@@ -66,6 +67,7 @@
         is_empty=st.sampled_from([False, False, False, True]),
     )
     def read_list(self, number, lag, missing, is_empty):
+        """A daemon reads the list, `lag` changes late and perhaps partial."""
         old = self.list_history[max(0, len(self.list_history) - 1 - lag)]
         records = [
             EndpointRecord(
@@ -101,6 +103,7 @@
         return {state.endpoint_id for state in found}
 
     def record_left(self, number, record):
+        """Records which incarnation this daemon knows to have left."""
         left_incarnation = record.incarnation - (record.state != "leaving")
         left_incarnations = self.left_incarnations[number]
         left_incarnations[record.endpoint_id] = max(
--- a/daisyhub/billing/__init__.py
+++ b/daisyhub/billing/__init__.py
@@ -1,4 +1,8 @@
-"""Counts requests by client account and reports them by time window."""
+"""Counts requests by client account and reports them by time window.
+
+Used by the daemons of `daisyhub.platform`; those of `daisyhub.daemon` use
+`daisyhub.accounting` for this.
+"""
 
 from daisyhub.billing._controller import UsageReporter
 from daisyhub.billing._desk import (
--- a/daisyhub/billing/_controller.py
+++ b/daisyhub/billing/_controller.py
@@ -49,7 +49,8 @@
         live: Returns the incarnations of the live daemons by id.
         store: Stores the seals.
         order_desk: Receives the reports.
-        clock: Returns the time that the daemons agree on, seconds since 1970.
+        clock: Returns the time that the daemons agree on, seconds since 1970;
+            see `ClusterClock`.
         window_s: Length of a window.
         late_s: Time after a window's end by which its report is due.
         log: Logs sealed and reported windows and failures.
@@ -135,6 +136,12 @@
         await self._delete_old(window - _SEAL_RETENTION_WINDOWS)
 
     async def _create_seal(self, name: str, counts: dict[str, int]):
+        """Stores a seal; returns its counts, or those of an existing seal.
+
+        Raises:
+            ObjectStoreError: The seal could be neither created nor read.
+            msgspec.DecodeError: The existing seal is invalid.
+        """
         content = msgspec.json.encode(_Seal(counts=counts))
         try:
             await self._store.create(_SEAL_KIND, name, content)
@@ -155,6 +162,7 @@
         return counts
 
     async def _report(self, action: ReportWindow) -> None:
+        """Reports a window with the fencing number read just before."""
         fencing = self._duty.fencing
         if not fencing:
             return
@@ -169,7 +177,7 @@
         )
         if outcome is OrderDeskOutcome.STALE_FENCING:
             self._duty.step_down(
-                "the platform has seen a higher fencing number"
+                "the platform has received a higher fencing number"
             )
         is_done = outcome is OrderDeskOutcome.DONE
         self._handle(WindowReported(action.window, is_done))
--- a/daisyhub/billing/_usage_aggregator.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -54,11 +54,12 @@
             del daemon_usage.counts[window]
 
     def discard_before(self, window: int) -> None:
-        """Removes incarnations without counts for a window or later ones."""
+        """Removes incarnations whose pings and counts end before a window."""
         for key, daemon_usage in list(self._usage_by_daemon.items()):
-            if daemon_usage.closed_before < window and max(
-                daemon_usage.counts, default=0
-            ) < (window):
+            if (
+                daemon_usage.closed_before < window
+                and max(daemon_usage.counts, default=0) < window
+            ):
                 del self._usage_by_daemon[key]
 
     def total(self, window: int) -> dict[str, int]:
--- a/daisyhub/billing/_usage_meter.py
+++ b/daisyhub/billing/_usage_meter.py
@@ -31,13 +31,15 @@
 
     Args:
         window_s: Length of a window.
-        clock: Returns the time that the daemons agree on, seconds since 1970.
+        clock: Returns the time that the daemons agree on, seconds since 1970;
+            see `ClusterClock`.
     """
 
     def __init__(self, window_s: float, clock: Callable[[], float]):
         self._window_s = window_s
         self._clock = clock
         self._counts: dict[int, dict[str, int]] = {}
+        # Window and account of each open request, by token.
         self._open: dict[int, tuple[int, str]] = {}
         self._last_token = 0
 
--- a/daisyhub/billing/_window_core.py
+++ b/daisyhub/billing/_window_core.py
@@ -2,7 +2,10 @@
 
 A seal is a stored object with the counts of a window. It is created once and
 never changed, so that every report of a window, by any daemon, has the same
-counts. Times are seconds since 1970, by the time that the daemons agree on.
+counts.
+
+Times are seconds since 1970 on the clock that the daemons agree on (see
+`ClusterClock`).
 """
 
 import dataclasses
@@ -90,6 +93,14 @@
 
 @dataclasses.dataclass(slots=True)
 class _Window:
+    """State of a window that ended and isn't reported yet.
+
+    Attributes:
+        counts: Counts of its seal; None until it is sealed.
+        is_busy: Whether it is being sealed or reported.
+        retry_at_s: When it may be sealed or reported again after a failure.
+    """
+
     counts: dict[str, int] | None = None
     is_busy: bool = False
     retry_at_s: float = 0.0
@@ -120,7 +131,7 @@
         return tuple(sorted(self._open))
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Processes an event; returns `SealWindow` and `ReportWindow`."""
+        """Processes an event; returns `SealWindow`, `ReportWindow` actions."""
         match event:
             case WindowTick():
                 return self._on_tick(event, now_s)
@@ -154,6 +165,11 @@
         return actions
 
     def _may_seal(self, window: int, tick: WindowTick, now_s: float) -> bool:
+        """Whether to seal a window now.
+
+        That is once its counts are complete or the maximum wait has passed,
+        but never before the seal delay.
+        """
         end_s = (window + 1) * self.window_s
         if now_s < end_s + _SEAL_DELAY_S:
             return False
--- a/daisyhub/billing/tests/test_proof_windows.py
+++ b/daisyhub/billing/tests/test_proof_windows.py
@@ -70,6 +70,12 @@
         result=st.sampled_from(["good", "good", "lost", "late", "fail"]),
     )
     def act(self, number, result):
+        """Performs a daemon's next action.
+
+        Results: "good"; "lost", the response is lost; "late", a seal is
+        created later, without a response (a report: like "lost"); "fail", no
+        effect.
+        """
         if not self.pending_actions[number]:
             return
         action = self.pending_actions[number].pop(0)
@@ -157,9 +163,11 @@
     def test_wait_for_a_silent_daemon_ends_before_the_report_is_due(self):
         core = WindowCore(WINDOW_S, REPORT_DEADLINE_S)
         core.handle(WindowTick(0), 1000.0)
+        # Only the three windows before the first tick are sealed.
         self.assertFalse(core.handle(WindowTick(200), 1005.5)[3:])
         actions = core.handle(WindowTick(200), 1009.0)
         self.assertNotIn(SealWindow(200), actions)
+        # The maximum wait is 6 of the 10 s after the end of window 200 at 1005.
         actions = core.handle(WindowTick(200), 1011.1)
         self.assertIn(SealWindow(200), actions)
 
--- a/daisyhub/duties/__init__.py
+++ b/daisyhub/duties/__init__.py
@@ -1,4 +1,8 @@
-"""Duties: tasks that one daemon at a time holds, with fencing numbers."""
+"""Duties: tasks that one daemon at a time holds, with fencing numbers.
+
+Used by the daemons of `daisyhub.platform`; those of `daisyhub.daemon` use the
+leases of `daisyhub.hosting` for this.
+"""
 
 from daisyhub.duties._controller import DutyController, choose_candidate
 from daisyhub.duties._core import (
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -49,7 +49,10 @@
         store: Stores the duty's record.
         peers: Live peers and the duties that they report.
         speed: Processor speed of this daemon's machine, in cores.
-        log: Logs changes of holder and failures.
+        log: Logs when this daemon gets or loses the duty, and failures.
+
+    Attributes:
+        changed: Set when `fencing` changes, and replaced by a new event.
     """
 
     name = "duty"
@@ -122,6 +125,7 @@
         self._is_leaving = True
 
     def _tick(self) -> DutyTick:
+        """Returns a tick with the current state of the peers."""
         record = self._core.record
         live = self._peers.live()
         holder = record.holder if record else ""
@@ -132,19 +136,20 @@
             and self._peers.is_live(holder_id)
             and str(peer.incarnation) == incarnation
         )
-        numbers = [p.ping.duties.get(self.duty, 0) for p in live]
+        fencing_numbers = [p.ping.duties.get(self.duty, 0) for p in live]
         return DutyTick(
             is_candidate=self._is_preferred_candidate(live),
             is_holder_live=is_holder_live,
             has_lost_peers=len(live) < len(self._peers.all()),
-            max_peer_fencing=max(numbers, default=0),
+            max_peer_fencing=max(fencing_numbers, default=0),
         )
 
     def _is_preferred_candidate(self, live) -> bool:
         """Whether this daemon ranks first among the daemons that stay up.
 
-        A daemon that receives pings of less than half of the known daemons is
-        no candidate: the holder's pings may still reach the others.
+        A daemon for which less than half of the known daemons are live, itself
+        included, is no candidate: the holder's pings may still reach the
+        others.
         """
         if self._is_leaving:
             return False
@@ -160,6 +165,7 @@
         return choose_candidate(self.duty, speeds) == self._peers.own_id
 
     async def _carry_out(self, action: ReadDuty | WriteDuty) -> object:
+        """Calls the store; returns the event for the core."""
         try:
             if isinstance(action, ReadDuty):
                 found = await self._store.read(_DUTIES_KIND, self.duty)
@@ -222,7 +228,8 @@
 
     Args:
         duty: Name of the duty.
-        speeds: Processor speed of each candidate by daemon id, in cores.
+        speeds: Processor speed of each candidate by daemon id, in cores; not
+            empty.
     """
     min_speed = _MIN_SPEED_RATIO * max(speeds.values())
     eligible = [name for name, speed in speeds.items() if speed >= min_speed]
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -1,8 +1,9 @@
 """Decides when to acquire, verify and release a duty.
 
 A duty is one object in the store. A conditional write makes a daemon its
-holder and increments the fencing number. Where every receiver rejects stale
-fencing numbers, the holder needs no renewal: it remains the holder until
+holder and increments the fencing number, which the holder sends with each call
+to a receiver, such as an engine or the platform. Where every receiver rejects
+stale fencing numbers, the holder needs no renewal: it remains the holder until
 another daemon that no longer receives its pings writes a higher number. Where
 receivers don't check, the holder acts only within a term after it last read
 its own record, and its successor waits for one term before it acts.
@@ -70,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DutyRecordReceived:
-    """The current record was returned by a read, or by a write or conflict.
+    """A read, a write or a write conflict returned the current record.
 
     Attributes:
         record: The current record; None if there is none.
@@ -88,7 +89,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FencingRejected:
-    """A receiver rejected the fencing number since it had seen a higher one."""
+    """A receiver rejected the fencing number: it has received a higher one."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -124,6 +125,8 @@
         self._record: DutyRecord | None = None
         self._revision: int | None = None
         self._is_call_pending = False
+        # When the last call and the last read were sent, and when the last call
+        # was sent that returned the own record.
         self._sent_at_s = -math.inf
         self._last_read_at_s = -math.inf
         self._confirmed_at_s = -math.inf
@@ -131,6 +134,7 @@
         self._cooldown_until_s = -math.inf
         self._retry_at_s = -math.inf
         self._should_hold = True
+        # Holder in the record that the last write replaces.
         self._previous_holder = ""
 
     @property
@@ -149,6 +153,8 @@
             return 0
         if now_s < self._may_act_from_s:
             return 0
+        # Without checks by receivers, stops one check interval before the term
+        # ends.
         margin_s = self.term_s / _CHECKS_PER_TERM
         valid_until_s = self._confirmed_at_s + self.term_s - margin_s
         if not self.is_fencing_checked and now_s >= valid_until_s:
@@ -209,6 +215,7 @@
         return []
 
     def _check_holder(self, now_s: float) -> list[object]:
+        """Reads the record of a live holder once per check interval."""
         if now_s - self._last_read_at_s < _HOLDER_CHECK_INTERVAL_S:
             return []
         return self._read(now_s)
@@ -247,9 +254,10 @@
             self._on_lost(now_s)
 
     def _on_lost(self, now_s: float) -> None:
-        """Starts a cooldown of one term, so that holders don't alternate.
+        """Handles the loss of the duty.
 
-        Clears the revision, so that the record is read before any write.
+        Starts a cooldown of one term, so that holders don't alternate. Clears
+        the revision, so that the record is read before any write.
         """
         self._revision = None
         self._cooldown_until_s = now_s + self.term_s
--- a/daisyhub/duties/tests/test_proof_duties.py
+++ b/daisyhub/duties/tests/test_proof_duties.py
@@ -86,6 +86,11 @@
         ),
     )
     def reach_store(self, number, result):
+        """The store processes a daemon's pending call.
+
+        Results: "good"; "lost", the response is lost; "late", a write takes
+        effect later, without a response; "fail", no effect.
+        """
         action, self.pending_actions[number] = (
             self.pending_actions[number],
             None,
@@ -131,6 +136,7 @@
 
     @rule(number=st.sampled_from(DAEMONS))
     def leave(self, number):
+        """A daemon releases the duty; it acquires none before a restart."""
         self.cores[number].release()
         self.restarted_at_s[number] = self.now_s
 
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,4 +1,8 @@
-"""Loading of new weight versions by engines, a few at a time."""
+"""Loading of new weight versions by engines, a few at a time.
+
+Used by the daemons of `daisyhub.platform`; those of `daisyhub.daemon` use
+`daisyhub.rollouts` for this.
+"""
 
 from daisyhub.weights._controller import VersionReader, WeightLoadController
 from daisyhub.weights._engine_client import (
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -67,10 +67,11 @@
         store: Stores the published versions.
         reader: Decodes them.
         client: Calls engines.
-        directory: Endpoints.
+        directory: All endpoints, engines included.
         manifests: Routes; they may require samples of a single version.
-        open_run_count: Returns the number of open runs at an engine.
-        demand: Returns the requested work by model.
+        open_run_count: Returns the number of open runs at an engine, by
+            endpoint id.
+        demand: Returns the requested work by model, in any unit.
         loads_share: Fraction of a pool's engines that load concurrently.
         log: Logs versions, orders and assignments.
     """
@@ -138,6 +139,7 @@
             self._published.clear()
 
     def _on_version_object(self, found: StoredObject) -> None:
+        """Sends a published version to the cores of all pools."""
         if found.is_deleted:
             return
         try:
@@ -162,6 +164,7 @@
         """Sends the observed engines of each pool to the pool's core."""
         pools: dict[str, list[Endpoint]] = {}
         for endpoint in self._directory.all():
+            # Only engines have weight versions.
             if endpoint.entry.versions and not endpoint.entry.is_leaving:
                 pools.setdefault(endpoint.entry.pool, []).append(endpoint)
         for pool, engines in pools.items():
@@ -200,6 +203,7 @@
         self._model_by_engine.update(assigned)
 
     def _current_mode(self) -> LoadMode:
+        """Returns `FINISH` if a route requires samples of a single version."""
         manifest = self._manifests.manifest
         is_single = manifest is not None and any(
             route.is_single_version for route in manifest.routes
@@ -253,13 +257,14 @@
         )
         if outcome is OrderOutcome.STALE_FENCING:
             self._duty.step_down(
-                f"{action.endpoint_id} has seen a higher fencing number"
+                f"{action.endpoint_id} has received a higher fencing number"
             )
         self._handle(core, OrderAnswered(action.endpoint_id, outcome))
 
     async def _fetch_report(
         self, core: WeightLoadCore, action: FetchReport
     ) -> None:
+        """Fetches a report; records its versions in the directory."""
         endpoint = self._directory.get(action.endpoint_id)
         report = None
         if endpoint is not None:
--- a/daisyhub/weights/_engine_client.py
+++ b/daisyhub/weights/_engine_client.py
@@ -35,10 +35,10 @@
         ALREADY_LOADED: The engine has the version already.
         CONFLICT: The engine has accepted another number of orders than
             expected.
-        STALE_FENCING: The engine has seen a higher fencing number.
+        STALE_FENCING: The engine has received a higher fencing number before.
         OTHER_ENDPOINT: Another endpoint listens at the address.
         REFUSED: The engine rejected the order, or it wasn't sent.
-        UNKNOWN: No response; the engine may have accepted the order.
+        UNKNOWN: No valid response; the engine may have accepted the order.
     """
 
     ACCEPTED = "accepted"
@@ -100,7 +100,7 @@
     async def order(
         self, address: Address, order: VersionOrder
     ) -> OrderOutcome:
-        """Sends an order; returns `UNKNOWN` if there is no response."""
+        """Sends an order; returns `UNKNOWN` if there is no valid response."""
 
     @abc.abstractmethod
     async def report(self, address: Address) -> EngineReport | None:
--- a/daisyhub/weights/_load_core.py
+++ b/daisyhub/weights/_load_core.py
@@ -59,7 +59,7 @@
         endpoint_id: Its id.
         incarnation: Its incarnation; a restart resets its count of orders.
         versions: Version of the weights by model.
-        runs: Number of open runs.
+        runs: Number of open runs; a run is one stream of a lot's item.
         model: The model that it serves; empty if it serves all.
     """
 
@@ -108,7 +108,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Action: order an engine to load a version of a model."""
+    """Action: order an engine to load a version of a model.
+
+    Attributes:
+        endpoint_id: The engine.
+        model: The model.
+        version: Version of its weights.
+        mode: How running requests are treated during the load.
+        orders_taken: Number of orders that the engine must have accepted
+            since its start; otherwise it rejects this one.
+    """
 
     endpoint_id: str
     model: str
@@ -125,6 +134,15 @@
 
 
 class _Phase(enum.Enum):
+    """Phase of an engine's last order.
+
+    Attributes:
+        IDLE: No order is open.
+        ORDERED: The order is being sent.
+        DOUBTFUL: It is unknown whether the engine accepted the order.
+        LOADING: The engine accepted the order.
+    """
+
     IDLE = "idle"
     ORDERED = "ordered"
     DOUBTFUL = "doubtful"
@@ -188,7 +206,7 @@
         return engine is not None and engine.phase is not _Phase.IDLE
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Processes an event; returns `SendOrder` and `FetchReport`."""
+        """Processes an event; returns `SendOrder` and `FetchReport` actions."""
         match event:
             case VersionPublished():
                 known = self._newest_versions.get(event.model, 0)
@@ -303,6 +321,10 @@
         engine.retry_at_s = now_s + _RETRY_DELAY_S
 
     def _on_report_failed(self, event: ReportFailed, now_s: float) -> None:
+        """Ends the open order of an engine that sends no report for too long.
+
+        An order in doubt gets twice the time that it gets with reports.
+        """
         engine = self._engines.get(event.endpoint_id)
         if engine is None:
             return
@@ -316,11 +338,15 @@
             engine.retry_at_s = now_s + _RETRY_DELAY_S
 
     def _needs_load(self, engine: _Engine) -> bool:
+        """Whether an engine without an open order lacks a newer version."""
         is_idle = engine.phase is _Phase.IDLE
         return is_idle and bool(self._most_outdated_model(engine.observation))
 
     def _most_outdated_model(self, observation: EngineObservation) -> str:
-        """Returns the model that lags by the most versions, or empty."""
+        """Returns the model that lags by the most versions.
+
+        Only models that the engine has and serves count. Empty if none lags.
+        """
         lags = {
             model: version - observation.versions[model]
             for model, version in self._newest_versions.items()
@@ -352,7 +378,10 @@
         return fetches
 
     def _order_loads(self, now_s: float) -> list[object]:
-        """Orders as many loads as allowed, engines with few runs first."""
+        """Returns as many orders as allowed, engines with few runs first.
+
+        At least one engine may load, whatever the fraction.
+        """
         busy_count = sum(
             e.phase is not _Phase.IDLE for e in self._engines.values()
         )
@@ -394,7 +423,7 @@
 
 
 def _end_order(engine: _Engine) -> None:
-    """Ends an order, whether or not it took effect."""
+    """Marks an engine's order as ended, whether or not it took effect."""
     engine.phase = _Phase.IDLE
     engine.report_due_s = math.inf
     engine.is_report_pending = False
--- a/daisyhub/weights/tests/test_load_core.py
+++ b/daisyhub/weights/tests/test_load_core.py
@@ -135,8 +135,8 @@
 
 class AssignEnginesTest(unittest.TestCase):
     def test_engines_follow_the_demand_and_each_model_gets_one(self):
-        shared = assign_engines("abcde", {"x": 1.0, "y": 3.0}, {})
-        counts = [list(shared.values()).count(m) for m in "xy"]
+        assigned = assign_engines("abcde", {"x": 1.0, "y": 3.0}, {})
+        counts = [list(assigned.values()).count(m) for m in "xy"]
         self.assertEqual(sum(counts), 5)
         self.assertGreaterEqual(counts[0], 1)
         self.assertGreater(counts[1], counts[0])
@@ -153,19 +153,21 @@
         self.assertEqual(assign_engines("a", {"x": 1.0, "y": 1.0}, {}), {})
 
     def test_assignment_is_stable_if_models_do_not_divide_engines(self):
-        # In a pool of 19 engines, one model was short of 0.75 engines, the
-        # others had a surplus of 0.25, and engines were moved endlessly.
+        # In a pool of 19 engines, one model was short by 0.75 engines, the
+        # others had a surplus of 0.25, and an engine was moved endlessly.
         for engines in range(1, 40):
             ids = [f"e{n}" for n in range(engines)]
             for models in range(1, 9):
                 demand = {f"m{n}": 1.0 for n in range(models)}
-                shared = assign_engines(ids, demand, {})
-                self.assertEqual(assign_engines(ids, demand, shared), shared)
+                assigned = assign_engines(ids, demand, {})
+                self.assertEqual(
+                    assign_engines(ids, demand, assigned), assigned
+                )
 
     def test_assignment_terminates_for_any_demand(self):
         for engines in range(1, 12):
             ids = [f"e{n}" for n in range(engines)]
             for weight in (0.0, 0.01, 1.0, 500.0):
                 demand = {"x": weight, "y": 1.0, "z": 2.0}
-                shared = assign_engines(ids, demand, dict.fromkeys(ids, "x"))
-                self.assertIn(len(shared), (0, engines))
+                assigned = assign_engines(ids, demand, dict.fromkeys(ids, "x"))
+                self.assertIn(len(assigned), (0, engines))
