--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -9,15 +9,15 @@
 
 __all__ = ["SlotTable"]
 
-_RETRY_PAUSE_S = 0.2
-_ATTEMPTS_AT_ONCE = 2
-_RANK_REPEAT = 0
-_RANK_FIRST = 1
+_RETRY_DELAY_S = 0.2
+_MAX_ATTEMPTS_PER_SAMPLE = 2
+_PRIORITY_REPEAT = 0
+_PRIORITY_FIRST = 1
 
 
 @dataclasses.dataclass(slots=True)
 class _Slot:
-    """One sample's place; `is_queued` while it waits for an attempt."""
+    """State of one sample; `is_queued` while it waits for an attempt."""
 
     sample: Sample | None = None
     attempts: set[int] = dataclasses.field(default_factory=set)
@@ -25,10 +25,13 @@
 
 
 class SlotTable:
-    """Decides which samples to generate, the oldest groups first.
+    """Schedules the generation of samples, lowest group index first.
 
     Args:
-        spec: What the lot consists of.
+        spec: Specification of the lot.
+
+    Attributes:
+        dropped_samples: Number of samples that were discarded as stale.
     """
 
     def __init__(self, spec: LotSpec):
@@ -36,32 +39,34 @@
         self.dropped_samples = 0
         self._groups: dict[int, list[_Slot]] = {}
         self._missing_samples: dict[int, int] = {}
-        self._running: dict[int, tuple[int, int]] = {}
+        self._running_attempts: dict[int, tuple[int, int]] = {}
         self._queue: list[tuple[int, int, int]] = []
-        self._later: list[tuple[float, int, int, int]] = []
+        self._delayed: list[tuple[float, int, int, int]] = []
         self._last_attempt = 0
 
     @property
     def next_retry_s(self) -> float | None:
-        """When a failed sample may be tried again."""
-        if not self._later or self._is_full:
+        """When the next delayed sample may be retried; None while full."""
+        if not self._delayed or self._is_full:
             return None
-        return self._later[0][0]
+        return self._delayed[0][0]
 
     @property
     def _is_full(self) -> bool:
-        return len(self._running) >= self.spec.concurrency
+        return len(self._running_attempts) >= self.spec.concurrency
 
     @property
-    def whole_groups(self) -> list[int]:
-        """Groups that have all samples, oldest first."""
+    def complete_groups(self) -> list[int]:
+        """Indexes of the groups that have all samples, in ascending order."""
         return sorted(
             g for g, missing in self._missing_samples.items() if not missing
         )
 
-    def want(self, groups: Iterable[int], *, is_repeat: bool = False) -> None:
-        """Generates what these groups miss; repeats go first."""
-        rank = _RANK_REPEAT if is_repeat else _RANK_FIRST
+    def add_groups(
+        self, groups: Iterable[int], *, is_repeat: bool = False
+    ) -> None:
+        """Queues the samples of groups that are new here; repeats go first."""
+        priority = _PRIORITY_REPEAT if is_repeat else _PRIORITY_FIRST
         size = self.spec.group_size
         for group in groups:
             if group in self._groups:
@@ -69,10 +74,10 @@
             self._groups[group] = [_Slot() for _ in range(size)]
             self._missing_samples[group] = size
             for index in range(size):
-                self._push(rank, group, index)
+                self._push(priority, group, index)
 
-    def forget(self, groups: Iterable[int]) -> list[CancelSample]:
-        """Drops groups with their samples and attempts."""
+    def drop_groups(self, groups: Iterable[int]) -> list[CancelSample]:
+        """Drops groups with their samples and cancels their attempts."""
         cancelled = []
         for group in groups:
             self._missing_samples.pop(group, None)
@@ -80,11 +85,11 @@
                 cancelled += self._cancel_attempts(slot)
         return cancelled
 
-    def start(self, now_s: float) -> list[Generate]:
-        """Starts attempts while the lot's concurrency allows it."""
-        while self._later and self._later[0][0] <= now_s:
-            _, rank, group, index = heapq.heappop(self._later)
-            self._push(rank, group, index)
+    def start_attempts(self, now_s: float) -> list[Generate]:
+        """Starts attempts up to the lot's concurrency."""
+        while self._delayed and self._delayed[0][0] <= now_s:
+            _, priority, group, index = heapq.heappop(self._delayed)
+            self._push(priority, group, index)
         started = []
         while self._queue and not self._is_full:
             _, group, index = heapq.heappop(self._queue)
@@ -92,39 +97,47 @@
             if slot is None or not slot.is_queued:
                 continue
             slot.is_queued = False
-            started.append(self._attempt(slot, group, index))
+            started.append(self._start_attempt(slot, group, index))
         if not self._queue and self.spec.spare_samples:
             started += self._start_spares()
         return started
 
-    def finish(self, attempt: int, sample: Sample) -> list[CancelSample]:
-        """Keeps the first whole sample of a slot; cancels other attempts."""
-        place = self._running.pop(attempt, None)
-        slot = self._slot(*place) if place else None
+    def complete_attempt(
+        self, attempt: int, sample: Sample
+    ) -> list[CancelSample]:
+        """Stores the first sample of a slot and cancels its other attempts."""
+        slot_key = self._running_attempts.pop(attempt, None)
+        slot = self._slot(*slot_key) if slot_key else None
         if slot is None or attempt not in slot.attempts:
             return []
         slot.attempts.discard(attempt)
         slot.sample = sample
         slot.is_queued = False
-        self._missing_samples[place[0]] -= 1
+        self._missing_samples[slot_key[0]] -= 1
         return self._cancel_attempts(slot)
 
     def slot_of(self, attempt: int) -> tuple[int, int] | None:
-        """Returns the group and index of a running attempt."""
-        return self._running.get(attempt)
+        """Returns the group and index of a running attempt, or None."""
+        return self._running_attempts.get(attempt)
 
     def fail_attempt(self, attempt: int, now_s: float) -> None:
-        """Ends an attempt without a sample; tries again after a pause."""
-        place = self._running.pop(attempt, None)
-        slot = self._slot(*place) if place else None
+        """Ends an attempt without a sample and schedules a retry."""
+        slot_key = self._running_attempts.pop(attempt, None)
+        slot = self._slot(*slot_key) if slot_key else None
         if slot is None:
             return
         slot.attempts.discard(attempt)
         if slot.sample is None and not slot.attempts:
-            self._schedule_retry(*place, now_s)
+            self._schedule_retry(*slot_key, now_s)
+
+    def discard_stale_samples(
+        self, group: int, oldest_version: int, now_s: float
+    ) -> bool:
+        """Discards stale samples of a group and schedules their retry.
 
-    def is_fresh(self, group: int, oldest_version: int, now_s: float) -> bool:
-        """Whether a group is whole; drops its samples that are too old."""
+        Returns:
+            Whether the group is complete.
+        """
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
                 continue
@@ -136,7 +149,7 @@
         return self._missing_samples.get(group) == 0
 
     def group(self, group: int) -> Group:
-        """Returns a whole group."""
+        """Returns a complete group with its samples."""
         slots = self._groups[group]
         return Group(group=group, samples=tuple(s.sample for s in slots))
 
@@ -144,26 +157,26 @@
         slots = self._groups.get(group)
         return slots[index] if slots else None
 
-    def _push(self, rank: int, group: int, index: int) -> None:
+    def _push(self, priority: int, group: int, index: int) -> None:
         slot = self._slot(group, index)
         if slot is None or slot.sample is not None or slot.attempts:
             return
         slot.is_queued = True
-        heapq.heappush(self._queue, (rank, group, index))
+        heapq.heappush(self._queue, (priority, group, index))
 
     def _schedule_retry(self, group: int, index: int, now_s: float) -> None:
-        entry = (now_s + _RETRY_PAUSE_S, _RANK_REPEAT, group, index)
-        heapq.heappush(self._later, entry)
+        entry = (now_s + _RETRY_DELAY_S, _PRIORITY_REPEAT, group, index)
+        heapq.heappush(self._delayed, entry)
 
-    def _attempt(self, slot: _Slot, group: int, index: int) -> Generate:
+    def _start_attempt(self, slot: _Slot, group: int, index: int) -> Generate:
         others = tuple(sorted(slot.attempts))
         self._last_attempt += 1
         slot.attempts.add(self._last_attempt)
-        self._running[self._last_attempt] = (group, index)
+        self._running_attempts[self._last_attempt] = (group, index)
         return Generate(self._last_attempt, group, index, others)
 
     def _start_spares(self) -> list[Generate]:
-        """Starts second attempts for groups that miss only a few samples."""
+        """Starts second attempts for groups that miss few samples."""
         started = []
         for group, missing in sorted(self._missing_samples.items()):
             if not 0 < missing <= self.spec.spare_samples:
@@ -171,13 +184,13 @@
             for index, slot in enumerate(self._groups[group]):
                 if self._is_full:
                     return started
-                if 0 < len(slot.attempts) < _ATTEMPTS_AT_ONCE:
-                    started.append(self._attempt(slot, group, index))
+                if 0 < len(slot.attempts) < _MAX_ATTEMPTS_PER_SAMPLE:
+                    started.append(self._start_attempt(slot, group, index))
         return started
 
     def _cancel_attempts(self, slot: _Slot) -> list[CancelSample]:
         cancelled = [CancelSample(number) for number in sorted(slot.attempts)]
         for number in slot.attempts:
-            self._running.pop(number, None)
+            self._running_attempts.pop(number, None)
         slot.attempts.clear()
         return cancelled
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -1,9 +1,9 @@
-"""Brings the engines of one failure domain to the newest weights.
+"""Rolls out the newest weights to the engines of one failure domain.
 
-The core decides which engine is ordered to load which version, and when. It
-knows no fencing number: the shell reads it from the lease as the last step
-before the send, with the extra margin that the order names, and doesn't send
-without one. Times are seconds on any steady clock.
+The core decides when to order which engine to load which version. It doesn't
+know the fencing number: the caller reads it from the lease immediately before
+sending an order, with the order's extra margin, and doesn't send if there is
+none. Times are seconds on any monotonic clock.
 """
 
 import dataclasses
@@ -23,18 +23,18 @@
     "WeightTick",
 ]
 
-_RETRY_S = 0.5
-_LONGEST_RETRY_S = 8.0
-_MOST_DOUBLINGS = 4
+_MIN_RETRY_DELAY_S = 0.5
+_MAX_RETRY_DELAY_S = 8.0
+_MAX_DOUBLINGS = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RolloutPolicy:
-    """How a pool's engines take orders.
+    """How weights are rolled out to a pool's engines.
 
     Attributes:
-        max_concurrent_loads: Engines that may load at the same time.
-        checks_fencing: Whether they refuse old fencing numbers.
+        max_concurrent_loads: Maximum number of engines that load at once.
+        checks_fencing: Whether the engines reject old fencing numbers.
     """
 
     max_concurrent_loads: int
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """What is known of an engine that may take orders."""
+    """Last known state of an engine that may receive orders."""
 
     endpoint_id: str
     pool: str
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WeightTick:
-    """Time has passed; `is_in_charge` while the lease is held."""
+    """Time has passed; `has_lease` tells whether the lease is held."""
 
-    is_in_charge: bool
+    has_lease: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class VersionPublished:
-    """A trainer published a version for a pool."""
+    """A trainer published a weight version for a pool."""
 
     pool: str
     version: int
@@ -68,29 +68,29 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginesListed:
-    """All usable engines, and the rules of their pools."""
+    """All usable engines, and the rollout policies by pool."""
 
     engines: tuple[EngineView, ...]
-    rules: dict[str, RolloutPolicy]
+    policies: dict[str, RolloutPolicy]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderCompleted:
-    """The engine of this attempt has loaded its version."""
+    """The engine of this attempt has loaded the ordered version."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderFailed:
-    """The load failed, was refused, or its effect is unknown."""
+    """The load failed, was refused, or has an unknown outcome."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderNotSent:
-    """The lease had lapsed at the last check; nothing left."""
+    """The lease had lapsed before the send; nothing was sent."""
 
     attempt: int
 
@@ -100,11 +100,11 @@
     """Action: order an engine to load a version.
 
     Attributes:
-        attempt: Names the order in its outcome.
-        endpoint_id: The engine.
-        pool: Its pool.
+        attempt: Number of the order; repeated in its outcome.
+        endpoint_id: Id of the engine.
+        pool: Pool of the engine.
         version: The version to load.
-        extra_margin_s: How much longer than usual the lease must hold.
+        extra_margin_s: Extra time in seconds that must remain on the lease.
     """
 
     attempt: int
@@ -115,155 +115,163 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Trouble:
-    """Failures of an engine in a row, and when to try it again."""
+class _RetryState:
+    """Consecutive failures of an engine and the time of its next retry."""
 
     failures: int
     retry_at_s: float
 
 
 class WeightCore(Core):
-    """Orders loads in stages; engines that failed come last.
+    """Orders loads in stages, engines with failures last.
 
     Args:
-        extra_margin_s: For engines that ignore fencing numbers: how long an
-            order may take from the last check to the engine.
+        extra_margin_s: Extra lease margin in seconds for engines that ignore
+            fencing numbers: the maximum time from the last check of the lease
+            until the engine receives the order.
     """
 
     def __init__(self, extra_margin_s: float):
         self.extra_margin_s = extra_margin_s
         self._wanted: dict[str, int] = {}
         self._engines: dict[str, EngineView] = {}
-        self._rules: dict[str, RolloutPolicy] = {}
-        self._running: dict[int, SendOrder] = {}
+        self._policies: dict[str, RolloutPolicy] = {}
+        self._pending_orders: dict[int, SendOrder] = {}
         self._loaded: dict[tuple[str, int], int] = {}
-        self._troubles: dict[str, _Trouble] = {}
+        self._retries: dict[str, _RetryState] = {}
         self._loading: dict[str, set[str]] = {}
-        self._due: dict[str, list[str]] = {}
-        self._attempts = 0
-        self._is_in_charge = False
+        self._due_engines: dict[str, list[str]] = {}
+        self._attempt_count = 0
+        self._has_lease = False
         self._now_s = float("-inf")
 
     @property
     def wanted(self) -> dict[str, int]:
-        """Pool to the newest version published."""
+        """The newest published version by pool."""
         return dict(self._wanted)
 
     @property
     def behind(self) -> int:
-        """Engines that don't have their pool's newest version yet."""
+        """Number of engines without their pool's newest version."""
         return sum(map(self._is_behind, self._engines.values()))
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When an engine that failed may be tried again."""
-        if not self._is_in_charge:
+        """When the next failed engine is due for a retry."""
+        if not self._has_lease:
             return None
-        times = [trouble.retry_at_s for trouble in self._troubles.values()]
+        times = [retry.retry_at_s for retry in self._retries.values()]
         return min((t for t in times if t > self._now_s), default=None)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendOrder` actions."""
+        """Handles one event and returns `SendOrder` actions."""
         self._now_s = now_s
         match event:
             case WeightTick():
-                self._is_in_charge = event.is_in_charge
+                self._has_lease = event.has_lease
                 self._queue_due(now_s)
             case VersionPublished():
                 known = self._wanted.get(event.pool, 0)
                 self._wanted[event.pool] = max(known, event.version)
                 self._queue_due(now_s)
             case EnginesListed():
-                self._on_seen(event)
+                self._on_engines(event)
                 self._queue_due(now_s)
             case OrderCompleted():
-                self._on_done(event)
+                self._on_completed(event)
             case OrderFailed():
                 self._on_failed(event, now_s)
             case OrderNotSent():
-                self._end(event.attempt)
-                self._is_in_charge = False
+                self._finish_order(event.attempt)
+                self._has_lease = False
             case _:
                 raise TypeError(f"not a weight event: {event!r}")
-        return self._start() if self._is_in_charge else []
+        return self._start_orders() if self._has_lease else []
 
-    def _on_seen(self, event: EnginesListed) -> None:
+    def _on_engines(self, event: EnginesListed) -> None:
         self._engines = {e.endpoint_id: e for e in event.engines}
-        self._rules = event.rules
+        self._policies = event.policies
         present = {(e.endpoint_id, e.incarnation) for e in event.engines}
-        for place in self._loaded.keys() - present:
-            del self._loaded[place]
-        for endpoint_id in self._troubles.keys() - self._engines.keys():
-            del self._troubles[endpoint_id]
+        for key in self._loaded.keys() - present:
+            del self._loaded[key]
+        for endpoint_id in self._retries.keys() - self._engines.keys():
+            del self._retries[endpoint_id]
 
-    def _on_done(self, event: OrderCompleted) -> None:
-        order = self._end(event.attempt)
+    def _on_completed(self, event: OrderCompleted) -> None:
+        order = self._finish_order(event.attempt)
         engine = self._engines.get(order.endpoint_id) if order else None
         if engine is None:
             return
         self._loaded[(engine.endpoint_id, engine.incarnation)] = order.version
-        self._troubles.pop(engine.endpoint_id, None)
+        self._retries.pop(engine.endpoint_id, None)
 
     def _on_failed(self, event: OrderFailed, now_s: float) -> None:
-        order = self._end(event.attempt)
+        order = self._finish_order(event.attempt)
         if order is None or order.endpoint_id not in self._engines:
             return
-        trouble = self._troubles.get(order.endpoint_id)
-        failures = trouble.failures + 1 if trouble else 1
-        doublings = min(failures - 1, _MOST_DOUBLINGS)
-        pause_s = min(_LONGEST_RETRY_S, _RETRY_S * 2**doublings)
-        self._troubles[order.endpoint_id] = _Trouble(failures, now_s + pause_s)
-
-    def _end(self, attempt: int) -> SendOrder | None:
-        order = self._running.pop(attempt, None)
+        retry = self._retries.get(order.endpoint_id)
+        failures = retry.failures + 1 if retry else 1
+        doublings = min(failures - 1, _MAX_DOUBLINGS)
+        delay_s = min(_MAX_RETRY_DELAY_S, _MIN_RETRY_DELAY_S * 2**doublings)
+        self._retries[order.endpoint_id] = _RetryState(
+            failures, now_s + delay_s
+        )
+
+    def _finish_order(self, attempt: int) -> SendOrder | None:
+        order = self._pending_orders.pop(attempt, None)
         if order is not None:
             self._loading[order.pool].discard(order.endpoint_id)
         return order
 
     def _is_behind(self, engine: EngineView) -> bool:
-        place = (engine.endpoint_id, engine.incarnation)
-        known = max(engine.weight_version, self._loaded.get(place, 0))
+        key = (engine.endpoint_id, engine.incarnation)
+        known = max(engine.weight_version, self._loaded.get(key, 0))
         return known < self._wanted.get(engine.pool, 0)
 
     def _queue_due(self, now_s: float) -> None:
-        """Queues engines that are behind, those without failures first."""
+        """Queues outdated engines, those with the fewest failures first."""
         due: dict[str, list[tuple[int, str]]] = {
-            pool: [] for pool in self._rules
+            pool: [] for pool in self._policies
         }
         for engine in self._engines.values():
-            trouble = self._troubles.get(engine.endpoint_id)
-            is_early = trouble is not None and now_s < trouble.retry_at_s
+            retry = self._retries.get(engine.endpoint_id)
+            is_early = retry is not None and now_s < retry.retry_at_s
             if engine.pool in due and not is_early and self._is_behind(engine):
-                failures = trouble.failures if trouble else 0
+                failures = retry.failures if retry else 0
                 due[engine.pool].append((failures, engine.endpoint_id))
-        self._due = {
+        self._due_engines = {
             pool: [
                 endpoint_id for _, endpoint_id in sorted(found, reverse=True)
             ]
             for pool, found in due.items()
         }
 
-    def _start(self) -> list[object]:
-        """Fills each pool's stage; a failed engine waits for a later tick."""
+    def _start_orders(self) -> list[object]:
+        """Starts orders up to each pool's limit of concurrent loads.
+
+        A failed engine isn't queued again before a later tick.
+        """
         orders = []
-        for pool, due in self._due.items():
-            rule = self._rules[pool]
+        for pool, due in self._due_engines.items():
+            policy = self._policies[pool]
             loading = self._loading.setdefault(pool, set())
-            while due and len(loading) < rule.max_concurrent_loads:
+            while due and len(loading) < policy.max_concurrent_loads:
                 engine = self._engines[due.pop()]
                 if engine.endpoint_id not in loading:
                     loading.add(engine.endpoint_id)
-                    orders.append(self._order(engine, rule))
+                    orders.append(self._make_order(engine, policy))
         return orders
 
-    def _order(self, engine: EngineView, rule: RolloutPolicy) -> SendOrder:
-        self._attempts += 1
+    def _make_order(
+        self, engine: EngineView, policy: RolloutPolicy
+    ) -> SendOrder:
+        self._attempt_count += 1
         order = SendOrder(
-            self._attempts,
+            self._attempt_count,
             engine.endpoint_id,
             engine.pool,
             self._wanted[engine.pool],
-            0.0 if rule.checks_fencing else self.extra_margin_s,
+            0.0 if policy.checks_fencing else self.extra_margin_s,
         )
-        self._running[order.attempt] = order
+        self._pending_orders[order.attempt] = order
         return order
