--- a/daisyhub/duty_bound.py
+++ b/daisyhub/duty_bound.py
@@ -28,14 +28,14 @@
         self._duty = duty
 
     @abc.abstractmethod
-    async def hold(self) -> None:
+    async def run_with_duty(self) -> None:
         """Works until the duty is lost, then returns."""
 
     async def run(self) -> None:
         """Holds whenever the duty is here, until cancelled."""
         while True:
             if self._duty.fencing:
-                await self.hold()
+                await self.run_with_duty()
             with anyio.move_on_after(_IDLE_S):
                 await self._duty.changed.wait()
 
--- a/daisyhub/exceptions.py
+++ b/daisyhub/exceptions.py
@@ -10,12 +10,12 @@
     "PlatformConflictError",
     "PlatformUnavailableError",
     "Problem",
-    "Ran",
+    "ExecutionStatus",
     "Refusal",
 ]
 
 
-class Ran(enum.Enum):
+class ExecutionStatus(enum.Enum):
     """Whether the refused request was executed by an endpoint."""
 
     NOT_RUN = "not_run"
@@ -92,7 +92,7 @@
         error: ErrorCode,
         detail: str,
         *,
-        ran: Ran = Ran.NOT_RUN,
+        ran: ExecutionStatus = ExecutionStatus.NOT_RUN,
         retry_after_s: float | None = None,
     ):
         super().__init__(detail)
--- a/daisyhub/fleet_settings.py
+++ b/daisyhub/fleet_settings.py
@@ -7,7 +7,7 @@
 from daisyhub.checks import Range, check_document
 from daisyhub.settings import Address, PeerSettings
 
-__all__ = ["FleetSettings", "address_of", "load_fleet_settings"]
+__all__ = ["FleetSettings", "parse_address", "load_fleet_settings"]
 
 Name = Annotated[str, Range(1, 128, "characters")]
 
@@ -72,7 +72,7 @@
     @property
     def peer_address(self) -> Address:
         """Where the peer socket listens."""
-        return address_of(self.peer)
+        return parse_address(self.peer)
 
     @property
     def processor_speed(self) -> float:
@@ -90,7 +90,7 @@
         return Address(ip=self.peer_address.ip, port=self.metrics_port)
 
 
-def address_of(text: str) -> Address:
+def parse_address(text: str) -> Address:
     """Reads `IP:PORT`.
 
     Raises:
--- a/daisyhub/logs.py
+++ b/daisyhub/logs.py
@@ -63,7 +63,7 @@
         self._refilled_s = 0.0
         self._dropped = 0
 
-    def note(self, event: str, **fields: object) -> None:
+    def record(self, event: str, **fields: object) -> None:
         """Writes a line, unless the volume's bound is reached.
 
         Args:
--- a/daisyhub/metrics.py
+++ b/daisyhub/metrics.py
@@ -7,7 +7,7 @@
 
 from hdrh.histogram import HdrHistogram
 
-__all__ = ["AccountService", "Metrics", "WorstServed"]
+__all__ = ["AccountStatistics", "Metrics", "WorstServed"]
 
 _LOWEST_US = 1
 _HIGHEST_US = 3_600_000_000
@@ -60,7 +60,7 @@
         return 0.0
 
 
-class AccountService:
+class AccountStatistics:
     """How each account was served in the last one to two periods.
 
     Buckets grow by a fourth root of two; at most 512 accounts are kept apart
@@ -72,14 +72,14 @@
         self._before: dict[str, _Served] = {}
         self._period = 0
 
-    def add_served(self, account: str, took_s: float, now_s: float) -> None:
+    def record_served(self, account: str, took_s: float, now_s: float) -> None:
         """Notes a whole answer."""
         served = self._of(account, now_s)
         served.served += 1
         bucket = bisect.bisect_left(_BUCKET_BOUNDS_S, took_s)
         served.buckets[bucket] = served.buckets.get(bucket, 0) + 1
 
-    def add_refused(self, account: str, now_s: float) -> None:
+    def record_refused(self, account: str, now_s: float) -> None:
         """Notes a refusal."""
         self._of(account, now_s).refused += 1
 
@@ -131,7 +131,7 @@
     """
 
     def __init__(self):
-        self.accounts = AccountService()
+        self.accounts = AccountStatistics()
         self._counters: dict[tuple[str, Labels], float] = {}
         self._gauges: dict[tuple[str, Labels], float] = {}
         self._histograms: dict[tuple[str, Labels], HdrHistogram] = {}
--- a/daisyhub/tests/test_metrics.py
+++ b/daisyhub/tests/test_metrics.py
@@ -1,18 +1,18 @@
 import unittest
 
-from daisyhub.metrics import AccountService, Metrics
+from daisyhub.metrics import AccountStatistics, Metrics
 
 
 class AccountServiceTest(unittest.TestCase):
     def test_names_the_slowest_and_the_most_refused_account(self):
-        service = AccountService()
+        service = AccountStatistics()
         for number in range(100):
-            service.add_served("yard", 0.010, 60.0)
-            service.add_served("archive", 0.5 if number < 3 else 0.010, 60.0)
-            service.add_served("dispatch", 0.010, 60.0)
+            service.record_served("yard", 0.010, 60.0)
+            service.record_served("archive", 0.5 if number < 3 else 0.010, 60.0)
+            service.record_served("dispatch", 0.010, 60.0)
         for _ in range(25):
-            service.add_refused("dispatch", 60.0)
-        service.add_served("rare", 9.0, 60.0)
+            service.record_refused("dispatch", 60.0)
+        service.record_served("rare", 9.0, 60.0)
         worst = service.worst(61.0)
         self.assertEqual(worst.slowest, "archive")
         self.assertTrue(0.5 <= worst.p99_s <= 0.5 * 1.19)
@@ -20,9 +20,9 @@
         self.assertAlmostEqual(worst.refused_share, 0.2)
 
     def test_old_periods_and_many_accounts_are_forgotten(self):
-        service = AccountService()
+        service = AccountStatistics()
         for number in range(10_000):
-            service.add_served(f"a{number}", 0.01, 60.0)
+            service.record_served(f"a{number}", 0.01, 60.0)
         self.assertLessEqual(len(service._now), 513)
         self.assertEqual(service.worst(200.0).slowest, "")
         self.assertFalse(service._now or service._before)
