--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -55,7 +55,7 @@
 
 __all__ = ["Daemon", "main"]
 
-_US_PER_NS = 1000
+_NS_PER_US = 1000
 _CONTROLLER_PAUSE_S = 1.0
 _CANDIDATES = 2
 EXIT_OK = 0
@@ -73,7 +73,7 @@
 
     def __init__(self, cfg: DaemonSettings):
         self.cfg = cfg
-        self.incarnation = time.time_ns() // _US_PER_NS
+        self.incarnation = time.time_ns() // _NS_PER_US
         self.metrics = Metrics()
         self.keys = KeyTable(cfg.key_hash_secret)
         self.table = EndpointTable()
