--- a/daisyhub/__init__.py
+++ b/daisyhub/__init__.py
@@ -1,4 +1,4 @@
-"""A rollout service between callers, trainers and endpoints."""
+"""Request gateway and rollout service in front of a pool of endpoints."""
 
 __version__ = "0.1.0"
 __all__ = ["__version__"]
--- a/daisyhub/base.py
+++ b/daisyhub/base.py
@@ -1,8 +1,8 @@
-"""Abstract base classes and the contract that their implementations keep.
+"""Abstract base classes of the package.
 
-Constructors only store their arguments; work happens in methods. A core is
-deterministic: it opens no socket, reads no clock and awaits nothing. It gets
-events with the time and returns actions.
+Constructors of implementations perform no I/O and start no tasks. A core is
+deterministic: it opens no socket, reads no clock and awaits nothing. It takes
+events together with the time and returns actions.
 """
 
 import abc
@@ -16,31 +16,35 @@
 
 
 class Core(abc.ABC):
-    """A deterministic state machine that decides and performs no I/O."""
+    """A deterministic state machine without I/O."""
 
     @abc.abstractmethod
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event and returns the actions that it calls for.
+        """Processes one event and returns the resulting actions.
 
         Args:
             event: One of the core's typed events.
-            now_s: Time in seconds on the clock that the core documents.
+            now_s: Time of the event, seconds on the clock that the core's
+                documentation names.
 
         Returns:
-            Typed actions, in the order in which to carry them out.
+            Typed actions, in the order in which to perform them.
         """
 
     @property
     @abc.abstractmethod
     def next_wakeup_s(self) -> float | None:
-        """When the core wants a `Tick`, on its clock; None for never."""
+        """Time of the next tick event, seconds on the core's clock.
+
+        None if the core needs no tick.
+        """
 
 
 class Filter(abc.ABC):
     """One step of the request chain.
 
-    A filter refuses by raising `Refusal`, or passes the request on and
-    returns the answer, changed or not.
+    A filter either raises `Refusal`, or calls the next step and returns its
+    response, possibly modified.
     """
 
     name: str
@@ -50,44 +54,53 @@
         """Handles one request.
 
         Args:
-            req: The request as earlier filters left it.
-            call_next: The rest of the chain.
+            req: The request, possibly modified by earlier filters.
+            call_next: Calls the rest of the chain.
 
         Returns:
-            The answer for the caller.
+            The response for the caller.
 
         Raises:
-            Refusal: The request ends here.
+            Refusal: The request is rejected.
         """
 
 
 class Controller(abc.ABC):
-    """Keeps one part of the daemon's state up to date."""
+    """A background task that keeps one part of the daemon's state current."""
 
     name: str
 
     @abc.abstractmethod
     async def run(self) -> None:
-        """Runs until cancelled; survives every failure of other parties."""
+        """Runs until cancelled; failures of remote systems don't end it."""
 
     @abc.abstractmethod
     def status(self) -> dict[str, object]:
-        """Tells operators the state in plain JSON values."""
+        """Returns the state for operators in plain JSON values."""
 
 
 class Balancer(abc.ABC):
-    """Chooses one endpoint among candidates.
+    """Selects one endpoint among candidates.
 
-    A balancer is deterministic for a given `random_state`.
+    The selection is deterministic for a given `random_state`.
     """
 
     @abc.abstractmethod
     def choose(self, candidates: Sequence["EndpointView"]) -> str | None:
-        """Returns the id of the chosen endpoint, or None without candidates."""
+        """Returns the id of the selected endpoint; None without candidates."""
 
 
 class EndpointView(abc.ABC):
-    """What a balancer sees of one endpoint."""
+    """State of an endpoint as read by balancers.
+
+    Attributes:
+        endpoint_id: Unique id.
+        pool: The pool that it belongs to.
+        load: Estimated number of its open requests.
+        capacity: Number of requests that it serves concurrently.
+        cheap: Whether the platform may reclaim it (spot capacity).
+        weight_version: Highest reported version of its weights.
+    """
 
     endpoint_id: str
     pool: str
--- a/daisyhub/checks.py
+++ b/daisyhub/checks.py
@@ -1,8 +1,8 @@
-"""Checked reading of JSON documents with comments into frozen data classes.
+"""Validates JSON documents with comments against frozen data classes.
 
-Every fault of a document is collected with its path and line. The standard
-library's decoder does the parsing; a wrapper around its scanner notes where
-each value starts.
+All errors of a document are collected, each with its path and line. The
+standard library's decoder parses the text; a wrapper around its scanner records
+the offset at which each value starts.
 """
 
 import dataclasses
@@ -18,7 +18,7 @@
 from daisyhub.exceptions import DocumentError, Problem
 
 __all__ = [
-    "Located",
+    "LocatedValue",
     "Range",
     "check_document",
     "check_value",
@@ -29,7 +29,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Range:
-    """Allowed numbers, both ends included, with their unit."""
+    """Allowed values of a number, or lengths of other values, both inclusive.
+
+    Attributes:
+        low: Lower bound.
+        high: Upper bound.
+        unit: Unit of the bounds; empty if they have none.
+    """
 
     low: float
     high: float
@@ -40,11 +46,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Located:
+class LocatedValue:
     """A JSON value and the offset at which it starts.
 
-    Objects hold a list of (key, Located) pairs in `value`, so that repeated
-    keys can be refused; arrays hold a list of `Located`.
+    Attributes:
+        value: A scalar; for an array a list of `LocatedValue`; for an object
+            `_ObjectPairs`, which keep duplicate keys so that they can be
+            reported.
+        offset: Offset of the first character in the text.
     """
 
     value: object
@@ -52,23 +61,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Pairs:
-    items: list[tuple[str, Located]]
+class _ObjectPairs:
+    items: list[tuple[str, LocatedValue]]
 
 
 class _LocatingDecoder(json.JSONDecoder):
-    """A decoder whose values are wrapped in `Located`."""
+    """Decodes every value into a `LocatedValue`."""
 
     def __init__(self):
-        super().__init__(object_pairs_hook=_Pairs)
+        super().__init__(object_pairs_hook=_ObjectPairs)
         self.parse_object = self._parse_object
         self.parse_array = self._parse_array
         self._scan = json.scanner.py_make_scanner(self)
         self.scan_once = self._scan_located
 
-    def _scan_located(self, text: str, index: int) -> tuple[Located, int]:
+    def _scan_located(self, text: str, index: int) -> tuple[LocatedValue, int]:
         value, end = self._scan(text, index)
-        return Located(value, index), end
+        return LocatedValue(value, index), end
 
     def _parse_object(self, s_and_end, strict, _, hook, pairs_hook, memo):
         return json.decoder.JSONObject(
@@ -79,35 +88,38 @@
         return json.decoder.JSONArray(s_and_end, self._scan_located)
 
 
-# A string, or a comment, or a comma before a closing bracket.
+# Both match strings too, so that comments and commas in strings are kept.
 _STRING_OR_COMMENT = re.compile(
     r'("(?:\\.|[^"\\])*")|/\*.*?\*/|//[^\r\n]*', re.DOTALL
 )
 _STRING_OR_COMMA = re.compile(r'("(?:\\.|[^"\\])*")|,(?=\s*[\]}])', re.DOTALL)
 
 
-def _blank(match: re.Match) -> str:
-    """Keeps strings; replaces all else by spaces, so that offsets hold."""
+def _replace_with_spaces(match: re.Match) -> str:
+    """Keeps a string; replaces other text by spaces to preserve offsets."""
     if match.group(1) is not None:
         return match.group(1)
     return re.sub(r"[^\r\n]", " ", match.group(0))
 
 
 def remove_comments(text: str) -> str:
-    """Blanks comments and trailing commas; every offset stays the same.
+    """Replaces comments and trailing commas by spaces.
 
-    The library for JSON with comments drops line breaks inside comments, so
-    its lines are wrong; tests compare its values with ours.
+    All offsets and line breaks are preserved. The `jsonc` package removes line
+    breaks inside comments, which would make reported line numbers wrong; a
+    test checks that both give the same values.
     """
-    return _STRING_OR_COMMA.sub(_blank, _STRING_OR_COMMENT.sub(_blank, text))
+    return _STRING_OR_COMMA.sub(
+        _replace_with_spaces, _STRING_OR_COMMENT.sub(_replace_with_spaces, text)
+    )
 
 
-def load_document(text: str, file: str = "") -> Located:
-    """Parses JSON with comments, keeping positions.
+def load_document(text: str, file: str = "") -> LocatedValue:
+    """Parses JSON with comments and records the offset of each value.
 
     Args:
         text: The document.
-        file: Its name, for error messages.
+        file: Its file name, for error messages.
 
     Raises:
         DocumentError: The text is not JSON with comments.
@@ -120,10 +132,10 @@
 
 
 def check_document(text: str, kind: type, file: str = "") -> typing.Any:
-    """Parses a document and checks it into `kind`, a frozen data class.
+    """Parses a document and returns it as `kind`, a frozen data class.
 
     Raises:
-        DocumentError: With every fault of the document.
+        DocumentError: The document is invalid; lists all errors.
     """
     located = load_document(text, file)
     checker = _Checker(text, file)
@@ -133,35 +145,48 @@
     return value
 
 
-def check_value(value: object, kind: type, path: str = "$") -> typing.Any:
-    """Checks plain JSON values into `kind`; lines are those of `dumps`."""
-    return check_document(json.dumps(value, indent=1), kind, path)
+def check_value(value: object, kind: type, file: str = "$") -> typing.Any:
+    """Returns plain JSON values as `kind`, a frozen data class.
+
+    Line numbers of errors refer to the output of `json.dumps` with an
+    indentation of 1.
+
+    Raises:
+        DocumentError: The value is invalid; lists all errors.
+    """
+    return check_document(json.dumps(value, indent=1), kind, file)
 
 
 @functools.cache
-def _fields_of(kind: type) -> dict[str, tuple[object, bool]]:
-    """Maps field names to (type hint, whether required)."""
+def _get_fields(kind: type) -> dict[str, tuple[object, bool]]:
+    """Returns (type hint, whether required) by field name."""
     hints = typing.get_type_hints(kind, include_extras=True)
     fields = {}
     for field in dataclasses.fields(kind):
-        required = (
+        is_required = (
             field.default is dataclasses.MISSING
             and field.default_factory is dataclasses.MISSING
         )
-        fields[field.name] = (hints[field.name], required)
+        fields[field.name] = (hints[field.name], is_required)
     return fields
 
 
 class _Checker:
-    """Walks a located document along a type and collects problems."""
+    """Converts located values to the hinted types and collects problems."""
 
     def __init__(self, text: str, file: str):
         self._text = text
         self._file = file
         self.problems: list[Problem] = []
 
-    def check(self, located: Located, hint: object, path: str) -> typing.Any:
-        """Returns the value as `hint`, or None after noting a problem."""
+    def check(
+        self, located: LocatedValue, hint: object, path: str
+    ) -> typing.Any:
+        """Returns the value as the hinted type.
+
+        Returns None if the value is null and the hint allows it, or if a
+        problem was added.
+        """
         origin = typing.get_origin(hint)
         if origin is typing.Annotated:
             inner, *extras = typing.get_args(hint)
@@ -181,7 +206,9 @@
             return self._check_dataclass(located, hint, path)
         return self._check_scalar(located, hint, path)
 
-    def _note(self, located: Located, path: str, message: str) -> None:
+    def _add_problem(
+        self, located: LocatedValue, path: str, message: str
+    ) -> None:
         line = self._text.count("\n", 0, located.offset) + 1
         self.problems.append(Problem(path, message, line, self._file))
 
@@ -190,8 +217,12 @@
         if kind is float and type(value) is int:
             value = float(value)
         if type(value) is not kind:
-            got = "an object" if isinstance(value, _Pairs) else repr(value)
-            self._note(located, path, f"must be {kind.__name__}, got {got}")
+            got = (
+                "an object" if isinstance(value, _ObjectPairs) else repr(value)
+            )
+            self._add_problem(
+                located, path, f"must be {kind.__name__}, got {got}"
+            )
             return None
         return value
 
@@ -200,42 +231,46 @@
         for extra in extras:
             if value is None or not isinstance(extra, Range):
                 continue
-            size = value if isinstance(value, int | float) else len(value)
-            if not extra.low <= size <= extra.high or math.isnan(size):
+            number = value if isinstance(value, int | float) else len(value)
+            if not extra.low <= number <= extra.high or math.isnan(number):
                 shown = repr(value)[:80]
-                self._note(located, path, f"must be in {extra}, got {shown}")
+                self._add_problem(
+                    located, path, f"must be in {extra}, got {shown}"
+                )
         return value
 
     def _check_literal(self, located, allowed, path):
         if located.value not in allowed:
-            shown = ", ".join(map(repr, allowed))
+            options = ", ".join(map(repr, allowed))
             got = located.value
-            self._note(located, path, f"must be one of {shown}, got {got!r}")
+            self._add_problem(
+                located, path, f"must be one of {options}, got {got!r}"
+            )
             return None
         return located.value
 
     def _check_array(self, located, item_hint, path):
         if not isinstance(located.value, list):
-            self._note(located, path, "must be an array")
+            self._add_problem(located, path, "must be an array")
             return None
         return tuple(
             self.check(item, item_hint, f"{path}[{index}]")
             for index, item in enumerate(located.value)
         )
 
-    def _pairs(self, located, path) -> dict[str, Located] | None:
-        if not isinstance(located.value, _Pairs):
-            self._note(located, path, "must be an object")
+    def _items_by_key(self, located, path) -> dict[str, LocatedValue] | None:
+        if not isinstance(located.value, _ObjectPairs):
+            self._add_problem(located, path, "must be an object")
             return None
         found = {}
         for key, item in located.value.items:
             if key in found:
-                self._note(item, f"{path}.{key}", "is given twice")
+                self._add_problem(item, f"{path}.{key}", "is given twice")
             found[key] = item
         return found
 
     def _check_mapping(self, located, item_hint, path):
-        found = self._pairs(located, path)
+        found = self._items_by_key(located, path)
         if found is None:
             return None
         return {
@@ -244,20 +279,20 @@
         }
 
     def _check_dataclass(self, located, kind, path):
-        found = self._pairs(located, path)
+        found = self._items_by_key(located, path)
         if found is None:
             return None
-        before = len(self.problems)
-        fields = _fields_of(kind)
+        previous_count = len(self.problems)
+        fields = _get_fields(kind)
         values = {}
         for key, item in found.items():
             if key not in fields:
-                self._note(item, f"{path}.{key}", "is not a known name")
+                self._add_problem(item, f"{path}.{key}", "is not a known name")
                 continue
             values[key] = self.check(item, fields[key][0], f"{path}.{key}")
-        for name, (_, required) in fields.items():
-            if required and name not in found:
-                self._note(located, f"{path}.{name}", "is missing")
-        if len(self.problems) > before:
+        for name, (_, is_required) in fields.items():
+            if is_required and name not in found:
+                self._add_problem(located, f"{path}.{name}", "is missing")
+        if len(self.problems) > previous_count:
             return None
         return kind(**values)
--- a/daisyhub/clocks.py
+++ b/daisyhub/clocks.py
@@ -1,4 +1,4 @@
-"""Clocks. Cores get times as arguments; only shells read these."""
+"""Clocks for the I/O code; cores receive times as arguments instead."""
 
 import time
 
@@ -6,10 +6,10 @@
 
 
 def boot_time_s() -> float:
-    """Returns seconds since boot, counted on while the machine is suspended."""
+    """Returns seconds since boot, including time spent in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def wall_time_s() -> float:
-    """Returns seconds since the epoch."""
+    """Returns seconds since 1970."""
     return time.time()
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -1,4 +1,4 @@
-"""The daemon: builds the parts, runs them, and shuts down gracefully."""
+"""The daemon: builds its components, runs them and shuts them down."""
 
 import signal
 import sys
@@ -56,8 +56,9 @@
 __all__ = ["Daemon", "main"]
 
 _NS_PER_US = 1000
-_CONTROLLER_PAUSE_S = 1.0
-_CANDIDATES = 2
+_CONTROLLER_RESTART_DELAY_S = 1.0
+# Number of live daemons of a failure domain that try to acquire a duty.
+_CANDIDATE_COUNT = 2
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 
@@ -65,10 +66,10 @@
 
 
 class Daemon:
-    """One `daisyhubd`.
+    """One daemon process.
 
     Args:
-        cfg: Its settings.
+        cfg: Settings of the process.
     """
 
     def __init__(self, cfg: DaemonSettings):
@@ -84,7 +85,7 @@
 
     @property
     def process_id(self) -> str:
-        """Unique for this start of this daemon."""
+        """Id of this process, `daemon id/incarnation`; unique per start."""
         return f"{self.cfg.daemon_id}/{self.incarnation}"
 
     def _build_clients(self) -> None:
@@ -169,11 +170,11 @@
         )
 
     def _is_candidate(self, duty: str) -> bool:
-        """Whether this daemon is among the first for a duty of its domain."""
-        domain = {peer.daemon_id for peer in self.cfg.domain_peers}
-        live = domain.intersection(self.peers.live_peers())
-        ranked = rank_candidates(duty, [self.cfg.daemon_id, *live])
-        return self.cfg.daemon_id in ranked[:_CANDIDATES]
+        """Whether this daemon should try to acquire a duty of its domain."""
+        domain_ids = {peer.daemon_id for peer in self.cfg.domain_peers}
+        live_ids = domain_ids.intersection(self.peers.live_peers())
+        ranked = rank_candidates(duty, [self.cfg.daemon_id, *live_ids])
+        return self.cfg.daemon_id in ranked[:_CANDIDATE_COUNT]
 
     def _lot_server_dependencies(self) -> LotServerDependencies:
         return LotServerDependencies(
@@ -190,7 +191,7 @@
 
     @property
     def controllers(self) -> tuple[Controller, ...]:
-        """All controllers."""
+        """All controllers, in the order in which they are started."""
         return (
             self.watch,
             self.config,
@@ -213,7 +214,7 @@
                 AdmissionCore(self.cfg.limits.concurrent_requests),
                 lambda: self.config.document,
                 self.shares,
-                self._places,
+                self._get_concurrency_limit,
             ),
             LotsFilter(self.lots.serve),
             IdempotencyFilter(self.claims),
@@ -227,8 +228,8 @@
             ),
         )
 
-    def _places(self) -> int:
-        """Returns how many requests to have in service, by capacity."""
+    def _get_concurrency_limit(self) -> int:
+        """Returns the maximum number of requests in service."""
         routes = self.config.document.routes.values()
         return compute_concurrency_limit(
             self.table.reported_capacity({route.pool for route in routes}),
@@ -253,19 +254,22 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether new requests should come here."""
+        """Whether callers should send new requests to this daemon."""
         return self.config.version > 0 and not self._is_draining
 
     def status(self) -> dict[str, object]:
-        """Returns the state of every part in plain JSON values."""
-        parts = {part.name: part.status() for part in self.controllers}
+        """Returns the state of the daemon and its controllers for operators."""
+        status_by_controller = {
+            controller.name: controller.status()
+            for controller in self.controllers
+        }
         return {
             "daemon_id": self.cfg.daemon_id,
             "failure_domain": self.cfg.failure_domain,
             "incarnation": self.incarnation,
             "is_ready": self.is_ready(),
             "open_requests": self.callers_app.open_requests,
-            **parts,
+            **status_by_controller,
         }
 
     async def run(self) -> None:
@@ -273,11 +277,12 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.network.run)
             for controller in self.controllers:
-                tasks.start_soon(self._keep_running, controller)
+                tasks.start_soon(self._run_controller, controller)
             tasks.start_soon(self.callers_server.run_until_stopped)
             tasks.start_soon(self.operators_server.run_until_stopped)
             log.info("{} listens on {}", self.process_id, self._address)
-            # Open until the end: without it, a further signal would kill.
+            # Stays open during the shutdown, so that a further signal doesn't
+            # terminate the process.
             with anyio.open_signal_receiver(
                 signal.SIGTERM, signal.SIGINT
             ) as signals:
@@ -288,28 +293,39 @@
         await self.http.aclose()
         self.network.close()
 
-    async def _keep_running(self, controller: Controller) -> None:
-        """Runs a controller; one that fails is started anew.
+    async def _run_controller(self, controller: Controller) -> None:
+        """Runs a controller and restarts it after a failure.
 
-        A fault in one part must not end the serving of requests.
+        An error in one controller must not stop the daemon from serving
+        requests.
         """
         while True:
             try:
                 await controller.run()
             except Exception:
-                log.exception("the controller {} failed", controller.name)
+                log.exception(
+                    "controller {} failed, restarting it", controller.name
+                )
                 self.metrics.count("controller_failures", part=controller.name)
             else:
                 return
-            await anyio.sleep(_CONTROLLER_PAUSE_S)
+            await anyio.sleep(_CONTROLLER_RESTART_DELAY_S)
 
     @property
     def _address(self) -> str:
         return str(self.cfg.callers_address)
 
     async def _shut_down(self) -> None:
-        """Drains: not ready, no new connections, hand over, flush."""
-        log.info("shutting down, {} open", self.callers_app.open_requests)
+        """Shuts down gracefully.
+
+        Reports the daemon as not ready, waits for callers to notice, releases
+        the lots, closes the callers' listener, waits for open requests and
+        connections, then writes the remaining state and releases the duties.
+        """
+        log.info(
+            "shutting down, {} requests are open",
+            self.callers_app.open_requests,
+        )
         self._is_draining = True
         self.callers_app.is_draining = True
         self.peers.set_leaving()
@@ -331,7 +347,7 @@
 
 _USAGE = """usage: daisyhubd --settings=FILE
 
-Serves callers and trainers until SIGTERM or SIGINT, then drains and ends.
+Serves callers and trainers until SIGTERM or SIGINT, then drains and exits.
 
 flags:
   --settings=FILE  settings of this process, JSON with comments; every field
@@ -339,7 +355,8 @@
 
 exit codes:
   0  ended after a graceful shutdown
-  2  wrong words or wrong settings; every fault is printed with its line
+  2  invalid arguments or settings; all errors in the settings are printed
+     with their lines
 """
 
 
@@ -358,7 +375,7 @@
 
 
 def main() -> None:
-    """Runs the daemon; exits with 0, or 2 if the settings are wrong."""
+    """Runs the daemon; exits with 0, or 2 for invalid arguments or settings."""
     sys.modules["__main__"].__doc__ = _USAGE
     app.run(_run)
 
--- a/daisyhub/duty_bound.py
+++ b/daisyhub/duty_bound.py
@@ -1,4 +1,4 @@
-"""Controllers that work only while this daemon has a duty."""
+"""Base class of controllers that run only while this daemon holds a duty."""
 
 import abc
 import typing
@@ -13,15 +13,15 @@
 
 __all__ = ["DutyBoundController"]
 
-# Seconds between looks at a duty that others have.
-_IDLE_S = 0.5
+# Interval between checks whether this daemon acquired the duty.
+_POLL_INTERVAL_S = 0.5
 
 
 class DutyBoundController(Controller):
-    """Holds something whenever the duty is here.
+    """Runs `run_with_duty` whenever this daemon holds a duty.
 
     Args:
-        duty: Tells whether this daemon has it.
+        duty: The duty's controller.
     """
 
     def __init__(self, duty: "DutyController"):
@@ -29,18 +29,18 @@
 
     @abc.abstractmethod
     async def run_with_duty(self) -> None:
-        """Works until the duty is lost, then returns."""
+        """Runs until the duty is lost, then returns."""
 
     async def run(self) -> None:
-        """Holds whenever the duty is here, until cancelled."""
+        """Runs until cancelled."""
         while True:
             if self._duty.fencing:
                 await self.run_with_duty()
-            with anyio.move_on_after(_IDLE_S):
+            with anyio.move_on_after(_POLL_INTERVAL_S):
                 await self._duty.changed.wait()
 
-    async def verify(self, watcher: KindWatcher, each_s: float) -> None:
-        """Lists a watcher's kind beside its watch, until cancelled."""
+    async def verify(self, watcher: KindWatcher, interval_s: float) -> None:
+        """Verifies a watcher against the store periodically until cancelled."""
         while True:
-            await anyio.sleep(each_s)
+            await anyio.sleep(interval_s)
             await watcher.verify()
--- a/daisyhub/exceptions.py
+++ b/daisyhub/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions with stable codes, shared by the daemon and the command line."""
+"""Exceptions and their stable codes, for the daemon and the command line."""
 
 import enum
 
@@ -16,7 +16,7 @@
 
 
 class ExecutionStatus(enum.Enum):
-    """Whether the refused request was executed by an endpoint."""
+    """Whether an endpoint executed a request that was refused or failed."""
 
     NOT_RUN = "not_run"
     UNKNOWN = "unknown"
@@ -24,7 +24,7 @@
 
 
 class ErrorCode(enum.Enum):
-    """Stable codes of refusals; the second item is the HTTP status."""
+    """Stable codes of refusals, each with its HTTP status."""
 
     KEY_MISSING = ("key_missing", 401)
     KEY_MALFORMED = ("key_malformed", 400)
@@ -62,29 +62,35 @@
 
     @property
     def label(self) -> str:
-        """The code as callers see it."""
+        """The code as sent to callers."""
         return self.value[0]
 
     @property
     def status(self) -> int:
-        """The HTTP status that goes with the code."""
+        """The HTTP status of the code."""
         return self.value[1]
 
 
 class DaisyhubError(Exception):
-    """Base of all errors of this package; `code` is stable."""
+    """Base class of all exceptions of this package.
+
+    Attributes:
+        code: Stable code of the error.
+    """
 
     code = "error"
 
 
-class Refusal(DaisyhubError):  # noqa: N818 - a final answer, not a fault.
-    """A request that ends with an error answer.
+class Refusal(DaisyhubError):  # noqa: N818 - an outcome, not a fault.
+    """Rejects a request with an error response.
 
     Attributes:
-        error: The stable code and status.
+        error: The stable code and HTTP status.
         detail: One sentence for the caller.
         ran: Whether an endpoint executed the request.
-        retry_after_s: When to ask again, in seconds, if that makes sense.
+        retry_after_s: Suggested delay before a retry, in seconds; None for no
+            suggestion.
+        code: The stable code, `error.label`.
     """
 
     def __init__(
@@ -104,7 +110,14 @@
 
 
 class Problem:
-    """One fault of a document: where it is and what was expected."""
+    """An error in a document.
+
+    Attributes:
+        path: Path of the value, such as `$.routes.records.pool`.
+        message: What is wrong with the value.
+        line: Line of the value, from 1; 0 if unknown.
+        file: File name of the document; empty if unknown.
+    """
 
     __slots__ = ("file", "line", "message", "path")
 
@@ -119,7 +132,11 @@
 
 
 class DocumentError(DaisyhubError):
-    """A settings file or configuration document with faults."""
+    """A settings file or configuration document is invalid.
+
+    Attributes:
+        problems: All errors found.
+    """
 
     code = "document_invalid"
 
@@ -129,22 +146,26 @@
 
 
 class ConfigConflictError(DaisyhubError):
-    """Another team changed the same lines since the given base version."""
+    """A change of the configuration document was refused.
+
+    Another team changed the same entries since the base version or owns the
+    section, or a required version doesn't exist.
+    """
 
     code = "config_conflict"
 
 
 class PlatformUnavailableError(DaisyhubError):
-    """The platform did not answer, and the call's effect is unknown."""
+    """A call to the platform failed; a write may have taken effect."""
 
     code = "platform_unavailable"
 
 
 class PlatformConflictError(DaisyhubError):
-    """A conditional update was refused.
+    """The platform rejected a conditional update.
 
     Attributes:
-        version: The version that the object has; 0 if it does not exist.
+        version: Current version of the object; 0 if it doesn't exist.
     """
 
     code = "platform_conflict"
--- a/daisyhub/fleet_settings.py
+++ b/daisyhub/fleet_settings.py
@@ -1,4 +1,4 @@
-"""What one daemon is told when it runs on the users' platform."""
+"""Settings of a daemon that runs on the users' platform."""
 
 import dataclasses
 import pathlib
@@ -16,34 +16,40 @@
 class FleetSettings:
     """Settings of one daemon on the users' platform.
 
-    Addresses are written `IP:PORT`.
+    Addresses have the form `IP:PORT`.
 
     Attributes:
-        daemon_id: Unique name of this daemon's machine.
-        failure_domain: Where it runs.
-        callers: Listener for callers.
-        readiness: Listener that the platform asks whether to send callers.
-        peer: Listener for other daemons.
+        daemon_id: Unique name of this daemon's instance.
+        failure_domain: Failure domain of the instance.
+        callers: Address of the listener for callers.
+        readiness: Address of the listener for the platform's readiness checks.
+        peer: Address of the listener for other daemons.
         metrics_port: Port of the listener for metrics and status.
-        seeds: Peer listeners of some daemons, which may be down.
-        store: The platform's store.
-        order_desk: The platform's interface for usage and endpoint orders;
-            empty for none.
-        duties: Which calls of the order desk are this system's duty.
-        fencing_checked: Whether receivers of orders refuse old fencing
+        seeds: Peer addresses of some daemons, used to find the others; they may
+            be down.
+        store: Address of the platform's store.
+        order_desk: Address of the platform's service for usage reports and
+            endpoint orders; empty for none.
+        duties: Calls of the order desk that this system is responsible for;
+            filled in by the platform, but not used.
+        fencing_checked: Whether receivers of orders reject stale fencing
             numbers.
-        lease_ms: Time within which holders of a duty must not take turns.
-        grace_s: Time from SIGTERM to SIGKILL.
+        lease_ms: Term of a duty: how long a read of its record is valid if
+            fencing numbers aren't checked, and how long a daemon that lost
+            the duty doesn't acquire it again.
+        grace_s: Time between SIGTERM and SIGKILL at a shutdown.
         usage_window_s: Length of a usage window.
-        usage_late_s: Time after a window's end by which its report is due.
-        status_s: How long a lot stays readable after its acceptance.
-        processor_share: Part of the time in which the machine's processor
-            works for this daemon.
-        processor_cores: How many times as fast as one core it is then.
-        loads_share: Share of a pool's engines that load weights at one time.
-        call_timeout_s: Longest wait for an answer of the store.
-        connection_idle_s: An idle connection older than this is closed.
-        connect_timeout_s: Longest wait for a connection to an endpoint.
+        usage_late_s: Time between the end of a usage window and the deadline of
+            its report.
+        status_s: Minimum time for which a lot stays readable after its
+            acceptance.
+        processor_share: Share of the processor time that this daemon gets.
+        processor_cores: Speed of the processor during that time, in cores.
+        loads_share: Share of a pool's engines that may load weights
+            concurrently.
+        call_timeout_s: Timeout of a call to the store.
+        connection_idle_s: Time after which an idle connection is closed.
+        connect_timeout_s: Timeout of opening a connection.
     """
 
     daemon_id: Name
@@ -71,30 +77,30 @@
 
     @property
     def peer_address(self) -> Address:
-        """Where the peer socket listens."""
+        """Address of the listener for other daemons."""
         return parse_address(self.peer)
 
     @property
     def processor_speed(self) -> float:
-        """The processor of this daemon's machine, in cores."""
+        """Average processor speed available to this daemon, in cores."""
         return self.processor_share * self.processor_cores
 
     @property
     def peers(self) -> tuple[PeerSettings, ...]:
-        """Peers known from the settings: none, they are found in the store."""
+        """Empty; other daemons are found through `seeds` and the store."""
         return ()
 
     @property
     def metrics_address(self) -> Address:
-        """Where metrics and status are served."""
+        """Address of the listener for metrics and status."""
         return Address(ip=self.peer_address.ip, port=self.metrics_port)
 
 
 def parse_address(text: str) -> Address:
-    """Reads `IP:PORT`.
+    """Parses an address of the form `IP:PORT`.
 
     Raises:
-        ValueError: The text has another form.
+        ValueError: The text has a different form.
     """
     ip, _, port = text.rpartition(":")
     if not ip or not port.isdigit():
@@ -103,10 +109,10 @@
 
 
 def load_fleet_settings(path: str) -> FleetSettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        DocumentError: With every fault of the file.
+        DocumentError: The file is invalid; lists all errors.
         OSError: The file can't be read.
     """
     text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/daisyhub/idle.py
+++ b/daisyhub/idle.py
@@ -1,4 +1,4 @@
-"""A process that does nothing until it is told to stop."""
+"""A placeholder process that waits for a termination signal."""
 
 import signal
 
@@ -6,7 +6,7 @@
 
 
 def main() -> None:
-    """Waits for SIGTERM or SIGINT; other settings don't concern it."""
+    """Waits for SIGTERM or SIGINT and ignores SIGHUP."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.sigwait({signal.SIGTERM, signal.SIGINT})
 
--- a/daisyhub/logs.py
+++ b/daisyhub/logs.py
@@ -1,7 +1,7 @@
-"""Logs: one short line an event, a fixed prefix for each part.
+"""Text logs, and a structured log of events.
 
-`DecisionLog` writes the structured lines by which operators explain a failure
-afterwards: one JSON object a decision, bounded in volume, never blocking.
+`DecisionLog` writes one JSON object per event, from which operators
+reconstruct a failure. Its volume is bounded and writing never blocks.
 """
 
 import logging
@@ -18,9 +18,13 @@
 
 
 def set_up_logs(log_format: str, level: str = "INFO") -> None:
-    """Sends logs to standard error as `text` or `json` lines.
+    """Sends logs to standard error.
 
-    Tracebacks show no values of variables, which may be secrets.
+    Tracebacks don't show values of variables, which may be secrets.
+
+    Args:
+        log_format: `text` or `json`.
+        level: Lowest level that is written.
     """
     logging.getLogger("uvicorn").setLevel(logging.CRITICAL)
     logger.remove()
@@ -37,53 +41,59 @@
 
 
 def get_logger(part: str):
-    """Returns a logger whose lines carry the prefix `part`."""
+    """Returns a logger whose lines are prefixed with `part`."""
     return logger.bind(part=part)
 
 
-# Lines that may be written at once, and a second after that; bounds the cost
-# of logs to some percent of a core under any load.
-_BURST_LINES = 400
-_LINES_PER_S = 200.0
+# Burst size and sustained rate of the log's token bucket, which keep the cost
+# of logging at some percent of a core under any load.
+_MAX_BURST_LINES = 400
+_MAX_LINES_PER_S = 200.0
 _STDOUT = 1
 
 
 class DecisionLog:
-    """Structured lines: one for each decision, loss or return.
+    """Writes decisions, failures and recoveries as JSON lines.
 
     Args:
-        daemon_id: Written with each line.
-        write: Takes one line of text, and returns False if it was dropped.
+        daemon_id: Id of this daemon, added to each line.
+        write: Writes one line of text; returns False if it was dropped. None
+            writes to the sink of `set_up_decision_log`.
     """
 
     def __init__(self, daemon_id: str, write=None):
         self._daemon_id = daemon_id
         self._write = write or _write_line
-        self._budget = float(_BURST_LINES)
-        self._refilled_s = 0.0
-        self._dropped = 0
+        self._available_lines = float(_MAX_BURST_LINES)
+        self._refilled_at_s = 0.0
+        self._dropped_count = 0
 
     def record(self, event: str, **fields: object) -> None:
-        """Writes a line, unless the volume's bound is reached.
+        """Writes a line, or drops it if the volume limit is reached.
+
+        The next line that is written has the number of dropped lines.
 
         Args:
-            event: What was decided or learned, a fixed word.
-            **fields: Request id, the inputs that decided, and the outcome.
+            event: Fixed name of the event.
+            **fields: Further fields, such as the request id, the inputs of the
+                decision and its outcome.
         """
         now_s = time.monotonic()
-        gained = (now_s - self._refilled_s) * _LINES_PER_S
-        self._budget = min(_BURST_LINES, self._budget + gained)
-        self._refilled_s = now_s
-        if self._budget < 1:
-            self._dropped += 1
+        refill = (now_s - self._refilled_at_s) * _MAX_LINES_PER_S
+        self._available_lines = min(
+            _MAX_BURST_LINES, self._available_lines + refill
+        )
+        self._refilled_at_s = now_s
+        if self._available_lines < 1:
+            self._dropped_count += 1
             return
-        self._budget -= 1
+        self._available_lines -= 1
         line = {"t": round(now_s, 3), "at": self._daemon_id, "event": event}
         line.update(fields)
-        if self._dropped:
-            line["dropped_before"] = self._dropped
+        if self._dropped_count:
+            line["dropped_before"] = self._dropped_count
         is_written = self._write(_encode_line(line))
-        self._dropped = 0 if is_written else self._dropped + 1
+        self._dropped_count = 0 if is_written else self._dropped_count + 1
 
 
 def _encode_line(line: dict) -> str:
@@ -91,7 +101,7 @@
 
 
 def _write_line(line: str) -> bool:
-    """Hands a line to the sink; False if the pipe is full."""
+    """Writes a line to the sink; returns False if the pipe is full."""
     try:
         logger.opt(raw=True).info(line)
     except BlockingIOError:
@@ -100,7 +110,7 @@
 
 
 def set_up_decision_log() -> None:
-    """Sends the lines of `DecisionLog` to standard output, never blocking."""
+    """Sends the lines of `DecisionLog` to non-blocking standard output."""
     logging.getLogger("uvicorn").setLevel(logging.CRITICAL)
     os.set_blocking(_STDOUT, False)
     logger.remove()
--- a/daisyhub/messages.py
+++ b/daisyhub/messages.py
@@ -1,4 +1,4 @@
-"""The request and the answer as they pass through the filter chain."""
+"""Requests and responses as passed through the filter chain."""
 
 import dataclasses
 import typing
@@ -15,24 +15,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Request:
-    """A caller's request.
+    """A request of a caller.
 
     Attributes:
-        request_id: Unique id, in every log line and error answer.
-        method: HTTP method in capitals.
+        request_id: Unique id, included in log lines and error responses.
+        method: HTTP method in upper case.
         path: Raw path without the query, still percent-encoded.
         query: Raw query without the question mark.
-        host: Host name in lower case without the port.
-        headers: Names in lower case, in order of arrival.
+        host: Host name; `CallersApp` passes it in lower case without the port.
+        headers: Headers in order of arrival, names in lower case.
         read_body: Reads the whole body, at most the given number of bytes.
-        started_s: Monotonic time of arrival, seconds.
-        deadline_s: Monotonic time after which no answer is wanted.
+        started_s: Time of arrival, monotonic seconds.
+        deadline_s: Time by which the caller needs the response, monotonic
+            seconds.
         account: Client account of the key; empty on open routes.
         key_id: Public part of the key; empty on open routes.
-        route: The route found; None before the route filter.
-        body: The body, once validated.
-        key: The caller's key, where a filter checks it against plain keys.
-        lot_call: A typed call about a lot, where the caller's wire names one.
+        route: The matching route; None before the route filter.
+        body: The body; empty before the filter that reads it.
+        key: The caller's key, if a filter compares it with plain keys; empty
+            otherwise.
+        lot_call: Call of the lot interface if the `CallerWire` decoded one;
+            None otherwise.
     """
 
     request_id: str
@@ -58,14 +61,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Response:
-    """An answer for the caller: either `body` or `stream` carries content.
+    """A response for the caller, with content in either `body` or `stream`.
 
     Attributes:
         status: HTTP status.
-        headers: Names in lower case.
-        body: The whole content, if it was buffered.
-        stream: The content in chunks, if it is passed through.
-        tokens: Tokens generated for this answer, for usage accounting.
+        headers: Headers, names in lower case.
+        body: The complete content, if it was buffered.
+        stream: The chunks of the content, if it is streamed; None if it was
+            buffered.
+        tokens: Tokens generated for this response, for usage accounting.
     """
 
     status: int
--- a/daisyhub/problems.py
+++ b/daisyhub/problems.py
@@ -1,4 +1,4 @@
-"""Refusals as problem documents (`application/problem+json`)."""
+"""Error responses as problem details (`application/problem+json`)."""
 
 import math
 
@@ -10,17 +10,18 @@
 __all__ = ["problem_body", "problem_response"]
 
 
-class Problem(msgspec.Struct, frozen=True, kw_only=True):
-    """The body of an error answer.
+class ProblemDetails(msgspec.Struct, frozen=True, kw_only=True):
+    """The body of an error response.
 
     Attributes:
         type: URN of the code.
-        title: The code.
+        title: The code with spaces instead of underscores.
         status: HTTP status.
         code: Stable code.
-        detail: One sentence.
+        detail: One sentence for the caller.
         request_id: Id of the request.
-        ran: `not_run`, `unknown` or `ran`.
+        ran: Whether an endpoint executed the request: `not_run`, `unknown` or
+            `ran`.
     """
 
     type: str
@@ -33,8 +34,8 @@
 
 
 def problem_body(exc: Refusal, request_id: str) -> bytes:
-    """Returns a refusal as JSON."""
-    problem = Problem(
+    """Returns the JSON body of the response to a refusal."""
+    problem = ProblemDetails(
         type=f"urn:daisyhub:{exc.code}",
         title=exc.code.replace("_", " "),
         status=exc.error.status,
@@ -47,7 +48,7 @@
 
 
 def problem_response(exc: Refusal, request_id: str) -> Response:
-    """Returns a refusal as the caller gets it, with `Retry-After`."""
+    """Returns the response to a refusal, with `Retry-After` if suggested."""
     headers = [(b"content-type", b"application/problem+json")]
     if exc.retry_after_s is not None:
         seconds = max(1, math.ceil(exc.retry_after_s))
--- a/daisyhub/process_flags.py
+++ b/daisyhub/process_flags.py
@@ -1,9 +1,9 @@
-"""Flags that the daemon and the command line have in common."""
+"""Command-line flags shared by the daemon and the command line."""
 
 from absl import flags
 
 __all__ = ["SETTINGS"]
 
 SETTINGS = flags.DEFINE_string(
-    "settings", "", "File with this process's settings, JSON with comments."
+    "settings", "", "Settings file of this process, JSON with comments."
 )
--- a/daisyhub/reference.py
+++ b/daisyhub/reference.py
@@ -1,7 +1,7 @@
-"""Renders docs/CONFIGURATION.md from the data classes that define it.
+"""Renders docs/CONFIGURATION.md from the settings' and document's classes.
 
-Run `python -m daisyhub.reference > docs/CONFIGURATION.md` after a change; a
-test compares the page with the classes.
+Run `python -m daisyhub.reference > docs/CONFIGURATION.md` after a change of
+these classes; a test compares the page with them.
 """
 
 import dataclasses
@@ -31,19 +31,19 @@
 
 __all__ = ["render_reference"]
 
-_CHAPTERS = (
+_SECTIONS = (
     (
         "The configuration document",
-        "Shared by all daemons; changed by `daisyhub apply`. Each section is an"
-        " object of entries by name. A section that `owners` names may be"
-        " changed by its teams only; a document with any owners must name those"
-        " of `owners`. JSON with comments and trailing commas; unknown and"
-        " repeated names are refused.",
+        "All daemons use the same document; `daisyhub apply` changes it. Each"
+        " section is an object of entries by name. If `owners` lists a section,"
+        " only its teams may change it; if `owners` isn't empty, it must also"
+        " list itself. The format is JSON with comments and trailing commas;"
+        " unknown and duplicate names are errors.",
         (Document, ClientAccount, ClientKey, Route, LotClass, EndpointPool),
     ),
     (
         "Settings of a daemon",
-        "Read once at the start from the file of `daisyhubd --settings`.",
+        "Read once at the start from the file given by `daisyhubd --settings`.",
         (
             DaemonSettings,
             TimingSettings,
@@ -54,67 +54,73 @@
     ),
     (
         "Settings of a daemon on the users' platform",
-        "Filled in by the platform from `deploy/settings.jsonc.tmpl` at each"
-        " start; `python -m daisyhub.platform` reads the file that the"
-        " platform's variable names.",
+        "The platform renders `deploy/settings.jsonc.tmpl` at each start;"
+        " `python -m daisyhub.platform` reads the resulting file, whose path is"
+        " in an environment variable set by the platform.",
         (FleetSettings,),
     ),
     (
         "Settings of the command line",
-        "Read from the file of `daisyhub --settings`.",
+        "Read from the file given by `daisyhub --settings`.",
         (OperatorSettings,),
     ),
 )
-_ATTRIBUTE = re.compile(r"^    (\w+): (.*(?:\n        .*)*)", re.MULTILINE)
+_ATTRIBUTE_DOC = re.compile(r"^    (\w+): (.*(?:\n        .*)*)", re.MULTILINE)
 
 
 def render_reference() -> str:
-    """Returns the page: every field with type, unit, range and default."""
+    """Returns the page: the type, range, unit and default of each field."""
     lines = ["# Configuration", ""]
-    for title, text, kinds in _CHAPTERS:
+    for title, text, classes in _SECTIONS:
         lines += [f"## {title}", "", text, ""]
-        for kind in kinds:
-            lines += [f"### {kind.__name__}", "", _summary(kind), ""]
+        for kind in classes:
+            lines += [f"### {kind.__name__}", "", _get_summary(kind), ""]
             lines += ["| field | type | range | unit | default | meaning |"]
             lines += ["| --- | --- | --- | --- | --- | --- |"]
-            lines += [_row(kind, f) for f in dataclasses.fields(kind)]
+            lines += [_render_row(kind, f) for f in dataclasses.fields(kind)]
             lines += [""]
     return "\n".join(lines)
 
 
-def _summary(kind: type) -> str:
+def _get_summary(kind: type) -> str:
     return inspect.getdoc(kind).split("\n\n")[0]
 
 
-def _row(kind: type, field: dataclasses.Field) -> str:
+def _render_row(kind: type, field: dataclasses.Field) -> str:
     hint = typing.get_type_hints(kind, include_extras=True)[field.name]
-    found = _range_of(hint)
-    bounds = f"{found.low:g} to {found.high:g}" if found else ""
-    unit = found.unit if found else ""
-    shown = _type_name(hint).replace("|", "\\|")
-    cells = [f"`{field.name}`", shown, bounds, unit, _default(field)]
-    return f"| {' | '.join(cells)} | {_meaning(kind, field.name)} |"
-
-
-def _range_of(hint: object) -> Range | None:
+    allowed = _get_range(hint)
+    bounds = f"{allowed.low:g} to {allowed.high:g}" if allowed else ""
+    unit = allowed.unit if allowed else ""
+    type_name = _describe_type(hint).replace("|", "\\|")
+    cells = [
+        f"`{field.name}`",
+        type_name,
+        bounds,
+        unit,
+        _describe_default(field),
+    ]
+    return f"| {' | '.join(cells)} | {_get_meaning(kind, field.name)} |"
+
+
+def _get_range(hint: object) -> Range | None:
     extras = typing.get_args(hint)[1:]
     if typing.get_origin(hint) is not typing.Annotated:
         return None
     return next((e for e in extras if isinstance(e, Range)), None)
 
 
-def _type_name(hint: object) -> str:
+def _describe_type(hint: object) -> str:
     origin, args = typing.get_origin(hint), typing.get_args(hint)
     if origin is typing.Annotated:
-        return _type_name(args[0])
+        return _describe_type(args[0])
     if origin is typing.Literal:
         return " or ".join(f"`{value}`" for value in args)
     if origin is tuple:
-        return f"list of {_type_name(args[0])}"
+        return f"list of {_describe_type(args[0])}"
     if origin is dict:
-        return f"object of {_type_name(args[1])}"
+        return f"object of {_describe_type(args[1])}"
     if origin is types.UnionType:
-        return f"{_type_name(args[0])} or null"
+        return f"{_describe_type(args[0])} or null"
     return {
         str: "string",
         int: "integer",
@@ -123,7 +129,7 @@
     }.get(hint, getattr(hint, "__name__", str(hint)))
 
 
-def _default(field: dataclasses.Field) -> str:
+def _describe_default(field: dataclasses.Field) -> str:
     if field.default_factory is not dataclasses.MISSING:
         return "empty"
     if field.default is dataclasses.MISSING:
@@ -137,9 +143,9 @@
     return f"`{str(field.default).lower()}`"
 
 
-def _meaning(kind: type, name: str) -> str:
-    found = dict(_ATTRIBUTE.findall(inspect.getdoc(kind)))
-    return " ".join(found.get(name, "").split())
+def _get_meaning(kind: type, name: str) -> str:
+    descriptions = dict(_ATTRIBUTE_DOC.findall(inspect.getdoc(kind)))
+    return " ".join(descriptions.get(name, "").split())
 
 
 if __name__ == "__main__":
--- a/daisyhub/settings.py
+++ b/daisyhub/settings.py
@@ -1,4 +1,4 @@
-"""What one process is told: addresses, failure domain, data folder, times."""
+"""Settings of `daisyhubd`."""
 
 import dataclasses
 import pathlib
@@ -37,11 +37,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class PeerSettings:
-    """Another daemon: where its peer socket listens.
+    """Another daemon and the address of its peer listener.
 
     Attributes:
         daemon_id: Its unique name.
-        failure_domain: Where it runs.
+        failure_domain: Its failure domain.
         address: Its `peer_address`.
     """
 
@@ -52,23 +52,28 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class TimingSettings:
-    """Intervals and terms, all in seconds.
+    """Intervals, timeouts and terms, all in seconds.
 
     Attributes:
-        watch_wait_s: How long the platform may hold a watch.
-        platform_timeout_s: Longest wait for any other platform call.
-        endpoint_poll_s: Interval of reading the platform's endpoint list.
-        probe_s: Interval of looking for endpoints to probe; one that answered
-            a request or a probe within five of them is left alone.
-        peer_tick_s: Interval of batched messages between daemons.
+        watch_wait_s: Time for which the platform may delay the response to a
+            watch call.
+        platform_timeout_s: Timeout of all other calls to the platform.
+        endpoint_poll_s: Interval between reads of the platform's endpoint list.
+        probe_s: Interval between probes of endpoints; an endpoint that
+            responded to a request or a probe within the last five intervals
+            is skipped.
+        peer_tick_s: Interval between batches of messages to other daemons.
         lease_term_s: Term of every lease.
-        lease_margin_s: What a holder keeps back of its term.
+        lease_margin_s: Safety margin of leases: a holder stops using a lease
+            this long before the end of the term, and others wait this much
+            longer.
         usage_window_s: Length of a usage window.
-        usage_grace_s: Wait after a window's end before it is sealed.
-        drain_notice_s: How long a leaving daemon still accepts requests.
-        drain_limit_s: Longest wait for open requests at shutdown.
-        connection_idle_s: An idle connection older than this is closed.
-        connect_timeout_s: Longest wait for a connection to an endpoint.
+        usage_grace_s: Delay between the end of a usage window and its sealing.
+        drain_notice_s: Time for which a daemon still accepts requests after the
+            start of its shutdown.
+        drain_limit_s: Maximum wait for open requests at a shutdown.
+        connection_idle_s: Time after which an idle connection is closed.
+        connect_timeout_s: Timeout of opening a connection.
     """
 
     watch_wait_s: Annotated[float, Range(0.1, 60, "s")] = 20.0
@@ -88,13 +93,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LimitSettings:
-    """Bounds on what one daemon accepts.
+    """Limits of one daemon.
 
     Attributes:
-        header_bytes: Largest sum of header names and values.
-        body_bytes: Largest request body on any route.
-        answer_bytes: Largest answer that is buffered.
-        concurrent_requests: Requests in the daemon at one time.
+        header_bytes: Maximum total size of a request's header names and values.
+        body_bytes: Maximum size of a request body on any route.
+        answer_bytes: Maximum size of a buffered response body.
+        concurrent_requests: Maximum number of concurrent requests in service.
     """
 
     header_bytes: Annotated[int, Range(1024, 1 << 20, "bytes")] = 16384
@@ -109,19 +114,19 @@
 
     Attributes:
         daemon_id: Unique name of this daemon.
-        failure_domain: Where it runs.
-        callers_address: Listener for callers and trainers.
-        operators_address: Listener for operators.
-        peer_address: Listener for other daemons.
-        platform_address: The platform's service.
-        key_hash_secret: Secret of the keyed hash of client keys, hex.
-        peers: Other daemons known at the start.
+        failure_domain: Its failure domain.
+        callers_address: Address of the listener for callers and trainers.
+        operators_address: Address of the listener for operators.
+        peer_address: Address of the listener for other daemons.
+        platform_address: Address of the platform's service.
+        key_hash_secret: Secret of the keyed hash of client keys, hexadecimal.
+        peers: Other daemons that are known at the start.
         orders_check_fencing: Whether the failure domain's interface for
-            ordering endpoints refuses old fencing numbers.
-        data_folder: Folder for bulk data; empty for none.
+            ordering endpoints rejects stale fencing numbers.
+        data_folder: Folder for bulk data; empty for none. Not used.
         log_format: `text` or `json`.
-        timing: Intervals and terms.
-        limits: Bounds on what is accepted.
+        timing: Intervals, timeouts and terms.
+        limits: Limits of this daemon.
     """
 
     daemon_id: Name
@@ -142,7 +147,7 @@
 
     @property
     def domain_peers(self) -> tuple[PeerSettings, ...]:
-        """The other daemons of the same failure domain."""
+        """The other daemons of this daemon's failure domain."""
         return tuple(
             peer
             for peer in self.peers
@@ -151,10 +156,10 @@
 
 
 def load_settings(path: str) -> DaemonSettings:
-    """Reads and checks a settings file.
+    """Reads and validates a settings file.
 
     Raises:
-        DocumentError: With every fault of the file.
+        DocumentError: The file is invalid; lists all errors.
         OSError: The file can't be read.
     """
     text = pathlib.Path(path).read_text(encoding="utf-8")
--- a/daisyhub/tests/__init__.py
+++ b/daisyhub/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of the package's top-level modules."""
--- a/daisyhub/tests/test_checks.py
+++ b/daisyhub/tests/test_checks.py
@@ -23,7 +23,7 @@
     names: tuple[str, ...] = ()
 
 
-def problems_of(text):
+def get_problems(text):
     try:
         check_document(text, Outer, "f")
     except DocumentError as exc:
@@ -32,19 +32,19 @@
 
 
 class CheckDocumentTest(unittest.TestCase):
-    def test_reads_comments_and_trailing_commas(self):
+    def test_accepts_comments_and_trailing_commas(self):
         text = '{"inner": {"x": {"size": 3,}} /* a */, // b\n "names": ["c",]}'
-        found = check_document(text, Outer, "f")
-        self.assertEqual(found.inner["x"], Inner(size=3))
-        self.assertEqual(found.names, ("c",))
+        document = check_document(text, Outer, "f")
+        self.assertEqual(document.inner["x"], Inner(size=3))
+        self.assertEqual(document.names, ("c",))
 
-    def test_all_faults_come_at_once_with_lines(self):
+    def test_reports_all_errors_with_lines(self):
         text = (
             '{\n"inner": {"a": {"size": 9},\n"b": {"size": 2.5, "z": 1},'
             '"a": {"size": 1}} /*\n\n*/,\n"names": ["a", 4]}'
         )
         self.assertEqual(
-            problems_of(text),
+            get_problems(text),
             [
                 "f:3: $.inner.a: is given twice",
                 "f:3: $.inner.b.size: must be int, got 2.5",
@@ -53,15 +53,15 @@
             ],
         )
 
-    def test_range_is_named(self):
+    def test_reports_the_allowed_range(self):
         self.assertEqual(
-            problems_of('{"inner": {"a": {"size": 9}}}'),
+            get_problems('{"inner": {"a": {"size": 9}}}'),
             ["f:1: $.inner.a.size: must be in [1, 5] bytes, got 9"],
         )
 
-    def test_missing_and_broken_json(self):
-        self.assertEqual(problems_of("{}"), ["f:1: $.inner: is missing"])
-        self.assertEqual(len(problems_of('{\n"inner" {}}')), 1)
+    def test_reports_missing_field_and_invalid_json(self):
+        self.assertEqual(get_problems("{}"), ["f:1: $.inner: is missing"])
+        self.assertEqual(len(get_problems('{\n"inner" {}}')), 1)
 
     @hypothesis.settings(derandomize=True, database=None, max_examples=200)
     @hypothesis.given(
@@ -71,6 +71,6 @@
             max_leaves=6,
         )
     )
-    def test_comments_are_removed_as_the_library_does(self, value):
+    def test_remove_comments_gives_the_values_of_jsonc(self, value):
         text = json.dumps(value, indent=1).replace("\n", " /* , } */ // x\n")
         self.assertEqual(json.loads(remove_comments(text)), jsonc.loads(text))
--- a/daisyhub/tests/test_demo.py
+++ b/daisyhub/tests/test_demo.py
@@ -6,7 +6,7 @@
 
 
 class DemoTest(unittest.TestCase):
-    def test_every_step_of_the_demo_holds(self):
+    def test_demo_succeeds(self):
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             code = demo.main()
--- a/daisyhub/tests/test_examples.py
+++ b/daisyhub/tests/test_examples.py
@@ -7,7 +7,7 @@
 
 
 class ExamplesTest(unittest.TestCase):
-    def test_both_deployments_are_accepted(self):
+    def test_example_documents_are_valid(self):
         files = sorted(FOLDER.glob("*.jsonc"))
         self.assertEqual(
             [path.name for path in files], ["hanbit.jsonc", "tachibana.jsonc"]
--- a/daisyhub/tests/test_metrics.py
+++ b/daisyhub/tests/test_metrics.py
@@ -3,33 +3,35 @@
 from daisyhub.metrics import AccountStatistics, Metrics
 
 
-class AccountServiceTest(unittest.TestCase):
-    def test_names_the_slowest_and_the_most_refused_account(self):
-        service = AccountStatistics()
+class AccountStatisticsTest(unittest.TestCase):
+    def test_finds_the_slowest_and_the_most_refused_account(self):
+        statistics = AccountStatistics()
         for number in range(100):
-            service.record_served("yard", 0.010, 60.0)
-            service.record_served("archive", 0.5 if number < 3 else 0.010, 60.0)
-            service.record_served("dispatch", 0.010, 60.0)
+            statistics.record_served("yard", 0.010, 60.0)
+            statistics.record_served(
+                "archive", 0.5 if number < 3 else 0.010, 60.0
+            )
+            statistics.record_served("dispatch", 0.010, 60.0)
         for _ in range(25):
-            service.record_refused("dispatch", 60.0)
-        service.record_served("rare", 9.0, 60.0)
-        worst = service.worst(61.0)
-        self.assertEqual(worst.slowest, "archive")
+            statistics.record_refused("dispatch", 60.0)
+        statistics.record_served("rare", 9.0, 60.0)
+        worst = statistics.find_worst(61.0)
+        self.assertEqual(worst.slowest_account, "archive")
         self.assertTrue(0.5 <= worst.p99_s <= 0.5 * 1.19)
-        self.assertEqual(worst.most_refused, "dispatch")
+        self.assertEqual(worst.most_refused_account, "dispatch")
         self.assertAlmostEqual(worst.refused_share, 0.2)
 
-    def test_old_periods_and_many_accounts_are_forgotten(self):
-        service = AccountStatistics()
+    def test_periods_expire_and_accounts_are_bounded(self):
+        statistics = AccountStatistics()
         for number in range(10_000):
-            service.record_served(f"a{number}", 0.01, 60.0)
-        self.assertLessEqual(len(service._now), 513)
-        self.assertEqual(service.worst(200.0).slowest, "")
-        self.assertFalse(service._now or service._before)
+            statistics.record_served(f"a{number}", 0.01, 60.0)
+        self.assertLessEqual(len(statistics._current), 513)
+        self.assertEqual(statistics.find_worst(200.0).slowest_account, "")
+        self.assertFalse(statistics._current or statistics._previous)
 
 
 class MetricsTest(unittest.TestCase):
-    def test_series_are_bounded_and_the_worst_are_shown(self):
+    def test_series_are_bounded_and_worst_accounts_rendered(self):
         metrics = Metrics()
         for number in range(300):
             metrics.observe_s("route_latency", 0.01, route=f"/r{number}")
--- a/daisyhub/tests/test_outage_processes.py
+++ b/daisyhub/tests/test_outage_processes.py
@@ -1,4 +1,8 @@
-"""A failure domain without the platform goes on serving what it can."""
+"""Tests of a failure domain whose platform or endpoint connections hang.
+
+Requests that don't need the platform are still served; others are refused as
+not run. The platform is suspended with SIGSTOP.
+"""
 
 import signal
 import unittest
@@ -28,35 +32,35 @@
 
         anyio.run(run)
 
-    def test_look_ups_go_on_and_filings_are_refused_as_not_run(self):
+    def test_platform_outage_refuses_only_non_idempotent_requests(self):
         async def scenario(deployment, keys):
             deployment.platform.send_signal(signal.SIGSTOP)
             for daemon in deployment.daemons():
                 yard = Caller(daemon.address, DemoKeys.text(keys.yard))
-                answer = await yard.send("GET", "/records/1")
-                self.assertEqual(answer.status, 200)
+                response = await yard.send("GET", "/records/1")
+                self.assertEqual(response.status, 200)
                 archive = Caller(daemon.address, DemoKeys.text(keys.archive))
                 header = ((b"idempotency-key", b"one"),)
-                answer = await archive.send(
+                response = await archive.send(
                     "POST", "/filings", "a", headers=header
                 )
-                problem = msgspec.json.decode(answer.body)
+                problem = msgspec.json.decode(response.body)
                 self.assertEqual(problem["ran"], "not_run", problem)
-                self.assertIn(b"retry-after", dict(answer.headers))
+                self.assertIn(b"retry-after", dict(response.headers))
             deployment.platform.send_signal(signal.SIGCONT)
             with anyio.fail_after(20):
-                while answer.status != 201:
+                while response.status != 201:
                     await anyio.sleep(0.2)
-                    answer = await archive.send(
+                    response = await archive.send(
                         "POST", "/filings", "a", headers=header
                     )
             service = Caller(deployment.services()[0].address)
-            filed = await service.json("GET", "/admin/filings")
-            self.assertEqual(len(filed), 1)
+            filings = await service.json("GET", "/admin/filings")
+            self.assertEqual(len(filings), 1)
 
         self.run_with_deployment(scenario)
 
-    def test_a_daemon_restarted_without_the_platform_learns_from_peers(self):
+    def test_daemon_restarted_during_an_outage_gets_state_from_peers(self):
         async def scenario(deployment, keys):
             restarted = deployment.daemons()[0]
             deployment.platform.send_signal(signal.SIGSTOP)
@@ -68,31 +72,31 @@
             caller = Caller(restarted.address, DemoKeys.text(keys.yard))
             with anyio.fail_after(20):
                 while True:
-                    answer = await caller.send("GET", "/records/1")
-                    if answer.status == 200:
+                    response = await caller.send("GET", "/records/1")
+                    if response.status == 200:
                         break
                     await anyio.sleep(0.2)
 
         self.run_with_deployment(scenario)
 
-    def test_a_silent_endpoint_connection_is_replaced(self):
+    def test_unresponsive_endpoint_connection_is_replaced(self):
         async def scenario(deployment, keys):
             daemon = deployment.daemons()[0]
             caller = Caller(daemon.address, DemoKeys.text(keys.yard))
-            answer = await caller.send("GET", "/records/1")
-            self.assertEqual(answer.status, 200)
+            response = await caller.send("GET", "/records/1")
+            self.assertEqual(response.status, 200)
             service = Caller(deployment.services()[0].address)
             await service.send("POST", "/faults", {"kind": "silent"})
             timeout = ((b"daisyhub-timeout-ms", b"500"),)
             with anyio.fail_after(20):
                 while True:
                     try:
-                        answer = await caller.send(
+                        response = await caller.send(
                             "GET", "/records/1", headers=timeout
                         )
                     except RequestFailedError as exc:
-                        self.fail(f"no final answer: {exc}")
-                    if answer.status == 200:
+                        self.fail(f"no final response: {exc}")
+                    if response.status == 200:
                         break
 
         self.run_with_deployment(scenario)
--- a/daisyhub/tests/test_reference.py
+++ b/daisyhub/tests/test_reference.py
@@ -1,4 +1,4 @@
-"""The page on configuration says what the data classes say."""
+"""Tests that docs/CONFIGURATION.md agrees with the data classes."""
 
 import pathlib
 import unittest
@@ -8,12 +8,12 @@
 PAGE = pathlib.Path(__file__).parents[2] / "docs" / "CONFIGURATION.md"
 
 
-class Reference(unittest.TestCase):
-    def test_the_page_is_the_one_rendered_from_the_classes(self):
+class ReferenceTest(unittest.TestCase):
+    def test_page_is_up_to_date(self):
         self.maxDiff = None
         self.assertEqual(PAGE.read_text(encoding="utf-8"), render_reference())
 
-    def test_every_field_has_a_meaning(self):
+    def test_every_field_is_described(self):
         rows = [r for r in render_reference().splitlines() if r[:3] == "| `"]
         self.assertGreater(len(rows), 50)
         self.assertEqual([row for row in rows if row.endswith("|  |")], [])
