--- a/daisyhub/tests/test_outage_processes.py
+++ b/daisyhub/tests/test_outage_processes.py
@@ -68,7 +68,7 @@
             restarted.wait()
             deployment.start_daemon(restarted.name)
             restarted = deployment.processes[restarted.name]
-            await deployment.wait_until_up(restarted)
+            await deployment.wait_until_listening(restarted)
             caller = Caller(restarted.address, DemoKeys.text(keys.yard))
             with anyio.fail_after(20):
                 while True:
