--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -24,7 +24,7 @@
 from daisyhub.connections import HttpResponse, RequestFailedError
 from daisyhub.exceptions import ExecutionStatus
 from daisyhub.hosting import EndpointRecord
-from daisyhub.testing.fake_app import Call
+from daisyhub.testing.fake_app import Request
 from daisyhub.testing.fake_platform import FakePlatform
 
 SETTINGS = {
@@ -58,14 +58,14 @@
         if address.port == 2:
             return _answer(200, STATUS)
         url = urllib.parse.urlsplit(target)
-        call = Call(
+        call = Request(
             method=method,
             path=urllib.parse.unquote(url.path),
             query=dict(urllib.parse.parse_qsl(url.query)),
             headers={},
             body=body,
         )
-        reply = await self.platform.answer(call)
+        reply = await self.platform.handle(call)
         return _answer(reply.status, reply.value)
 
     async def aclose(self):
@@ -163,7 +163,7 @@
         self.apply({"client_accounts": {"a": {}}})
         row = self.run_cli("key", "create", "a", team="yard")[0]
         secret = row["key"].rpartition("_")[2]
-        objects = anyio.run(self.platform.answer, _get("/objects"))
+        objects = anyio.run(self.platform.handle, _get("/objects"))
         self.assertNotIn(secret.encode(), msgspec.json.encode(objects.value))
         self.run_cli("key", "withdraw", row["key_id"])
         listed = self.run_cli("key", "list")
@@ -177,7 +177,7 @@
         record = EndpointRecord(endpoint_id="e", pool="p", ip="::1", port=1)
         body = msgspec.json.encode([record])
         put = _get("/admin/endpoints/busan", "PUT", body)
-        anyio.run(self.platform.answer, put)
+        anyio.run(self.platform.handle, put)
         self.run_cli("endpoint", "drain", "busan", "e")
         rows = self.run_cli("endpoint", "list", "busan")
         self.assertTrue(rows[0]["drained"])
@@ -198,14 +198,14 @@
         body = msgspec.json.encode(sealed).decode()
         report = StoredReport(window=60, body=body)
         ledger = Ledger(window=60, unreported=(report,))
-        call = Call(
+        call = Request(
             method="PUT",
             path="/objects/sealed/busan",
             query={"expected": "0", "write_id": "w"},
             headers={},
             body=msgspec.json.encode(ledger),
         )
-        anyio.run(self.platform.answer, call)
+        anyio.run(self.platform.handle, call)
 
     def test_a_platform_that_is_down_is_told(self):
         self.http.is_down = True
@@ -220,7 +220,7 @@
 
 
 def _get(path, method="GET", body=b""):
-    return Call(method=method, path=path, query={}, headers={}, body=body)
+    return Request(method=method, path=path, query={}, headers={}, body=body)
 
 
 def _folder():
