--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -30,11 +30,11 @@
 
     Attributes:
         event: The event for the core.
-        answer: The response of the endpoint; None if the attempt failed.
+        response: The response of the endpoint; None if the attempt failed.
     """
 
     event: AttemptCompleted | AttemptFailed
-    answer: HttpResponse | StreamedResponse | None = None
+    response: HttpResponse | StreamedResponse | None = None
 
 
 AttemptSender = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
