--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -34,7 +34,7 @@
     """
 
     event: AttemptCompleted | AttemptFailed
-    answer: HttpResponse | StreamedResponse | None = None
+    response: HttpResponse | StreamedResponse | None = None
 
 
 AttemptSender = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
