--- a/daisyhub/platform/__init__.py
+++ b/daisyhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the product on the users' platform; translates, and nothing else."""
+"""Adapters between the product and the users' platform; they only translate."""
