--- a/daisyhub/filters/__init__.py
+++ b/daisyhub/filters/__init__.py
@@ -1,4 +1,4 @@
-"""Filters of the request chain, each in a module of its own."""
+"""The filters of the request chain, and the cores that decide for them."""
 
 from daisyhub.filters._account import AccountFilter
 from daisyhub.filters._admission_core import (
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -42,6 +42,8 @@
 _SERVICE_TIME_SMOOTHING = 0.05
 _MIN_RETRY_DELAY_S = 0.1
 _MIN_TOKENS = 1 - 1e-10  # Tolerates rounding errors of a full token.
+# An arrival adds at most one account. With two checks for each arrival, idle
+# accounts are removed faster than new ones are added.
 _IDLE_CHECKS_PER_ARRIVAL = 2
 
 
@@ -117,13 +119,13 @@
 
 @dataclasses.dataclass(slots=True)
 class _Account:
-    """State of one account; its limits are those of its last arrival.
+    """State of one account.
 
     Attributes:
         name: The account.
-        weight: Fair-queueing weight.
-        rate: Tokens per second; 0 for no limit.
-        burst: Maximum number of tokens.
+        weight: Fair-queueing weight, as of the last arrival.
+        rate: Tokens per second, as of the last arrival; 0 for no limit.
+        burst: Maximum number of tokens, as of the last arrival.
         tokens: Tokens available at `refilled_s`.
         refilled_s: Time of the last refill.
         finish_tag: Virtual finish time of the last request admitted from the
@@ -168,12 +170,18 @@
         self.max_concurrency = max_concurrency
         self._concurrency_limit = max_concurrency
         self._accounts: dict[str, _Account] = {}
+        # Names of all accounts, in the order of their next idle check.
         self._idle_checks: collections.deque[str] = collections.deque()
         self._in_service: set[str] = set()
+        # Accounts of the waiting requests by request id, and the total weight
+        # of the accounts that have any.
         self._waiting: dict[str, _Account] = {}
         self._waiting_weight = 0
+        # By account: the virtual start time of its oldest waiting request, and
+        # minus the number of its waiting requests divided by its weight.
         self._start_tags = PriorityMap()
         self._overload = PriorityMap()
+        # By request id.
         self._deadlines = PriorityMap()
         self._virtual_time = 0.0
         self._last_finish_tag = 0.0
@@ -196,7 +204,11 @@
         return len(self._accounts)
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Handles one event; returns admissions and refusals of requests."""
+        """Handles one event, after refusing requests past their deadline.
+
+        Returns:
+            An `AdmitRequest` or `ShedRequest` for each request decided on.
+        """
         actions = self._shed_expired(now_s)
         match event:
             case RequestArrived():
@@ -264,7 +276,12 @@
         self._update_overload(account)
 
     def _expected_wait_s(self, account: _Account) -> float:
-        """Returns the expected wait, in seconds, of a new request."""
+        """Returns the expected wait of a new request in fair order, in seconds.
+
+        For each turn of the account, the other accounts that have waiting
+        requests get turns in proportion to their weights. The wait is at most
+        that for all waiting requests.
+        """
         others = self._waiting_weight
         if account.queue:
             others -= account.weight
--- a/daisyhub/filters/_admit.py
+++ b/daisyhub/filters/_admit.py
@@ -97,6 +97,7 @@
         return dataclasses.replace(resp, stream=stream)
 
     async def _wait_for_decision(self, req: Request) -> object:
+        """Returns the core's `AdmitRequest` or `ShedRequest`."""
         self._update_concurrency_limit()
         account = self._get_document().client_accounts.get(
             req.account, _OPEN_ACCOUNT
@@ -109,6 +110,7 @@
             account=req.account,
             weight=account.weight,
             rate=account.requests_per_s * share,
+            # A smaller bucket would refuse every request.
             burst=max(1, int(account.burst * share)),
             deadline_s=req.deadline_s,
         )
@@ -148,7 +150,11 @@
             self._apply(actions)
 
     def _abandon(self, req: Request) -> None:
-        """Withdraws a request whose caller stopped waiting for a decision."""
+        """Withdraws a request whose caller stopped waiting for a decision.
+
+        If it has been admitted in the meantime, it departs, with a service time
+        of zero.
+        """
         now_s = time.monotonic()
         decision = self._decisions.pop(req.request_id, None)
         event = RequestAbandoned(req.request_id)
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -20,7 +20,7 @@
 
 __all__ = ["AttemptOutcome", "run_attempts"]
 
-# Outcomes of concurrent attempts that wait for the core.
+# Outcomes of concurrent attempts that are buffered until the core handles them.
 _OUTCOME_BUFFER_SIZE = 4
 
 
@@ -47,7 +47,8 @@
 
     Args:
         core: The forward core of one request.
-        send_attempt: Sends the request to one endpoint.
+        send_attempt: Sends the request to one endpoint. It must return by the
+            plan's deadline, since the core gets ticks only if it hedges.
 
     Returns:
         The outcome with the response to deliver, or the core's `FailRequest`.
--- a/daisyhub/filters/_claim_controller.py
+++ b/daisyhub/filters/_claim_controller.py
@@ -54,7 +54,8 @@
 
         Args:
             event: The request for the claim.
-            deadline_s: Monotonic time after which the store is not awaited.
+            deadline_s: Monotonic time at which an unfinished read or write of
+                the claim counts as failed.
 
         Returns:
             `ForwardRequest`, `ReplayResponse` or `RefuseRequest`.
@@ -88,7 +89,10 @@
             await self._reconcile()
 
     async def release(self) -> None:
-        """Waits a few seconds for pending claims before the daemon stops."""
+        """Waits until no claim is pending, for a few seconds at most.
+
+        The daemon calls it before it stops, while `run` still reconciles.
+        """
         with anyio.move_on_after(_RELEASE_TIMEOUT_S):
             while self._core.pending_count:
                 await anyio.sleep(0.05)
@@ -121,6 +125,7 @@
                 event = await self._execute(action)
 
     def _notify_run(self) -> None:
+        """Wakes `run` if a reconciliation is scheduled."""
         if self._core.next_wakeup_s is not None:
             self._pending_added.set()
 
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -38,7 +38,8 @@
 
 __all__ = ["ClaimCore"]
 
-# Writes of a claim after which the key is refused as in use by other attempts.
+# After this many writes of a claim, each rejected with a version conflict, the
+# request is refused as in progress.
 _MAX_CLAIM_WRITES = 3
 _IN_PROGRESS_RETRY_DELAY_S = 1.0
 _UNAVAILABLE_RETRY_DELAY_S = 2.0
@@ -79,7 +80,7 @@
     """Decides on all requests with an idempotency key in one process.
 
     An attempt goes through the states claiming, running and storing. If its
-    stored claim does not match its final state, it then becomes pending. Times
+    stored claim may not match its final state, it then becomes pending. Times
     are seconds on a monotonic clock.
     """
 
@@ -263,6 +264,7 @@
     def _add_pending(self, attempt: str, claim: _Claim, now_s: float) -> None:
         size = _stored_bytes(claim)
         if self._pending_bytes + size > _MAX_PENDING_BYTES:
+            # Only the response is dropped. Repeats are refused as already run.
             claim.record = replace(claim.record, state="ran", answer=None)
             size = 0
         if len(self._pending) >= _MAX_PENDING:
@@ -322,6 +324,7 @@
         record = event.record
         is_own = record is not None and record.attempt == event.attempt
         if not is_own or record.state != "claimed":
+            # Another attempt has claimed the key, or the final state is stored.
             self._remove_pending(event.attempt)
             return []
         claim.expected_version = event.version
--- a/daisyhub/filters/_claim_types.py
+++ b/daisyhub/filters/_claim_types.py
@@ -8,22 +8,22 @@
 from daisyhub.exceptions import ErrorCode, ExecutionStatus
 
 __all__ = [
-    "ClaimRequested",
-    "ClaimWriteRejected",
     "ClaimCancelled",
     "ClaimReadCompleted",
     "ClaimReadFailed",
     "ClaimRecord",
-    "ReturnOutcome",
+    "ClaimRequested",
     "ClaimStored",
     "ClaimTick",
+    "ClaimWriteRejected",
     "ClaimWriteUncertain",
     "ForwardRequest",
-    "StoredResponse",
     "ReadClaim",
     "RefuseRequest",
     "ReplayResponse",
     "RequestEnded",
+    "ReturnOutcome",
+    "StoredResponse",
     "WriteClaim",
 ]
 
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -39,6 +39,7 @@
 
 __all__ = ["ForwardFilter", "parse_endpoint_headers"]
 
+# Header of an endpoint's response to a request that it did not run.
 _NOT_RUN_HEADER = (b"endpoint-ran", b"no")
 _DETAILS = {
     ErrorCode.DEADLINE_EXCEEDED: (
@@ -127,9 +128,11 @@
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
+                # RAN means that the head of the response was received.
                 incomplete=exc.ran is ExecutionStatus.RAN,
             )
         except anyio.get_cancelled_exc_class():
+            # A cancellation does not count as a failure of the endpoint.
             failed = False
             raise
         finally:
@@ -240,6 +243,7 @@
 def _parse_int_header(
     headers: tuple[Header, ...], name: bytes, default: int
 ) -> int:
+    """Returns the value of a header; `default` if absent or not a number."""
     for key, value in headers:
         if key == name and value.isdigit():
             return int(value)
@@ -249,7 +253,10 @@
 def parse_endpoint_headers(
     state: EndpointState, headers: tuple[Header, ...]
 ) -> EndpointUpdate:
-    """Parses the state that an endpoint reports in response headers."""
+    """Returns the state that an endpoint reports in response headers.
+
+    Values that are absent or not a number count as not reported.
+    """
     return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -4,7 +4,8 @@
 that it did not run, or the route is idempotent. Retries and hedged attempts
 share one budget: a tenth of the requests and a small reserve. A repeat goes to
 an endpoint that has not been tried, or, if there is none, to one that has. It
-always uses a new connection, since open connections may no longer respond.
+always uses a new connection, since open connections may no longer respond. So
+does the first attempt of a request that may run only once.
 """
 
 import dataclasses
@@ -16,22 +17,23 @@
 __all__ = [
     "AttemptCompleted",
     "AttemptFailed",
-    "ForwardStarted",
     "DeliverResponse",
+    "FailRequest",
     "ForwardCore",
     "ForwardPlan",
+    "ForwardStarted",
     "ForwardTick",
-    "FailRequest",
     "RetryBudget",
     "StartAttempt",
 ]
 
-# Retries allowed for each request, and the maximum balance of the budget.
+# Repeats that each request adds to the budget, and its initial and maximum
+# balance.
 _BUDGET_SHARE = 0.1
 _BUDGET_RESERVE = 10.0
 _MAX_ATTEMPTS = 3
-_RETRY_AFTER_S = 1.0
-# The larger of two outcomes is the one that the caller must assume.
+_RETRY_DELAY_S = 1.0
+# Of several outcomes, the caller must assume the one of the highest rank.
 _RAN_RANK = {
     ExecutionStatus.NOT_RUN: 0,
     ExecutionStatus.UNKNOWN: 1,
@@ -41,17 +43,20 @@
 
 
 class RetryBudget:
-    """Limits retries to a tenth of the requests, with a reserve of ten."""
+    """Limits repeats to a tenth of the requests, with a reserve of ten.
+
+    Repeats are retries and hedged attempts.
+    """
 
     def __init__(self):
         self._balance = _BUDGET_RESERVE
 
     def record_request(self) -> None:
-        """Adds the retry share of a new request to the budget."""
+        """Adds the share of a new request to the budget."""
         self._balance = min(_BUDGET_RESERVE, self._balance + _BUDGET_SHARE)
 
     def try_acquire(self) -> bool:
-        """Takes one retry out of the budget; returns False if it is empty."""
+        """Takes one repeat out of the budget; returns False if it is empty."""
         if self._balance < 1:
             return False
         self._balance -= 1
@@ -175,6 +180,7 @@
         self._open_attempts: set[int] = set()
         self._attempt_count = 0
         self._unsent_count = 0
+        # The outcome of the failed attempts that the caller must assume.
         self._ran = ExecutionStatus.NOT_RUN
         self._timed_out = False
         self._incomplete = False
@@ -237,6 +243,9 @@
     ) -> list[object]:
         """Starts a repeat, on an endpoint not yet tried if there is one.
 
+        Returns no action if attempts, time, endpoints or the budget are used
+        up.
+
         Args:
             now_s: The current time.
             is_uncharged: Whether the repeat does not count against the budget,
@@ -247,6 +256,8 @@
         if sent_count >= plan.max_attempts or now_s >= plan.deadline_s:
             return []
         candidate = self.choose(frozenset(self._tried))
+        # Unsent attempts count here, so that repeats to endpoints that can't be
+        # reached end.
         if candidate is None and self._attempt_count < plan.max_attempts:
             candidate = self.choose(_NO_EXCLUSIONS)
         if candidate is None or not (is_uncharged or self.budget.try_acquire()):
@@ -284,7 +295,7 @@
         return FailRequest(
             error=error,
             ran=self._ran,
-            retry_after_s=_RETRY_AFTER_S if is_retry_safe else None,
+            retry_after_s=_RETRY_DELAY_S if is_retry_safe else None,
         )
 
 
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -55,11 +55,11 @@
             account=req.account,
             body=req.body,
         )
-        answer = await self._serve(call)
+        response = await self._serve(call)
         headers = [_JSON]
-        if answer.retry_after_s is not None:
-            seconds = max(1, math.ceil(answer.retry_after_s))
+        if response.retry_after_s is not None:
+            seconds = max(1, math.ceil(response.retry_after_s))
             headers.append((b"retry-after", str(seconds).encode()))
         return Response(
-            status=answer.status, headers=tuple(headers), body=answer.body
+            status=response.status, headers=tuple(headers), body=response.body
         )
--- a/daisyhub/filters/_measure.py
+++ b/daisyhub/filters/_measure.py
@@ -13,7 +13,7 @@
 
 __all__ = ["MeasureFilter"]
 
-_LOTS_ROUTE = "/v1/lots"
+_LOTS_ROUTE = "/v1/lots"  # Label of lot calls, which have no route.
 _OPEN = "open"
 _SMALL = "small"
 _LARGE = "large"
@@ -38,7 +38,10 @@
         self._get_document = get_document
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Records the result of the request, a stream once it is complete."""
+        """Records the response or refusal, a stream once it is complete.
+
+        Incomplete streams are not recorded.
+        """
         try:
             resp = await call_next(req)
         except Refusal as exc:
--- a/daisyhub/filters/_observed_stream.py
+++ b/daisyhub/filters/_observed_stream.py
@@ -9,9 +9,9 @@
     """Yields the chunks of a stream and calls back once when it ends.
 
     Args:
-        stream: An asynchronous generator of chunks.
-        on_end: Called with True if the stream was read to its end, and with
-            False if it was closed before.
+        stream: An asynchronous iterator of chunks that has `aclose`.
+        on_end: Called with True once the stream has been read to its end, or
+            with False once it is closed before that, also after a failed read.
     """
 
     def __init__(self, stream, on_end: Callable[[bool], None]):
--- a/daisyhub/filters/_route.py
+++ b/daisyhub/filters/_route.py
@@ -13,8 +13,11 @@
 
 LOTS_PREFIX = "/v1/lots"
 _UNCONFIGURED_RETRY_DELAY_S = 1.0
+# Longer than the maximum wait of a pull, and than the timeout of a call that is
+# forwarded to the lot's holder.
 _LOT_CALL_TIMEOUT_S = 75.0
-# Dot segments, empty segments, encoded slashes, dots and control characters:
+# Dot segments, empty segments, backslashes, semicolons, spaces, control
+# characters, encoded slashes, dots and percent signs, and invalid escapes:
 # everything that an endpoint might resolve outside the route's prefix.
 _AMBIGUOUS_PATH = re.compile(
     r"//|/\.{1,2}(?:/|;|$)|%2f|%5c|%2e|%25|%[01][0-9a-f]|%7f|[\\;\x00-\x20\x7f]"
@@ -83,7 +86,8 @@
 
         Raises:
             Refusal: The path is ambiguous, there is no configuration, no
-                route matches, or the account may not use the route.
+                route matches or allows the method, the key is missing, or the
+                account may not use the route.
         """
         if not req.path.startswith("/") or _AMBIGUOUS_PATH.search(req.path):
             raise Refusal(ErrorCode.PATH_INVALID, "the path is ambiguous")
@@ -124,5 +128,5 @@
 
 
 def _limit_deadline(req: Request, timeout_s: float) -> float:
-    """Returns the deadline, limited to a time-out after the arrival."""
+    """Returns the deadline, at most `timeout_s` after the arrival."""
     return min(req.deadline_s, req.started_s + timeout_s)
--- a/daisyhub/filters/tests/test_admit.py
+++ b/daisyhub/filters/tests/test_admit.py
@@ -34,6 +34,8 @@
 
 
 class AdmitTest(unittest.TestCase):
+    """Requests of one account, of which one at a time is in service."""
+
     def setUp(self):
         self.core = AdmissionCore(1)
         shares = RateShares(ShareCore(1, 1, 6.0, 1.0, 0.0), 0.0)
@@ -77,6 +79,12 @@
         anyio.run(scenario)
 
     def test_a_stream_closed_before_its_end_departs(self):
+        """A stream closed unread or half read must free its slot.
+
+        The limit is one request, so that the next request would wait for the
+        slot until its deadline.
+        """
+
         async def scenario():
             for number in range(3):
                 resp = await self.serve(request(number))
--- a/daisyhub/filters/tests/test_process_requests.py
+++ b/daisyhub/filters/tests/test_process_requests.py
@@ -55,24 +55,32 @@
             await caller.aclose()
 
     async def file_until(self, number, body, expected):
-        """Repeats a filing until the response has a status or error code."""
+        """Repeats a filing until the response has a status or error code.
+
+        `expected` is either of them. Fails after 10 seconds.
+        """
         with anyio.fail_after(10):
             while True:
-                answer = await self.file(number, body)
-                if expected in (answer.status, problem(answer)[0]):
-                    return answer
+                response = await self.file(number, body)
+                if expected in (response.status, problem(response)[0]):
+                    return response
                 await anyio.sleep(0.05)
 
     async def count_runs(self, body):
+        """Returns how often the service ran the filing of `body`."""
         filings = await self.service.json("GET", "/admin/filings")
         return filings.count(msgspec.json.encode(body).decode())
 
     async def inject_fault(self, kind, **more):
+        """Makes the service apply a fault to its next filing."""
         fault = {"kind": kind, "path": "/filings", "count": 1, **more}
         await self.service.json("POST", "/faults", fault)
 
     async def test_look_ups_survive_silent_connections(self):
-        """Callers get their responses though all open connections go silent."""
+        """Each caller gets its own response though open connections go silent.
+
+        A repeat over another open connection would get no response either.
+        """
         await self.look_up_records()
         silent = await self.service.json("POST", "/faults", {"kind": "silent"})
         self.assertGreater(silent["connections"], 1)
@@ -81,10 +89,12 @@
     async def look_up_records(self):
         async def look_up(number):
             caller = self.caller(number % 2)
-            answer = await caller.send("GET", f"/records/{number}")
-            path = msgspec.json.decode(answer.body).get("path")
+            response = await caller.send("GET", f"/records/{number}")
+            path = msgspec.json.decode(response.body).get("path")
             await caller.aclose()
-            self.assertEqual((answer.status, path), (200, f"/records/{number}"))
+            self.assertEqual(
+                (response.status, path), (200, f"/records/{number}")
+            )
 
         async with anyio.create_task_group() as tasks:
             for number in range(8):
@@ -99,44 +109,54 @@
         await self.check_killed_daemon()
 
     async def check_replay(self):
+        """A repeat at another daemon gets the stored response."""
         first = await self.file(0, "plain")
         again = await self.file(1, "plain")
         self.assertEqual((first.status, first.body), (201, again.body))
         self.assertEqual(await self.count_runs("plain"), 1)
 
     async def check_lost_response(self):
+        """Repeats are refused if the request ran but its response was lost."""
         await self.inject_fault("lose")
-        answer = await self.file(0, "lost")
-        self.assertEqual(problem(answer), ("endpoint_timeout", "unknown"))
+        response = await self.file(0, "lost")
+        self.assertEqual(problem(response), ("endpoint_timeout", "unknown"))
         for number in (0, 1):
-            answer = await self.file_until(number, "lost", "outcome_unknown")
-            self.assertEqual(problem(answer)[1], "unknown")
+            response = await self.file_until(number, "lost", "outcome_unknown")
+            self.assertEqual(problem(response)[1], "unknown")
         self.assertEqual(await self.count_runs("lost"), 1)
 
     async def check_truncated_response(self):
+        """Repeats are refused as run if the response was truncated."""
         await self.inject_fault("truncate")
-        answer = await self.file(0, "cut")
-        self.assertEqual(problem(answer), ("answer_incomplete", "ran"))
-        answer = await self.file(1, "cut")
-        self.assertEqual(problem(answer), ("answer_not_kept", "ran"))
+        response = await self.file(0, "cut")
+        self.assertEqual(problem(response), ("answer_incomplete", "ran"))
+        response = await self.file(1, "cut")
+        self.assertEqual(problem(response), ("answer_not_kept", "ran"))
         self.assertEqual(await self.count_runs("cut"), 1)
 
     async def check_store_outage(self):
-        """An uncertain claim that took effect is freed after the outage."""
+        """An uncertain claim that took effect is freed after the outage.
+
+        The store writes the claim without a reply, and reads hang.
+        """
         platform = Caller(self.deployment.platform.address)
         fault = {"kind": "lose", "path": "/objects/claims", "method": "PUT"}
         await platform.json("POST", "/faults", fault)
         fault = {"kind": "hang", "path": "/objects/claims", "method": "GET"}
         await platform.json("POST", "/faults", fault)
-        answer = await self.file(0, "outage")
-        self.assertEqual(problem(answer), ("claim_unavailable", "not_run"))
+        response = await self.file(0, "outage")
+        self.assertEqual(problem(response), ("claim_unavailable", "not_run"))
         self.assertEqual(await self.count_runs("outage"), 0)
         await platform.json("DELETE", "/faults")
         await self.file_until(1, "outage", 201)
         self.assertEqual(await self.count_runs("outage"), 1)
 
     async def check_frozen_daemon(self):
-        """A daemon frozen between claim and send runs the request only once."""
+        """A daemon frozen between claim and send runs the request only once.
+
+        The store delays its reply to the claim's write, so that the daemon is
+        frozen before it sends the request.
+        """
         platform = Caller(self.deployment.platform.address)
         listing = "/objects?prefix=claims/"
         before = len((await platform.json("GET", listing))["objects"])
@@ -157,15 +177,16 @@
                 ):
                     await anyio.sleep(0.01)
             self.daemons[0].send_signal(signal.SIGSTOP)
-            answer = await self.file(1, "frozen")
+            response = await self.file(1, "frozen")
             self.daemons[0].send_signal(signal.SIGCONT)
-        self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
+        self.assertEqual(problem(response), ("outcome_unknown", "unknown"))
         again = await self.file_until(1, "frozen", 201)
         self.assertEqual((first[0].status, first[0].body), (201, again.body))
         self.assertEqual(await self.count_runs("frozen"), 1)
         await platform.aclose()
 
     async def check_killed_daemon(self):
+        """A killed daemon's claim blocks its key, also after a restart."""
         await self.inject_fault("late", delay_s=60.0)
         async with anyio.create_task_group() as tasks:
 
@@ -179,17 +200,17 @@
                     await anyio.sleep(0.02)
             self.daemons[0].send_signal(signal.SIGKILL)
             self.daemons[0].wait()
-        answer = await self.file(1, "killed")
-        self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
+        response = await self.file(1, "killed")
+        self.assertEqual(problem(response), ("outcome_unknown", "unknown"))
         self.deployment.start_daemon(self.daemons[0].name)
         await self.deployment.wait_until_listening(self.deployment.daemons()[0])
         await self.deployment.wait_for_version(1)
-        answer = await self.file(0, "killed")
-        self.assertEqual(problem(answer), ("outcome_unknown", "unknown"))
+        response = await self.file(0, "killed")
+        self.assertEqual(problem(response), ("outcome_unknown", "unknown"))
         self.assertEqual(await self.count_runs("killed"), 1)
 
 
-def problem(answer):
+def problem(response):
     """Returns the code and `ran` of an error response."""
-    value = msgspec.json.decode(answer.body)
+    value = msgspec.json.decode(response.body)
     return value.get("code"), value.get("ran")
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -35,7 +35,7 @@
 
 
 class AdmissionMachine(RuleBasedStateMachine):
-    """Callers of four accounts before one daemon."""
+    """Callers of four accounts send requests to one daemon."""
 
     core_class = AdmissionCore
 
@@ -44,10 +44,14 @@
         self.core = self.core_class(CONCURRENCY_LIMIT)
         self.now_s = 0.0
         self.request_count = 0
+        # Arrivals by request id.
         self.undecided = {}
         self.waiting = {}
         self.in_service = {}
+        # For each pair of accounts, admissions of either since both have had
+        # waiting requests.
         self.served_by_pair = {}
+        # Tokens of the account `limited` that were taken and not refilled yet.
         self.used_tokens = 0
         self.concurrency_limit = CONCURRENCY_LIMIT
         self.max_waiting = MAX_WAITING
@@ -68,6 +72,7 @@
 
     def check_refusal(self, event, arrival, action, before):
         if arrival.account == "limited":
+            # A refused request takes no token, or returns it.
             self.used_tokens = max(0.0, self.used_tokens - 1)
         if action.error is ErrorCode.RATE_LIMITED:
             assert arrival.account == "limited"
@@ -88,7 +93,10 @@
         assert queued.count(arrival.account) > share, "shed within its share"
 
     def count_service(self, account):
-        """Counts admissions of two accounts that both have waiting requests."""
+        """Counts admissions of two accounts that both have waiting requests.
+
+        By weight, their numbers may differ by one request of each account.
+        """
         names = {a.account for a in self.waiting.values()}
         for other in names - {account}:
             pair = tuple(sorted((account, other)))
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -39,6 +39,8 @@
 # `lost`: the write has no effect. `reply_lost`: the write takes effect, but its
 # reply is lost. `late`: the write takes effect later. Reads just fail.
 STORE_FAULTS = ("", "", "", "lost", "reply_lost", "late")
+# Store faults by step of an attempt: none, none in an attempt that stops early,
+# or one in the first, third or fourth step.
 FAULT_LISTS = (
     *[("",) * 6] * 4,
     *[(), ("",), ("", "")],
@@ -61,7 +63,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Callers repeat three keys through two processes before one store."""
+    """Callers repeat requests with three keys at processes with one store."""
 
     core_class = ClaimCore
 
@@ -72,7 +74,8 @@
         self.cores = [self.core_class() for _ in PROCESSES]
         self.next_actions = {}  # By attempt: (process, key, action).
         self.run_counts, self.responses = dict.fromkeys(KEYS, 0), {}
-        # Attempts that ran, and keys whose request may have run.
+        # Attempts that ran, and keys that may stay blocked even if no request
+        # with them ran.
         self.executed, self.blocked, self.attempt_count = set(), set(), 0
 
     def feed(self, process, key, event):
@@ -107,7 +110,8 @@
     def request(self, process, key, faults, request_outcome):
         """A caller sends or repeats a request.
 
-        The attempt takes one step for each item of `faults`.
+        The attempt takes one step for each item of `faults`, which is the
+        store's fault in that step.
         """
         self.attempt_count += 1
         attempt = f"a{self.attempt_count}"
@@ -232,6 +236,7 @@
             self.check_can_run(key)
 
     def check_can_run(self, key):
+        """Checks that a key that may not be blocked can be claimed again."""
         if self.run_counts[key] or key in self.blocked:
             return
         for process in PROCESSES:
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -1,7 +1,7 @@
 """Proof: how often a request is sent, and which outcome is reported.
 
 Many requests share one retry budget. Faults: attempts that fail before, during
-and after execution, late responses, time-outs, and missing endpoints. The
+and after execution, late responses, timeouts, and missing endpoints. The
 oracle records what the endpoints executed.
 """
 
@@ -54,7 +54,7 @@
 
 
 class ForwardMachine(RuleBasedStateMachine):
-    """Requests over three endpoints."""
+    """Requests that share three endpoints and one retry budget."""
 
     core_class = ForwardCore
     budget_class = RetryBudget
@@ -64,6 +64,7 @@
         self.now_s = 0.0
         self.budget = self.budget_class()
         self.endpoints = {"e1", "e2", "e3"}
+        # The number of repeats, and that of requests.
         self.requests, self.repeat_count, self.count = [], 0, 0
 
     def choose(self, excluded):
