--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -17,7 +17,7 @@
 from daisyhub.hosting import (
     BookAccessFailed,
     BookLoaded,
-    BookWriteRefused,
+    BookWriteRejected,
     BookWritten,
     LeaseFactory,
     LoadBook,
@@ -167,7 +167,7 @@
                 write_id=uuid.uuid4().hex,
             )
         except PlatformConflictError:
-            return BookWriteRefused()
+            return BookWriteRejected()
         except PlatformUnavailableError:
             return BookAccessFailed()
         return BookWritten(version)
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -27,7 +27,7 @@
 from daisyhub.hosting._orders import (
     BookAccessFailed,
     BookLoaded,
-    BookWriteRefused,
+    BookWriteRejected,
     BookWritten,
     EndpointOrder,
     LoadBook,
@@ -51,7 +51,7 @@
     "OrderRequest",
     "BookAccessFailed",
     "BookLoaded",
-    "BookWriteRefused",
+    "BookWriteRejected",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
