--- a/daisyhub/controllers/__init__.py
+++ b/daisyhub/controllers/__init__.py
@@ -13,9 +13,9 @@
     "ConfigController",
     "EndpointController",
     "LotController",
-    "WatchController",
     "OrderController",
     "PeerController",
     "UsageController",
+    "WatchController",
     "WeightController",
 ]
--- a/daisyhub/controllers/_config.py
+++ b/daisyhub/controllers/_config.py
@@ -42,7 +42,7 @@
 __all__ = ["ConfigController"]
 
 _FETCH_TIMEOUT_S = 2.0
-# The source of a `FetchFailed`, if it isn't the daemon id of a peer.
+# `FetchFailed.source` of a fetch from the platform; else it is a daemon id.
 _PLATFORM_SOURCE = ""
 
 log = get_logger("config")
--- a/daisyhub/controllers/_endpoints.py
+++ b/daisyhub/controllers/_endpoints.py
@@ -42,7 +42,7 @@
 
 
 class EndpointController(Controller):
-    """Polls the platform's list and probes the endpoints assigned to it.
+    """Polls the platform's list and probes the endpoints of this daemon.
 
     Each endpoint is probed by one live daemon of the failure domain, chosen by
     rendezvous hashing, which sends updates to the others in batches.
@@ -52,7 +52,7 @@
         client: Client of the platform.
         http: Sends probes.
         table: The table to update.
-        peers: Knows the live daemons and sends them updates.
+        peers: Provides the live daemons and sends them updates.
         network: Connections to peers, used if the platform is unavailable.
     """
 
--- a/daisyhub/controllers/_lot_engines.py
+++ b/daisyhub/controllers/_lot_engines.py
@@ -21,7 +21,7 @@
 
 
 class _GenerateRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A generation request; `sample` is the seed."""
+    """A generation request; `sample`, its index in the group, is the seed."""
 
     prompt: str
     max_tokens: int
--- a/daisyhub/controllers/_lot_server.py
+++ b/daisyhub/controllers/_lot_server.py
@@ -140,7 +140,7 @@
         return self._core is not None and not self._is_stopped
 
     def status(self) -> dict[str, object]:
-        """Returns the lot's progress."""
+        """Returns the lot's progress; unknown values are None."""
         core = self._core
         return {
             "held": self.is_serving,
@@ -209,8 +209,12 @@
             )
 
     async def _acquire(self) -> bool:
-        """Waits for the lease; returns whether it was acquired."""
+        """Waits for the lease and creates the core.
+
+        Returns whether the lease was acquired and the server wasn't released.
+        """
         timing = self._dependencies.cfg.timing
+        # Twice the time after which the lease of a dead holder can be acquired.
         timeout_s = 2 * (timing.lease_term_s + timing.lease_margin_s)
         with anyio.move_on_after(timeout_s):
             while not self._lease.fencing:
@@ -218,6 +222,8 @@
         if not self._lease.fencing or self._is_stopped:
             return False
         self._own_holder_id = self._lease.observed_holder
+        # Unlike the id of the lease's holder, which is that of the process, the
+        # core's holder must be unique for each time the lot is acquired.
         holder = f"{self._own_holder_id}.{time.monotonic_ns()}"
         self._core = LotCore(self.spec, holder)
         self.ready.set()
@@ -325,6 +331,11 @@
 
 
 def _make_event(call: LotCallRequest, number: int) -> object:
+    """Returns the core's event for a trainer's call.
+
+    Raises:
+        Refusal: The verb is unknown or the body is invalid.
+    """
     until_s = time.monotonic() + _CALL_TIMEOUT_S
     match call.verb:
         case "open":
@@ -353,7 +364,8 @@
     """Returns the response for the trainer.
 
     Raises:
-        Refusal: The call was refused, or the server stopped before it ended.
+        Refusal: The call was refused, or the server stopped before the call
+            ended.
     """
     match action:
         case DeliverGroups():
--- a/daisyhub/controllers/_lot_specs.py
+++ b/daisyhub/controllers/_lot_specs.py
@@ -1,9 +1,10 @@
 """Stores the specs of lots in the platform's store.
 
 The store accepts values up to a megabyte, so the prompts of a large lot are
-split over several objects. Their keys contain the spec's digest and they are
-written first. The spec's own object is created last; if two callers open the
-same lot, the one that creates this object wins.
+split over several objects. They are written first. Their keys contain the
+spec's digest, so that two callers who open the same lot with different specs
+write different objects. The spec's own object is created last; the caller that
+creates it wins.
 """
 
 import contextlib
@@ -21,8 +22,9 @@
 
 __all__ = ["LotSpecStore", "split_prompts"]
 
+# Leaves room below the store's limit of a megabyte.
 _MAX_PART_BYTES = 800_000
-_DIGEST_LENGTH = 32
+_DIGEST_CHARACTERS = 32
 
 
 class _SpecRecord(msgspec.Struct, frozen=True, kw_only=True):
@@ -80,6 +82,7 @@
         return await self.find(spec.lot_id)
 
     async def _create(self, key: str, value: object, digest: str) -> None:
+        """Creates an object; does nothing if there is one."""
         with contextlib.suppress(PlatformConflictError):
             await self._client.put(
                 key, value, expected_version=0, write_id=digest
@@ -95,6 +98,7 @@
     parts: list[list[str]] = [[]]
     size = 0
     for prompt in prompts:
+        # The comma that separates prompts is included.
         length = len(msgspec.json.encode(prompt)) + 1
         if length > _MAX_PART_BYTES:
             raise Refusal(
@@ -111,7 +115,7 @@
 
 def _digest(spec: LotSpec) -> str:
     data = msgspec.json.encode(spec)
-    return hashlib.sha256(data).hexdigest()[:_DIGEST_LENGTH]
+    return hashlib.sha256(data).hexdigest()[:_DIGEST_CHARACTERS]
 
 
 def _spec_key(lot_id: str) -> str:
--- a/daisyhub/controllers/_lots.py
+++ b/daisyhub/controllers/_lots.py
@@ -30,7 +30,9 @@
 
 __all__ = ["LotController"]
 
+# Longer than the maximum wait of a pull, 60 s.
 _FORWARD_TIMEOUT_S = 65.0
+# Time that a call waits for a lot server to acquire the lease.
 _ACQUIRE_TIMEOUT_S = 2.0
 _RETRY_AFTER_S = 1.0
 _MAX_QUEUED_SERVERS = 1024
@@ -40,7 +42,7 @@
 
 
 class LotController(Controller):
-    """Serves trainers' calls.
+    """Serves trainers' calls, here or through the holder of the lot.
 
     Args:
         dependencies: Passed to each lot server.
@@ -170,7 +172,7 @@
         self._known_holders[lot_id] = daemon_id
 
     async def _watch_lease(self, lease: PlatformObject, scope) -> None:
-        """Cancels `scope` when a lease hasn't been renewed for a whole term."""
+        """Cancels `scope` if a lease is gone or isn't renewed for a term."""
         timing = self._dependencies.cfg.timing
         version = lease.version
         while True:
@@ -183,6 +185,12 @@
                 version = found.version
 
     async def _get_or_start_server(self, call: LotCallRequest) -> LotServer:
+        """Returns the server of the call's lot; starts one if there is none.
+
+        Raises:
+            Refusal: The account has no such lot, the body of an open call is
+                invalid, or this daemon is shutting down.
+        """
         spec = await self._find_spec(call)
         if spec.account != call.account:
             raise _unknown_lot_refusal()
@@ -196,6 +204,7 @@
         return server
 
     async def _find_spec(self, call: LotCallRequest) -> LotSpec:
+        """Returns the stored spec; an open call creates it if there is none."""
         spec = await self._specs.find(call.lot_id)
         if spec is not None:
             return spec
@@ -232,8 +241,10 @@
 
 
 def _holder_of(found: PlatformObject | None) -> str:
+    """Returns the daemon id of a lease's holder; empty if there is none."""
     if found is None:
         return ""
+    # The id of a holder is `daemon id/incarnation`.
     holder = msgspec.convert(found.value, LeaseRecord).holder
     return holder.partition("/")[0]
 
--- a/daisyhub/controllers/_orders.py
+++ b/daisyhub/controllers/_orders.py
@@ -176,7 +176,8 @@
         """Sends an order if the lease still has the order's fencing number.
 
         The lease is checked immediately before sending. If the platform checks
-        no fencing numbers for orders, an extra margin must be left.
+        no fencing numbers for orders, the lease must remain valid for a second
+        margin. Returns the outcome as an event.
         """
         order = action.order
         extra_s = self._cfg.timing.lease_margin_s
@@ -193,5 +194,10 @@
                 "the outcome of order {} is unknown: {}", order.order_id, exc
             )
             return OrderOutcomeUnknown(order.order_id)
-        log.info("order {} {}: {}", order.order_id, order.kind, endpoint_id)
+        log.info(
+            "response to order {} ({}): endpoint {!r}",
+            order.order_id,
+            order.kind,
+            endpoint_id,
+        )
         return OrderResponseReceived(order.order_id, endpoint_id)
--- a/daisyhub/controllers/_peers.py
+++ b/daisyhub/controllers/_peers.py
@@ -1,4 +1,4 @@
-"""Exchanges heartbeats, endpoint updates, usage and rates with peers."""
+"""Exchanges heartbeats, endpoint updates, usage and rate loans with peers."""
 
 import time
 
@@ -38,8 +38,10 @@
 
 __all__ = ["PeerController"]
 
-_LEAVING_REPEATS = 3
-# Endpoint updates are sent every `live peers // _PEERS_PER_BATCH_TICK` ticks.
+# Times that an update about a leaving endpoint is sent, since it may be lost.
+_LEAVING_SEND_COUNT = 3
+# Endpoint updates are sent every `live peers // _PEERS_PER_BATCH_TICK` ticks,
+# or at each tick if that is less than 1.
 _PEERS_PER_BATCH_TICK = 3
 
 log = get_logger("peers")
@@ -83,7 +85,7 @@
         self._shares = shares
         self._core = MembershipCore(cfg, incarnation)
         self._incarnations: dict[str, int] = {}
-        self._versions: dict[str, int] = {}
+        self._config_versions: dict[str, int] = {}
         self._pending_updates: dict[str, EndpointUpdate] = {}
         self._leaving_updates: dict[str, tuple[EndpointUpdate, int]] = {}
         self._ticks_to_batch = 0
@@ -91,11 +93,11 @@
         self._wakeup = anyio.Event()
 
     def status(self) -> dict[str, object]:
-        """Returns the live peers, rate shares and last received versions."""
+        """Returns live peers, rate shares and the peers' config versions."""
         return {
             "live": self.live_peers(),
             "rate_shares": self._shares.active_shares(boot_time_s()),
-            "versions": dict(sorted(self._versions.items())),
+            "versions": dict(sorted(self._config_versions.items())),
         }
 
     def live_peers(self) -> list[str]:
@@ -103,7 +105,7 @@
         return self._core.live_members(time.monotonic())
 
     def live_incarnations(self) -> dict[str, int]:
-        """Returns the incarnations of live peers, as far as received."""
+        """Returns the incarnations of live peers, by daemon id."""
         return {
             daemon_id: self._incarnations[daemon_id]
             for daemon_id in self.live_peers()
@@ -115,7 +117,7 @@
         if update.is_leaving:
             self._leaving_updates[update.endpoint_id] = (
                 update,
-                _LEAVING_REPEATS,
+                _LEAVING_SEND_COUNT,
             )
             self.wake()
         else:
@@ -126,12 +128,12 @@
         self._wakeup.set()
 
     def set_leaving(self) -> None:
-        """Sends peers at once the message that this daemon is shutting down."""
+        """Notifies peers at once that this daemon is shutting down."""
         self._is_leaving = True
         self._feed(self._local_state())
 
     def receive(self, envelope: Envelope, message: object) -> None:
-        """Handles a message of a peer; ignores those of older incarnations."""
+        """Handles a peer's message, unless a newer incarnation is known."""
         sender = envelope.sender
         if envelope.incarnation < self._incarnations.get(sender, 0):
             return
@@ -157,8 +159,8 @@
     async def run(self) -> None:
         """Ticks the core at each interval and sends changes when woken."""
         while True:
-            due_s = self._core.next_wakeup_s - time.monotonic()
-            with anyio.move_on_after(max(0.0, due_s)):
+            remaining_s = self._core.next_wakeup_s - time.monotonic()
+            with anyio.move_on_after(max(0.0, remaining_s)):
                 await self._wakeup.wait()
             is_woken = self._wakeup.is_set()
             self._wakeup = anyio.Event()
@@ -184,7 +186,7 @@
                 self._network.send(daemon_id, action.heartbeat)
 
     def _on_heartbeat(self, sender: str, heartbeat: Heartbeat) -> None:
-        self._versions[sender] = heartbeat.config_version
+        self._config_versions[sender] = heartbeat.config_version
         self._feed(HeartbeatReceived(sender, heartbeat))
         self._config.on_peer_summary(
             PeerSummaryReceived(
@@ -200,14 +202,14 @@
             self._table.apply_update(update)
 
     def _send_leaving(self) -> None:
-        """Sends updates about leaving endpoints, repeated in case of loss."""
+        """Sends updates about leaving endpoints to the heartbeat targets."""
         if not self._leaving_updates:
             return
         updates = tuple(update for update, _ in self._leaving_updates.values())
         self._leaving_updates = {
-            update.endpoint_id: (update, repeats_left - 1)
-            for update, repeats_left in self._leaving_updates.values()
-            if repeats_left > 1
+            update.endpoint_id: (update, sends_left - 1)
+            for update, sends_left in self._leaving_updates.values()
+            if sends_left > 1
         }
         for daemon_id in self._core.next_targets(time.monotonic()):
             self._network.send(daemon_id, EndpointUpdateBatch(news=updates))
@@ -228,7 +230,10 @@
                 self._network.send(daemon_id, *messages)
 
     def _due_batches(self, peer_count: int) -> list[EndpointUpdateBatch]:
-        """Returns the batch of queued updates, less often with more peers."""
+        """Returns one batch of the queued updates if it is due, or nothing.
+
+        Batches are due less often the more peers there are.
+        """
         self._ticks_to_batch -= 1
         if self._ticks_to_batch > 0 or not self._pending_updates:
             return []
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -1,5 +1,8 @@
 """Flushes usage counts, seals each window once and reports the sealed counts.
 
+Each daemon flushes its usage parts to its own object in the platform's store.
+The holder of the failure domain's usage lease adds up the parts of a window in
+the ledger, which seals the window, and reports the result to the platform.
 `FlushCore` and `SealCore` decide; this module executes their actions.
 """
 
@@ -65,7 +68,7 @@
         client: Client of the platform.
         lease_factory: Creates the lease.
         counters: Usage counts of this daemon.
-        peers: Knows which peers are live.
+        peers: Provides the live peers.
         metrics: Receives the counts of sealed and late requests.
     """
 
@@ -145,6 +148,7 @@
             await anyio.sleep(self._tick_interval_s)
 
     async def _feed(self, core: Core, event: object) -> None:
+        # Both cores return at most one action.
         actions = core.handle(event, boot_time_s())
         while actions:
             try:
--- a/daisyhub/controllers/_watch.py
+++ b/daisyhub/controllers/_watch.py
@@ -56,7 +56,7 @@
         An object may be delivered twice or in an earlier state. Listeners are
         called in the order in which they were added. If a listener raises,
         the delivery is retried later. All listeners must be added before
-        `run` is called, since each call resets the watch.
+        `run` is called, since adding a listener resets the watch.
         """
         self._prefixes.append(prefix)
         self._listeners.append(listener)
--- a/daisyhub/controllers/_watch_core.py
+++ b/daisyhub/controllers/_watch_core.py
@@ -3,7 +3,8 @@
 Listeners keep the highest version of an object, so an object may be delivered
 twice or in an older state, but its newest state must be delivered eventually.
 If a response has a lower revision than the previous one (it came from another
-replica, or the store was reset), all objects are listed again.
+replica, or the store was reset), all objects are listed again. They are also
+listed again at a fixed interval.
 """
 
 import dataclasses
@@ -24,12 +25,13 @@
 
 _RETRY_DELAY_S = 0.5
 _MAX_RETRY_DELAY_S = 30.0
+# Minimum time between two lists, unless the revision falls.
 _RELIST_INTERVAL_S = 120.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchStarted:
-    """Event: the controller has started; the first request can be sent."""
+    """Event: the controller has started."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -47,17 +49,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchFailed:
-    """Event: the store did not respond to a watch request."""
+    """Event: the store did not respond to a watch or list request."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ObjectDelivered:
-    """Event: a listener accepted an object.
-
-    Attributes:
-        listener: Index of the listener.
-        found: The object.
-    """
+    """Event: a listener, given by its index, accepted an object."""
 
     listener: int
     found: PlatformObject
@@ -65,12 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliveryFailed:
-    """Event: a listener raised an exception for an object.
-
-    Attributes:
-        listener: Index of the listener.
-        found: The object.
-    """
+    """Event: a listener, given by its index, raised an error for an object."""
 
     listener: int
     found: PlatformObject
@@ -78,10 +70,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WatchObjects:
-    """Action: send a watch request.
+    """Action: send a watch or list request.
 
     Attributes:
-        after_revision: Request objects changed after it; 0 requests all.
+        after_revision: Objects that changed after this revision are requested;
+            0 requests all objects.
         wait_s: How long the store may wait for a change before it responds.
         pause_s: Delay before the request is sent.
     """
@@ -93,12 +86,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DeliverObject:
-    """Action: deliver an object to a listener.
-
-    Attributes:
-        listener: Index of the listener.
-        found: The object.
-    """
+    """Action: deliver an object to the listener with this index."""
 
     listener: int
     found: PlatformObject
@@ -218,6 +206,8 @@
         if not self._has_current_list:
             return WatchObjects(0, 0.0, pause_s)
         wait_s = self.wait_s if self.is_connected else 0.0
+        # Deliveries are retried after a response, so the request ends when the
+        # first retry is due.
         for failed in self._undelivered.values():
             wait_s = min(wait_s, max(_RETRY_DELAY_S, failed.due_s - now_s))
         return WatchObjects(self.revision, wait_s, pause_s)
--- a/daisyhub/controllers/_weights.py
+++ b/daisyhub/controllers/_weights.py
@@ -44,7 +44,11 @@
 
 
 class WeightOrder(msgspec.Struct, frozen=True, kw_only=True):
-    """An order to an engine; one that checks fencing rejects lower numbers."""
+    """An order to an engine.
+
+    An engine that checks fencing numbers rejects an order with a lower number
+    than an earlier one.
+    """
 
     kind: str
     version: int
@@ -80,11 +84,11 @@
             f"weights/{cfg.failure_domain}"
         )
         self._core = WeightCore(_extra_margin_s(cfg.timing))
-        self._published: dict[str, int] = {}
+        self._pending_versions: dict[str, int] = {}
         self._wakeup = anyio.Event()
 
     def status(self) -> dict[str, object]:
-        """Returns the wanted versions, the engines behind and the holder."""
+        """Returns wanted versions, the count of engines behind, the lease."""
         return {
             "wanted": self._core.wanted,
             "behind": self._core.behind,
@@ -96,7 +100,7 @@
         """Handles a pool's newly published version from the watch."""
         pool = found.key.rpartition("/")[2]
         version = msgspec.convert(found.value, PublishedVersion).version
-        self._published[pool] = version
+        self._pending_versions[pool] = version
         self._wakeup.set()
 
     async def run(self) -> None:
@@ -105,8 +109,10 @@
             self._tasks = tasks
             tasks.start_soon(self._lease.run)
             while True:
-                while self._published:
-                    self._feed(VersionPublished(*self._published.popitem()))
+                while self._pending_versions:
+                    self._feed(
+                        VersionPublished(*self._pending_versions.popitem())
+                    )
                 self._feed(self._list_engines())
                 self._feed(WeightTick(bool(self._lease.fencing)))
                 with anyio.move_on_after(self._tick_interval_s()):
@@ -124,8 +130,8 @@
     def _tick_interval_s(self) -> float:
         """Returns the time until the next tick.
 
-        It is short while an engine is behind, since a finished load is only
-        detected by polling the endpoint table.
+        It is short while an engine is behind, since the versions that engines
+        report are only read from the endpoint table at a tick.
         """
         interval_s = (
             _ROLLOUT_TICK_INTERVAL_S
@@ -158,7 +164,7 @@
         self._feed(await self._send(order))
 
     async def _send(self, order: SendOrder) -> object:
-        """Sends an order if the lease is valid.
+        """Sends an order if the lease is valid; returns the outcome as event.
 
         The lease is checked immediately before sending.
         """
--- a/daisyhub/controllers/tests/test_membership_processes.py
+++ b/daisyhub/controllers/tests/test_membership_processes.py
@@ -103,6 +103,7 @@
         await self.deployment.wait_for_status(is_drained)
         daemon = self.deployment.daemons("busan")[0]
         caller = Caller(daemon.address, DemoKeys.text(self.keys.yard))
+        # The drained endpoint is the only service of the failure domain.
         response = await caller.send("GET", "/records/1")
         self.assertEqual(response.status, 503)
         await caller.aclose()
--- a/daisyhub/controllers/tests/test_orders_processes.py
+++ b/daisyhub/controllers/tests/test_orders_processes.py
@@ -17,6 +17,7 @@
 
 
 def ordering_document():
+    """Returns a configuration that needs one more engine than there are."""
     document = demo_document(DemoKeys.make())
     document["endpoint_pools"]["model"] |= {
         "orders": "automatic",
@@ -58,6 +59,7 @@
 
 class OrderProcessTest(unittest.TestCase):
     def run_with_deployment(self, scenario):
+        # Two daemons, two engines and one service.
         deployment = Deployment(("busan",), 2, 2, 1)
         self.addCleanup(deployment.stop)
 
@@ -77,6 +79,7 @@
             await deployment.wait_for_status(
                 lambda status: status["orders"]["holder"]
             )
+            # Longer than the tick interval of `OrderController`, 2 s.
             await anyio.sleep(3.0)
             after = await orders_of(deployment)
             self.assertEqual(len(after), 1, after)
@@ -92,6 +95,7 @@
             holder.send_signal(signal.SIGKILL)
             holder.wait()
             await holder_of(deployment)
+            # Longer than the tick interval of `OrderController`, 2 s.
             await anyio.sleep(3.0)
             self.assertEqual(len(await orders_of(deployment)), 1)
 
@@ -106,6 +110,7 @@
                 await caller.send("POST", "/faults", {**fault, "count": 2})
             await deployment.apply(ordering_document())
             await wait_for_orders(deployment, 1)
+            # Longer than two tick intervals of `OrderController`, 2 s each.
             await anyio.sleep(5.0)
             self.assertEqual(len(await orders_of(deployment)), 1)
             await caller.aclose()
--- a/daisyhub/controllers/tests/test_usage_failures.py
+++ b/daisyhub/controllers/tests/test_usage_failures.py
@@ -16,6 +16,7 @@
 
 WAIT_S = 30.0
 LEASE_TERM_S = 1.5
+# Longer than the term and the margin, so another daemon acquires the lease.
 FREEZE_S = 2.2
 TIMING = {
     "usage_window_s": 1.0,
@@ -28,6 +29,7 @@
 
 class UsageFailuresTest(unittest.TestCase):
     def run_with(self, scenario, limits=None, **timing):
+        """Runs a scenario on three daemons; `limits` are the account's."""
         demo = Demo()
         demo.deployment.stop()
         demo.deployment = Deployment(
@@ -93,6 +95,7 @@
         async def scenario():
             killed = self.deployment.daemons()[0]
             await self.look_up(killed, 30)
+            # Waits until a peer or the platform stores all counts.
             with anyio.fail_after(WAIT_S):
                 while (await self.status_of(killed))["unkept_requests"]:
                     await anyio.sleep(0.05)
@@ -131,6 +134,7 @@
     def test_an_account_at_one_daemon_borrows_the_shares_of_peers(self):
         async def scenario():
             daemon = self.deployment.daemons()[0]
+            # Without loans, each of the three daemons has a third of the limit.
             with anyio.fail_after(WAIT_S):
                 while (await self.share_at(daemon)) <= 0.5:
                     await self.look_up(daemon, 20)
@@ -150,12 +154,14 @@
             for path, method in (("/objects/sealed", "PUT"), ("/usage", "")):
                 fault = {"kind": "lose", "path": path, "method": method}
                 await self.platform("POST", "/faults", {**fault, "count": 2})
+            # An invalid usage object must not prevent sealing.
             unreadable = "/objects/usage/busan/other?expected=0&write_id=x"
             await self.platform("PUT", unreadable, {"parts": 7})
             for _ in range(2):
                 for daemon in daemons:
                     await self.look_up(daemon, 10)
                 await anyio.sleep(TIMING["usage_window_s"])
+            # Each of the two lost responses causes a repeated report.
             self.assertGreaterEqual(await self.check_reports(), 2)
 
         self.run_with(scenario)
--- a/daisyhub/controllers/tests/test_watch_core.py
+++ b/daisyhub/controllers/tests/test_watch_core.py
@@ -36,6 +36,7 @@
         self.assertEqual(actions[-1], WatchObjects(3, 20.0))
 
     def test_withdrawn_keys_are_delivered_first(self):
+        # The listener of withdrawn keys is the first one of the core.
         found = (make_object("news/config", 1), make_object("news/keys", 2))
         actions = self.core.handle(WatchResponseReceived(2, found), 0.0)
         keys = [a.found.key for a in actions if isinstance(a, DeliverObject)]
