--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -14,7 +14,9 @@
 __all__ = ["PeerUsage", "UsageCounters"]
 
 _COPIES_PER_PART = 2
+# Cuts are one tick further apart for every 60 unflushed parts.
 _UNFLUSHED_PARTS_PER_EXTRA_TICK = 60
+# A message ends with the part that reaches this number; parts aren't split.
 _MAX_COUNTS_PER_MESSAGE = 200
 
 
@@ -62,7 +64,7 @@
         Args:
             account: Client account that is billed.
             tokens: Tokens of the response.
-            wall_s: Wall-clock time; selects the window.
+            wall_s: Wall-clock time in seconds; selects the window.
         """
         key = (window_start(wall_s, self.window_s), account)
         sums = self._uncut_sums.setdefault(key, [0, 0])
@@ -97,11 +99,16 @@
 
         Args:
             live: Incarnations of the live peers in the failure domain, by id.
+
+        Returns:
+            The parts and the acknowledgement for each peer, by peer id; peers
+            that get neither are left out.
         """
         self._ticks_since_cut += 1
         unflushed = len(self._own_parts) - len(self._flushed_numbers)
         if self._ticks_since_cut > unflushed // _UNFLUSHED_PARTS_PER_EXTRA_TICK:
             self.cut_parts()
+        # A peer that restarted or isn't live may have lost its copies.
         self._acked_numbers = {
             peer: number
             for peer, number in self._acked_numbers.items()
@@ -120,7 +127,10 @@
         return usage
 
     def keep_copies(self, sender: str, parts: tuple[UsagePart, ...]) -> None:
-        """Stores copies of a peer's parts until they are sealed."""
+        """Keeps copies of a peer's parts until they are sealed.
+
+        The next tick acknowledges them to the peer.
+        """
         for part in parts:
             self._copies[part.part_id] = part
             if part.daemon_id == sender:
@@ -154,6 +164,7 @@
     def record_flushed(self, parts: tuple[UsagePart, ...]) -> None:
         """Records that these parts are stored at the platform."""
         for part in parts:
+            # Parts of peers and of earlier epochs may have the same numbers.
             if (
                 part.number in self._own_parts
                 and part == self._own_parts[part.number]
@@ -176,12 +187,12 @@
 
     @property
     def unsealed_count(self) -> int:
-        """Own parts that aren't known to be sealed; uncut counts add one."""
+        """Number of own parts not known to be sealed; uncut counts add one."""
         return len(self._own_parts) + bool(self._uncut_sums)
 
     @property
     def unkept_requests(self) -> int:
-        """Counted requests that neither the platform nor a peer stores."""
+        """Number of counted requests that only this daemon has."""
         acked = max(self._acked_numbers.values(), default=0)
         unkept = sum(requests for requests, _ in self._uncut_sums.values())
         for number, part in self._own_parts.items():
@@ -191,7 +202,7 @@
 
     @property
     def copy_count(self) -> int:
-        """Copies of peers' parts at this daemon."""
+        """Number of copies of peers' parts at this daemon."""
         return len(self._copies)
 
     def _copy_targets(self, live: Mapping[str, int]) -> list[str]:
@@ -201,6 +212,11 @@
         return (after + ring)[: min(_COPIES_PER_PART, len(ring))]
 
     def _unacked_parts(self, peer: tuple[str, int]) -> tuple[UsagePart, ...]:
+        """Returns the unflushed parts to copy to a peer, oldest first.
+
+        Args:
+            peer: Id and incarnation of the peer.
+        """
         acked = self._acked_numbers.get(peer, 0)
         parts = []
         remaining_counts = _MAX_COUNTS_PER_MESSAGE
--- a/daisyhub/accounting/_flush_core.py
+++ b/daisyhub/accounting/_flush_core.py
@@ -39,9 +39,10 @@
     """Time has passed.
 
     Attributes:
-        wall_s: Wall-clock time.
+        wall_s: Wall-clock time in seconds.
         live: Incarnations of the live peers in the failure domain, by id.
-        is_closing: Whether to flush now, before the window ends.
+        is_closing: Whether the daemon is shutting down and has to flush now,
+            before the window ends.
     """
 
     wall_s: float
@@ -85,6 +86,9 @@
 class FlushCore(Core):
     """Flushes usage parts at the end of each window.
 
+    A flush reads the ledger to drop sealed parts, reads the object unless its
+    version is known, and writes the object if its set of parts changes.
+
     Args:
         counters: Provides the parts.
         retry_s: Delay in seconds after a failed call.
--- a/daisyhub/accounting/_ledger.py
+++ b/daisyhub/accounting/_ledger.py
@@ -26,8 +26,11 @@
 
 _MAX_EPOCHS_PER_DAEMON = 8
 _MAX_WINDOWS_PER_WRITE = 16
+# No window is added to the ledger once one of these two limits is reached. The
+# second one keeps its object below 1 MB with 5000 accounts per window.
 _MAX_UNREPORTED_WINDOWS = 64
 _MAX_UNREPORTED_BYTES = 500_000
+# Windows further ahead of the caller's clock are attributed to a wrong clock.
 _MAX_WINDOWS_AHEAD = 2
 
 Ranges = tuple[tuple[int, int], ...]
@@ -38,7 +41,7 @@
 
     Attributes:
         failure_domain: Failure domain that counted the usage.
-        window: Start of the window, whole seconds since the epoch.
+        window: Start of the window, whole seconds since the Unix epoch.
         counts: Sums by account, late usage included.
         late: The part of `counts` that belongs to other windows: they were
             sealed before it arrived, or lie too far in the future.
@@ -75,8 +78,9 @@
     """Value of the ledger object at the platform.
 
     Attributes:
-        window: The newest sealed window; -1 for none.
-        unreported: Sealed windows that may not be reported yet, oldest first.
+        window: Start of the newest sealed window; -1 for none.
+        unreported: Reports of sealed windows that may not have been sent yet,
+            oldest first.
         marks: Sealed parts of recent epochs.
         retired: By daemon, the newest epoch whose marks were dropped. All
             parts of this and older epochs count as sealed.
@@ -149,17 +153,20 @@
 ) -> Ledger:
     """Seals the windows up to `ended_window` that have unsealed parts.
 
+    One call seals only as many windows as fit into one write and the ledger.
+
     Args:
         domain: The failure domain.
         ledger: The ledger as stored.
         parts: All known parts, in any order; duplicates are ignored.
-        ended_window: The newest window that has ended on the caller's clock.
+        ended_window: Start of the newest window that may be sealed by the
+            caller's clock.
         length_s: Length of a window in seconds.
         reported: Windows whose reports were accepted; they are removed from
             the unreported ones.
 
     Returns:
-        The ledger to store, or the given object if there is nothing to seal.
+        The ledger to store, or the given object if no window can be sealed.
     """
     unreported = tuple(
         report for report in ledger.unreported if report.window not in reported
@@ -188,7 +195,7 @@
 
 
 def _is_full(unreported: tuple[StoredReport, ...]) -> bool:
-    """Returns whether no more windows fit into the ledger object."""
+    """Returns whether no more windows fit into the ledger."""
     size_bytes = sum(len(report.body) for report in unreported)
     is_large = size_bytes >= _MAX_UNREPORTED_BYTES
     return is_large or len(unreported) >= _MAX_UNREPORTED_WINDOWS
@@ -197,7 +204,7 @@
 def _last_sealable_window(
     ledger: Ledger, ended_window: int, length_s: float
 ) -> int | None:
-    """Returns the newest window that may be sealed now, or None.
+    """Returns the start of the newest window to seal now; None to wait.
 
     If the ledger's newest window is far ahead of the clock, the clock of an
     earlier writer was wrong. Sealing then continues with the window after the
@@ -220,7 +227,8 @@
     """Groups unsealed parts by the window to seal them in.
 
     Parts of windows that are already sealed, or that start after
-    `max_window`, go into the oldest window to be sealed.
+    `max_window`, go into the oldest window to be sealed. Parts of windows in
+    between are left out until their windows have ended.
     """
     unsealed_parts = {
         part.part_id: part for part in parts if part not in sealed_parts
@@ -242,6 +250,7 @@
 def _make_report(
     domain: str, window: int, parts: list[UsagePart], sealed_parts: SealedParts
 ) -> StoredReport:
+    """Adds the parts to `sealed_parts` and returns the window's report."""
     for part in parts:
         sealed_parts.add(part)
     late = [part for part in parts if part.window != window]
--- a/daisyhub/accounting/_parts.py
+++ b/daisyhub/accounting/_parts.py
@@ -20,6 +20,7 @@
     "window_start",
 ]
 
+# Daemon id, epoch and number of a part.
 PartId = tuple[str, int, int]
 
 
@@ -58,7 +59,7 @@
 
     @property
     def part_id(self) -> PartId:
-        """Identifies the part: copies with the same id are equal."""
+        """Id of the part; copies with the same id are equal."""
         return (self.daemon_id, self.epoch, self.number)
 
 
@@ -77,7 +78,12 @@
 
 
 def window_start(wall_s: float, length_s: float) -> int:
-    """Returns the start of the window that contains `wall_s`."""
+    """Returns the start of the window that contains `wall_s`.
+
+    Args:
+        wall_s: Wall-clock time in seconds since the Unix epoch.
+        length_s: Length of a window in seconds.
+    """
     return int(wall_s // length_s * length_s)
 
 
--- a/daisyhub/accounting/_rate_shares.py
+++ b/daisyhub/accounting/_rate_shares.py
@@ -13,12 +13,14 @@
 
 __all__ = ["RateShares"]
 
+# Weight of the newest measurement in the smoothed request rate.
 _SMOOTHING_FACTOR = 0.5
+# Accounts with a lower smoothed rate are dropped.
 _MIN_RATE_PER_S = 0.01
 
 
 class RateShares:
-    """Measures demand per account and exchanges loans by a `ShareCore`.
+    """Measures demand per account and exchanges loans through a `ShareCore`.
 
     Args:
         core: Decides which quanta to borrow and lend.
@@ -39,7 +41,7 @@
         return self._core.share(account, now_s)
 
     def active_shares(self, now_s: float) -> dict[str, float]:
-        """Returns the shares of the accounts with recent requests."""
+        """Returns the usable shares (0-1) of accounts with recent requests."""
         return {
             account: self._core.share(account, now_s)
             for account in sorted(self._rates)
@@ -48,7 +50,12 @@
     def tick(
         self, live: tuple[str, ...], now_s: float
     ) -> list[SendLoanRequest | SendLoanGrant]:
-        """Updates the measured rates and returns the messages to peers."""
+        """Updates the measured rates and returns the messages to peers.
+
+        Args:
+            live: Ids of the live peers in the failure domain.
+            now_s: Time on the core's clock.
+        """
         self._measure(now_s)
         wanted = {
             account: self._wanted_quanta(account) for account in self._rates
--- a/daisyhub/accounting/_seal_core.py
+++ b/daisyhub/accounting/_seal_core.py
@@ -36,7 +36,7 @@
     """Time has passed.
 
     Attributes:
-        wall_s: Wall-clock time.
+        wall_s: Wall-clock time in seconds.
         fencing: Fencing number of the lease; 0 unless it is certainly held.
         running: Ids of the live daemons of the failure domain, this one
             included.
@@ -88,7 +88,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallFailed:
-    """The last action's effect is unknown, or the lease lapsed before it."""
+    """The last call's effect is unknown, or the lease lapsed before it."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -192,6 +192,7 @@
         if self._is_call_pending:
             return []
         if event.fencing != self._fencing:
+            # Another holder may have written the ledger in between.
             self._ledger = None
         self._fencing = event.fencing
         self._running_daemons = event.running
@@ -201,7 +202,11 @@
         return self._next_action(now_s)
 
     def _next_action(self, now_s: float) -> list[object]:
-        """Returns the next action: report, then empty objects, then seal."""
+        """Returns the next action, or none until another window has ended.
+
+        Reads the ledger if it isn't known, then sends reports, then empties
+        objects, then lists the parts to seal.
+        """
         self._is_call_pending = True
         if self._ledger is None:
             return [ReadLedger()]
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -2,12 +2,17 @@
 
 Each daemon owns an equal share of every account's limit. A daemon that needs
 more requests a loan from its peers; those that need less lend for a term. The
-borrower counts the term from the time of its request, the lender from its
-later answer plus a margin, so that no quantum is used at two daemons at once.
-A daemon that is cut off from its peers has its own share back after a term. A
-restarted daemon uses a minimum until all peers have answered, which shows that
-they use no loan of its earlier incarnation, or until all such loans have
-ended. Shares are whole quanta; times are seconds on CLOCK_BOOTTIME.
+borrower counts the term from the time of its request. The lender counts it
+from its later response and adds a margin, so that no part of a limit is used
+at two daemons at once. A daemon that is cut off from its peers has its own
+share back after a term and the margin.
+
+A peer drops loans from a daemon's earlier incarnation before it responds to
+the new one. Until all peers have responded, or all such loans have ended, a
+restarted daemon uses only the part of its share that is never lent.
+
+Shares are counted in quanta: an account's whole limit is `QUANTA_PER_DAEMON`
+quanta for each configured daemon. Times are seconds on CLOCK_BOOTTIME.
 """
 
 import dataclasses
@@ -26,10 +31,14 @@
 ]
 
 QUANTA_PER_DAEMON = 16
+# Never lent, so that a restarted daemon can use them at once.
 _MIN_QUANTA = 2
+# A lender keeps this multiple of its own demand.
 _HEADROOM_FACTOR = 1.25
+# More than one request per term renews loans before they end.
 _REQUESTS_PER_TERM = 3
 
+# Pairs of account and quanta.
 AccountQuanta = tuple[tuple[str, int], ...]
 
 
@@ -49,7 +58,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanRequested:
-    """A peer requested quanta; `stamp_s` and `incarnation` are the peer's."""
+    """A peer requested quanta.
+
+    Attributes:
+        peer: The borrower.
+        incarnation: Incarnation of the borrower.
+        stamp_s: Time of the request on the borrower's clock.
+        wants: Accounts and the quanta that the borrower's own share lacks.
+    """
 
     peer: str
     incarnation: int
@@ -59,14 +75,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoanGranted:
-    """A peer granted quanta in answer to a request of this daemon.
+    """A peer responded to a loan request of this daemon.
 
     Attributes:
         peer: The lender.
         lender_incarnation: Incarnation of the lender.
         incarnation: Incarnation of the borrower, copied from the request.
         stamp_s: Time of the request, copied from it.
-        grants: Accounts and quanta.
+        grants: Accounts and lent quanta, which may be 0.
     """
 
     peer: str
@@ -88,7 +104,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendLoanGrant:
-    """Action: answer a loan request; repeats its incarnation and stamp."""
+    """Action: respond to a loan request, with its incarnation and stamp."""
 
     peer: str
     incarnation: int
@@ -112,7 +128,7 @@
             included.
         term_s: Term of a loan in seconds.
         margin_s: Seconds that the lender waits beyond the term.
-        started_s: When this process started.
+        started_s: When this process started, on the core's clock.
 
     Attributes:
         total: Quanta that make up an account's whole limit.
@@ -169,8 +185,13 @@
         raise TypeError(f"not a share event: {event!r}")
 
     def _on_tick(self, event: ShareTick, now_s: float) -> list[object]:
+        """Responds to loan requests and sends requests if they are due.
+
+        A restricted daemon sends requests at every tick, also without demand,
+        since the responses end the restriction.
+        """
         self._drop_ended_loans(now_s)
-        actions = self._answer_requests(event, now_s)
+        actions = self._respond_to_requests(event, now_s)
         if now_s < self._next_request_s:
             return actions
         wants = self._missing_quanta(event, now_s)
@@ -185,6 +206,10 @@
         return actions
 
     def _missing_quanta(self, event: ShareTick, now_s: float) -> AccountQuanta:
+        """Returns the quanta that this daemon's own share lacks.
+
+        Borrowed quanta aren't deducted, since a request also renews loans.
+        """
         missing = []
         for account, wanted in sorted(event.wanted.items()):
             usable = min(wanted, self.total)
@@ -193,7 +218,9 @@
                 missing.append((account, lacking))
         return tuple(missing)
 
-    def _answer_requests(self, event: ShareTick, now_s: float) -> list[object]:
+    def _respond_to_requests(
+        self, event: ShareTick, now_s: float
+    ) -> list[object]:
         requests, self._pending_requests = self._pending_requests, {}
         requested: dict[str, int] = {}
         for request in requests.values():
@@ -217,15 +244,19 @@
     def _grant_loan(
         self, request: LoanRequested, requested, spare, now_s: float
     ) -> SendLoanGrant:
-        """Lends spare quanta in proportion to the requested quanta."""
+        """Lends spare quanta in proportion to the requested quanta.
+
+        Earlier loans to the same peer don't reduce the new loan, which
+        replaces them at the peer.
+        """
         grants = []
         for account, wanted in request.wants:
-            part = spare[account] * wanted // requested[account]
+            portion = spare[account] * wanted // requested[account]
             max_loan = QUANTA_PER_DAEMON - _MIN_QUANTA
             max_loan -= self._lent_quanta(
                 account, now_s, except_peer=request.peer
             )
-            quanta = max(0, min(wanted, part, max_loan))
+            quanta = max(0, min(wanted, portion, max_loan))
             grants.append((account, quanta))
             self._record_loan(account, request, quanta, now_s)
         return SendLoanGrant(
@@ -235,7 +266,10 @@
     def _record_loan(
         self, account, request: LoanRequested, quanta, now_s
     ) -> None:
-        """Records a loan; the borrower may still use earlier ones."""
+        """Records a loan and keeps earlier ones.
+
+        The borrower uses an earlier loan until the new grant arrives.
+        """
         if not quanta:
             return
         until_s = now_s + self._term_s + self._margin_s
@@ -260,7 +294,7 @@
             loans[event.peer] = _Loan(quanta, event.stamp_s, until_s)
 
     def _record_incarnation(self, peer: str, incarnation: int) -> None:
-        """Drops loans from an earlier incarnation of a peer."""
+        """Records a peer's incarnation and drops loans from earlier ones."""
         if incarnation <= self._incarnations.get(peer, 0):
             return
         self._incarnations[peer] = incarnation
@@ -268,7 +302,11 @@
             loans.pop(peer, None)
 
     def _is_restricted(self, now_s: float) -> bool:
-        """Returns whether peers may use loans of an earlier incarnation."""
+        """Returns whether peers may use loans of an earlier incarnation.
+
+        The loans are those that this daemon lent before it restarted. Peers
+        whose responses have arrived use none.
+        """
         is_confirmed = len(self._confirmed_peers) >= self._peer_count
         return now_s < self._restricted_until_s and not is_confirmed
 
--- a/daisyhub/accounting/tests/test_ledger.py
+++ b/daisyhub/accounting/tests/test_ledger.py
@@ -37,6 +37,8 @@
 
 
 class SealTest(unittest.TestCase):
+    """Guards against windows that are counted wrongly or never sealed."""
+
     def test_after_an_outage_each_window_gets_its_own_counts(self):
         parts = [part(1, 60), part(2, 120), part(3, 120), part(4, 240)]
         ledger = seal("busan", Ledger(), parts, 180, WINDOW_S)
@@ -50,6 +52,7 @@
         self.assertIs(seal("busan", ledger, parts, 180, WINDOW_S), ledger)
 
     def test_a_clock_far_ahead_does_not_delay_sealing(self):
+        """Neither a part nor a sealed window of a day ahead stops sealing."""
         ledger = seal("busan", Ledger(), [part(1, 86400)], 60, WINDOW_S)
         self.assertEqual(figures(ledger), {60: (1, 1)})
         ahead = seal("busan", ledger, [part(2, 60)], 86400, WINDOW_S)
@@ -57,6 +60,7 @@
         self.assertEqual(after.window, 86460)
 
     def test_sealing_stops_at_the_limit_of_unreported_windows(self):
+        """Otherwise the ledger grows without limit while reports fail."""
         ledger = Ledger()
         parts = [part(number, 60 * number) for number in range(1, 100)]
         for _ in range(20):
@@ -68,6 +72,7 @@
         self.assertLess(len(msgspec.json.encode(ledger)), 1_000_000)
 
     def test_parts_of_dropped_epochs_count_as_sealed(self):
+        """Otherwise old parts are counted again once their marks are gone."""
         ledger = Ledger()
         for epoch in range(1, 20):
             parts = [part(1, 60 * epoch, epoch=epoch)]
@@ -79,6 +84,8 @@
 
 
 class CountersTest(unittest.TestCase):
+    """Guards against usage that is lost, and parts that are kept too long."""
+
     def test_peers_keep_copies_until_parts_are_sealed(self):
         live = {"b": 1, "c": 1, "d": 1}
         a, b = UsageCounters("a", 1, WINDOW_S), UsageCounters("b", 1, WINDOW_S)
@@ -98,6 +105,7 @@
         self.assertEqual((a.unsealed_count, b.copy_count), (0, 0))
 
     def test_parts_are_cut_less_often_as_the_backlog_grows(self):
+        """Otherwise an hour without the platform leaves 3600 parts."""
         counters = UsageCounters("a", 1, WINDOW_S)
         for second in range(3600):
             counters.add("yard", 5, float(second))
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -58,6 +58,7 @@
         mode=st.sampled_from(["all", "all", "first", "last", "twice", "drop"])
     )
     def deliver(self, mode):
+        """Delivers or drops messages in flight; "last" reorders them."""
         count = (
             len(self.in_flight)
             if mode == "all"
@@ -138,7 +139,7 @@
 
 
 class KeepsLoansOfRestartedLender(ShareCore):
-    """Broken: a borrower keeps loans from a lender that restarted."""
+    """Broken: a borrower confirms a lender's restart but keeps its loans."""
 
     def _record_incarnation(self, peer, incarnation):
         known = self._incarnations.get(peer, 0)
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -152,6 +152,7 @@
         copies=st.sampled_from(["sent", "sent", "kept"]),
     )
     def serve(self, name, account, copies):
+        """Serves a request; the counts stay local if `copies` is "kept"."""
         daemon = self.daemons[name]
         wall_s = self.now_s + daemon.offset_s
         daemon.counters.add(account, 7, wall_s)
@@ -166,6 +167,7 @@
 
     @rule(mode=st.sampled_from(["once", "once", "twice", "all", "drop"]))
     def deliver(self, mode):
+        """Delivers copies in flight, or drops the oldest."""
         if mode == "drop" and self.in_flight:
             self.in_flight.pop(0)
             self.record_lost()
@@ -197,7 +199,11 @@
         call=st.sampled_from(FAULTY_CALLS),
     )
     def take_turn(self, name, kind, fault, call):
-        """Lets a window end and a daemon act; its call `call` has the fault."""
+        """Lets a window end and a daemon act.
+
+        The daemon's first call of the type `call` gets the fault; `execute` and
+        `feed` say what each fault does.
+        """
         self.now_s += WINDOW_S + GRACE_S
         self.run_core(name, "flush", fault, call)
         if kind == "both":
@@ -239,6 +245,10 @@
         self.feed(name, kind, event, fault, call)
 
     def feed(self, name, kind, event, fault="none", call=None):
+        """Feeds an event to a core and executes the actions that follow.
+
+        The fault "stall" freezes the daemon before the call, until `wake`.
+        """
         core = getattr(self.daemons[name], kind)
         actions = core.handle(event, self.now_s)
         while actions:
@@ -262,6 +272,11 @@
             self.feed(name, kind, event)
 
     def execute(self, name, action, fault):
+        """Executes an action with a fault and returns the resulting event.
+
+        "lose" loses the response, "outage" the request; "late" delays a write
+        until `late_write_arrives`.
+        """
         writes = WriteStore | WriteLedger | EmptyStore
         if fault == "late" and isinstance(action, writes):
             self.late_writes.append((name, action))
@@ -316,6 +331,7 @@
 
     @rule()
     def late_write_arrives(self):
+        """The oldest delayed write arrives; its condition is still checked."""
         if self.late_writes:
             self.apply(*self.late_writes.pop(0))
             self.record_lost()
@@ -367,7 +383,7 @@
                     self.oracle.lost[key] = (c.requests, c.tokens, c.account)
 
     def existing_part_ids(self):
-        """Returns the ids of all parts that still exist."""
+        """Returns the ids of parts that exist anywhere but in the ledger."""
         found = []
         for daemon in self.daemons.values():
             found += (
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -44,7 +44,7 @@
     PullResponse,
     Sample,
     Span,
-    check_spans,
+    has_valid_spans,
 )
 from daisyhub.rollouts._weight_core import (
     EnginesListed,
@@ -107,5 +107,5 @@
     "WeightCore",
     "WeightTick",
     "WriteState",
-    "check_spans",
+    "has_valid_spans",
 ]
--- a/daisyhub/rollouts/_lot_core.py
+++ b/daisyhub/rollouts/_lot_core.py
@@ -41,7 +41,7 @@
     LotState,
     PullRecord,
     Sample,
-    check_spans,
+    has_valid_spans,
 )
 from daisyhub.rollouts._slot_table import SlotTable
 
@@ -172,7 +172,11 @@
         return not self._calls and now_s - self._last_call_s >= _IDLE_TIMEOUT_S
 
     def _shut_down(self, now_s: float) -> list[object]:
-        """Refuses all calls and waits only for pending store calls."""
+        """Refuses all calls; finishes once all own commits are billed.
+
+        A pending write is repeated until its outcome is known, and the state
+        is read if that is needed to learn which commits took effect.
+        """
         self._is_released = True
         actions = self._refuse_all(RefusalReason.RELEASED)
         actions += self._slots.drop_groups(range(len(self.spec.prompts)))
@@ -219,7 +223,7 @@
         slot = self._slots.slot_of(event.attempt)
         if slot is None:
             return []
-        if not check_spans(event.response):
+        if not has_valid_spans(event.response):
             self.invalid_responses += 1
             self._slots.fail_attempt(event.attempt, now_s)
             return []
@@ -261,7 +265,11 @@
             self._next_store_call_s = now_s
 
     def _apply_state(self, state: LotState, version: int) -> list[object]:
-        """Adopts the stored state, which takes precedence over local state."""
+        """Replaces the local state by the stored one, unless that is older.
+
+        Drops the groups that are acknowledged or that another holder has newly
+        committed; a repeated pull queues the latter again.
+        """
         if self._state is not None and version < self._version:
             return []
         is_first = self._state is None
@@ -286,7 +294,10 @@
         return actions
 
     def _pop_confirmed_usage(self) -> list[object]:
-        """Returns the usage of own commits that took effect, each once."""
+        """Returns the usage of own commits that took effect, each once.
+
+        The other commits have failed, since no write is pending here.
+        """
         stored = {r.commit_id for r in self._state.pulls.values()}
         counted = [
             u for key, u in self._unbilled_usage.items() if key in stored
@@ -372,11 +383,11 @@
         )
 
     def _expire_call(self, call: LotCall) -> object:
-        """Answers a call that has reached its time limit.
+        """Responds to a call that has reached its time limit.
 
         An empty delivery means that no group was ready. It is only sent if
-        the state is known and no write is pending; otherwise the call is
-        refused.
+        the state is known and no write is pending, which could commit groups
+        to the pull; otherwise the call is refused.
         """
         is_pull = isinstance(call, PullRequested)
         if (
@@ -388,6 +399,11 @@
         return self._deliver(call, ())
 
     def _next_store_action(self, now_s: float) -> list[object]:
+        """Returns the next write or read; only one is pending at a time.
+
+        A write with an uncertain outcome is repeated before any read. A new
+        write waits until no read is needed.
+        """
         if self._is_store_call_pending or now_s < self._next_store_call_s:
             return []
         if self._pending_write is None and not self._is_read_needed:
@@ -401,7 +417,7 @@
         return [ReadState()]
 
     def _next_write(self, now_s: float) -> WriteState | None:
-        """Combines all pending changes of the state into one write."""
+        """Combines all pending changes of the state into one write, if any."""
         if self._is_released:
             return None
         acked = self._newly_acked()
--- a/daisyhub/rollouts/_lot_types.py
+++ b/daisyhub/rollouts/_lot_types.py
@@ -18,7 +18,7 @@
     "PullRecord",
     "Sample",
     "Span",
-    "check_spans",
+    "has_valid_spans",
 ]
 
 Count = Annotated[int, msgspec.Meta(ge=0)]
@@ -56,7 +56,7 @@
 
 
 class Group(msgspec.Struct, frozen=True, kw_only=True):
-    """All samples of one prompt."""
+    """All samples of one prompt; `group` is the prompt's index in the lot."""
 
     group: int
     samples: tuple[Sample, ...]
@@ -127,7 +127,23 @@
 
 
 class LotSpec(msgspec.Struct, frozen=True, kw_only=True):
-    """Specification of a lot; immutable once the lot is open."""
+    """Specification of a lot; immutable once the lot is open.
+
+    Attributes:
+        lot_id: Id of the lot.
+        lot_class: Name of the lot class in the configuration.
+        account: Client account that is billed.
+        pool: Pool of the engines that generate samples.
+        prompts: The prompts; group i has the samples of prompt i.
+        group_size: Number of samples per group.
+        max_staleness: How many weight versions a sample may lag behind the
+            trainer.
+        max_tokens: Maximum number of tokens per sample.
+        concurrency: Maximum number of attempts that run at once.
+        spare_samples: A group that misses at most this many samples gets
+            second attempts for them.
+        sample_timeout_s: Maximum time in seconds for one attempt.
+    """
 
     lot_id: str
     lot_class: str
@@ -168,8 +184,11 @@
     is_closed: bool = False
 
 
-def check_spans(response: EngineResponse) -> bool:
-    """Returns whether the spans cover all tokens without gap or overlap."""
+def has_valid_spans(response: EngineResponse) -> bool:
+    """Returns whether the spans cover all tokens without gap or overlap.
+
+    A response without tokens isn't valid.
+    """
     end = 0
     for span in response.spans:
         if span.start != end or span.end <= span.start:
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -1,4 +1,8 @@
-"""The samples of a lot's groups and the attempts to generate them."""
+"""The samples of a lot's groups and the attempts to generate them.
+
+A slot is the position of one sample: a group and an index in it. It may have
+several attempts at a time; the first sample that arrives is kept.
+"""
 
 import dataclasses
 import heapq
@@ -10,7 +14,8 @@
 __all__ = ["SlotTable"]
 
 _RETRY_DELAY_S = 0.2
-_MAX_ATTEMPTS_PER_SAMPLE = 2
+_MAX_CONCURRENT_ATTEMPTS = 2  # for one sample; failed ones aren't counted
+# Lower priorities start first; retries have the priority of repeats.
 _PRIORITY_REPEAT = 0
 _PRIORITY_FIRST = 1
 
@@ -46,7 +51,10 @@
 
     @property
     def next_retry_s(self) -> float | None:
-        """When the next delayed sample may be retried; None while full."""
+        """When the next delayed sample may be retried.
+
+        None if none is delayed, or while the lot's concurrency is used up.
+        """
         if not self._delayed or self._is_full:
             return None
         return self._delayed[0][0]
@@ -65,7 +73,13 @@
     def add_groups(
         self, groups: Iterable[int], *, is_repeat: bool = False
     ) -> None:
-        """Queues the samples of groups that are new here; repeats go first."""
+        """Queues the samples of groups that are new here.
+
+        Args:
+            groups: Indexes of the groups.
+            is_repeat: Whether a repeated pull needs the groups; their samples
+                are generated first.
+        """
         priority = _PRIORITY_REPEAT if is_repeat else _PRIORITY_FIRST
         size = self.spec.group_size
         for group in groups:
@@ -86,7 +100,10 @@
         return cancelled
 
     def start_attempts(self, now_s: float) -> list[Generate]:
-        """Starts attempts up to the lot's concurrency."""
+        """Starts attempts up to the lot's concurrency.
+
+        Spare attempts start only if no sample is queued.
+        """
         while self._delayed and self._delayed[0][0] <= now_s:
             _, priority, group, index = heapq.heappop(self._delayed)
             self._push(priority, group, index)
@@ -105,7 +122,10 @@
     def complete_attempt(
         self, attempt: int, sample: Sample
     ) -> list[CancelSample]:
-        """Stores the first sample of a slot and cancels its other attempts."""
+        """Keeps the first sample of a slot and cancels its other attempts.
+
+        A sample of an attempt that was cancelled or failed is ignored.
+        """
         slot_key = self._running_attempts.pop(attempt, None)
         slot = self._slot(*slot_key) if slot_key else None
         if slot is None or attempt not in slot.attempts:
@@ -121,7 +141,10 @@
         return self._running_attempts.get(attempt)
 
     def fail_attempt(self, attempt: int, now_s: float) -> None:
-        """Ends an attempt without a sample and schedules a retry."""
+        """Ends an attempt without a sample.
+
+        Schedules a retry unless the slot has a sample or another attempt.
+        """
         slot_key = self._running_attempts.pop(attempt, None)
         slot = self._slot(*slot_key) if slot_key else None
         if slot is None:
@@ -135,8 +158,13 @@
     ) -> bool:
         """Discards stale samples of a group and schedules their retry.
 
+        Args:
+            group: Index of the group.
+            oldest_version: The oldest weight version that isn't stale.
+            now_s: Monotonic time in seconds.
+
         Returns:
-            Whether the group is complete.
+            Whether the group is complete without the discarded samples.
         """
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
@@ -176,7 +204,10 @@
         return Generate(self._last_attempt, group, index, others)
 
     def _start_spares(self) -> list[Generate]:
-        """Starts second attempts for groups that miss few samples."""
+        """Starts second attempts for groups that miss few samples.
+
+        A slow or hung engine then delays a nearly complete group less.
+        """
         started = []
         for group, missing in sorted(self._missing_samples.items()):
             if not 0 < missing <= self.spec.spare_samples:
@@ -184,7 +215,7 @@
             for index, slot in enumerate(self._groups[group]):
                 if self._is_full:
                     return started
-                if 0 < len(slot.attempts) < _MAX_ATTEMPTS_PER_SAMPLE:
+                if 0 < len(slot.attempts) < _MAX_CONCURRENT_ATTEMPTS:
                     started.append(self._start_attempt(slot, group, index))
         return started
 
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -25,7 +25,7 @@
 
 _MIN_RETRY_DELAY_S = 0.5
 _MAX_RETRY_DELAY_S = 8.0
-_MAX_DOUBLINGS = 4
+_MAX_DOUBLINGS = 4  # reaches the maximum delay
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -125,6 +125,9 @@
 class WeightCore(Core):
     """Orders loads in stages, engines with failures last.
 
+    A stage is the engines of a pool that load at once, at most
+    `max_concurrent_loads` of them.
+
     Args:
         extra_margin_s: Extra lease margin in seconds for engines that ignore
             fencing numbers: the maximum time from the last check of the lease
@@ -157,7 +160,7 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When the next failed engine is due for a retry."""
+        """When the next failed engine is due for a retry; None if none is."""
         if not self._has_lease:
             return None
         times = [retry.retry_at_s for retry in self._retries.values()]
@@ -229,7 +232,10 @@
         return known < self._wanted.get(engine.pool, 0)
 
     def _queue_due(self, now_s: float) -> None:
-        """Queues outdated engines, those with the fewest failures first."""
+        """Queues outdated engines by pool, the fewest failures first.
+
+        The lists are in reverse order, since `_start_orders` pops their ends.
+        """
         due: dict[str, list[tuple[int, str]]] = {
             pool: [] for pool in self._policies
         }
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -63,7 +63,11 @@
 )
 WAIT_S = 1.0
 RECOVERY_ROUNDS = 60
+# The outcome of the write is uncertain: with "lose" it takes effect, with
+# "fail" it doesn't, with "delay" it may do so later.
 STORE_FAULTS = ("lose", "fail", "delay")
+# "swap" changes weights within a sample; "missing", "gap" and "short" return
+# spans that don't cover the tokens; "twice" responds twice.
 ENGINE_FAULTS = ("swap", "fail", "missing", "gap", "short", "twice")
 
 
@@ -288,6 +292,7 @@
         return None
 
     def respond_to_trainer(self, holder):
+        """Executes all actions but store calls and pending generations."""
         cancelled = {
             a.attempt
             for a in self.actions[holder]
@@ -312,6 +317,10 @@
         self.actions[holder] = rest
 
     def run_generation(self, holder, kind):
+        """Generates the next sample, if any, with the fault `kind`.
+
+        Returns whether there was one.
+        """
         action = self.pop(holder, Generate)
         if action is None:
             return False
@@ -327,6 +336,10 @@
         return True
 
     def apply(self, write):
+        """Applies a conditional write; returns whether it took effect.
+
+        A repeat of the newest write succeeds without effect.
+        """
         if write.write_id == self.write_ids.get(self.version):
             return True
         if write.expected_version != self.version:
@@ -337,6 +350,10 @@
         return True
 
     def run_store_call(self, holder, fault):
+        """Executes the next read or write; "" and "store" mean no fault.
+
+        Returns whether there was one.
+        """
         action = self.next_store_action(holder)
         if action is None:
             return False
@@ -428,12 +445,12 @@
     """Broken: accepts samples with invalid spans."""
 
     def _on_sample(self, event, now_s):
-        position = self._slots.slot_of(event.attempt)
+        slot = self._slots.slot_of(event.attempt)
         spans = event.response.spans or (Span(version=99, start=0, end=1),)
-        if position is None:
+        if slot is None:
             return []
         sample = Sample(
-            index=position[1], tokens=event.response.tokens, spans=spans
+            index=slot[1], tokens=event.response.tokens, spans=spans
         )
         return self._slots.complete_attempt(event.attempt, sample)
 
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -50,10 +50,12 @@
         self.actions = {holder: [] for holder in HOLDERS}
         self.leases = dict.fromkeys(HOLDERS, (0, 0.0))
         self.granted, self.granted_until_s = 0, 0.0
+        # Weight version, highest accepted fencing number, incarnation.
         self.engines = {name: [0, 0, 1] for name in ENGINES}
         self.newest = 1
 
     def fencing(self, holder, extra_s=0.0):
+        """Returns the fencing number if the lease lasts `extra_s`, or 0."""
         number, until_s = self.leases[holder]
         return number if self.now_s + extra_s < until_s else 0
 
@@ -140,7 +142,7 @@
         is_covered = freeze_s < 2 * MARGIN_S and not checks_fencing
         if is_covered or not freeze_s:
             assert number == self.granted, (
-                "deposed holder",
+                "order of a stale holder",
                 order,
                 number,
             )
@@ -151,7 +153,7 @@
         return should_load
 
     def teardown(self):
-        """Ends all faults and checks that all engines load the newest."""
+        """Ends all faults; then all engines must load the newest weights."""
         if not hasattr(self, "cores"):
             return
         self.now_s += 2 * TERM_S
