--- a/daisyhub/config/_acceptance.py
+++ b/daisyhub/config/_acceptance.py
@@ -19,7 +19,7 @@
     ChangeRequest,
     ChangeStarted,
     HeadRead,
-    HeadWriteRefused,
+    HeadWriteRejected,
     HeadWritten,
     PartsRead,
     PartsWritten,
@@ -100,7 +100,7 @@
                 action = WriteHead(self._proposed_head, self._object_version)
             case HeadWritten():
                 action = WriteAudit(self._proposed_head)
-            case HeadWriteRefused():
+            case HeadWriteRejected():
                 action = self._retry(ReadHead())
             case AuditWritten():
                 action = self._on_audit_written()
--- a/daisyhub/config/_acceptance_types.py
+++ b/daisyhub/config/_acceptance_types.py
@@ -15,7 +15,7 @@
     "ChangeRefused",
     "ChangeRequest",
     "HeadRead",
-    "HeadWriteRefused",
+    "HeadWriteRejected",
     "HeadWritten",
     "PartsRead",
     "PartsWritten",
@@ -101,7 +101,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HeadWriteRefused:
+class HeadWriteRejected:
     """Event: the head object isn't at the expected version."""
 
 
--- a/daisyhub/config/_store.py
+++ b/daisyhub/config/_store.py
@@ -23,7 +23,7 @@
     ChangeRequest,
     ChangeStarted,
     HeadRead,
-    HeadWriteRefused,
+    HeadWriteRejected,
     HeadWritten,
     PartsRead,
     PartsWritten,
@@ -199,7 +199,7 @@
                 write_id=head.write_id,
             )
         except PlatformConflictError:
-            return HeadWriteRefused()
+            return HeadWriteRejected()
         return HeadWritten()
 
     async def _create(self, key: str, value: object) -> None:
--- a/daisyhub/config/tests/store_model.py
+++ b/daisyhub/config/tests/store_model.py
@@ -126,7 +126,7 @@
         case acceptance.WriteHead():
             if write_head(action, store):
                 return acceptance.HeadWritten()
-            return acceptance.HeadWriteRefused()
+            return acceptance.HeadWriteRejected()
         case acceptance.WriteRefusal(record):
             store.put(f"refused/{record.write_id}", record, 0, "")
             return acceptance.RefusalWritten()
--- a/daisyhub/hosting/_lease.py
+++ b/daisyhub/hosting/_lease.py
@@ -21,7 +21,7 @@
     "LeaseTick",
     "LeaseWritten",
     "LeaseWriteFailed",
-    "LeaseWriteRefused",
+    "LeaseWriteRejected",
     "ReadLease",
     "WriteLease",
 ]
@@ -73,7 +73,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class LeaseWriteRefused:
+class LeaseWriteRejected:
     """Event: the write with this id failed on a version conflict."""
 
     write_id: int
@@ -157,7 +157,7 @@
                 return self._on_read(event, now_s)
             case LeaseWritten():
                 return self._on_write_done(event, now_s)
-            case LeaseWriteRefused() | LeaseWriteFailed():
+            case LeaseWriteRejected() | LeaseWriteFailed():
                 return self._on_write_failed(event, now_s)
         raise TypeError(f"not a lease event: {event!r}")
 
--- a/daisyhub/hosting/_lease_runner.py
+++ b/daisyhub/hosting/_lease_runner.py
@@ -19,7 +19,7 @@
     LeaseRecord,
     LeaseTick,
     LeaseWriteFailed,
-    LeaseWriteRefused,
+    LeaseWriteRejected,
     LeaseWritten,
     ReadLease,
     WriteLease,
@@ -122,7 +122,7 @@
                 write_id=f"{self._core.holder}.{action.write_id}",
             )
         except PlatformConflictError:
-            return LeaseWriteRefused(action.write_id)
+            return LeaseWriteRejected(action.write_id)
         return LeaseWritten(action.write_id, version)
 
 
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -19,7 +19,7 @@
 __all__ = [
     "BookAccessFailed",
     "BookLoaded",
-    "BookWriteRefused",
+    "BookWriteRejected",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
@@ -94,7 +94,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class BookWriteRefused:
+class BookWriteRejected:
     """Event: the write conflicted with another holder's write."""
 
 
@@ -182,7 +182,7 @@
                 return self._on_loaded(event)
             case BookWritten():
                 return self._on_written(event, now_s)
-            case BookWriteRefused() | BookAccessFailed():
+            case BookWriteRejected() | BookAccessFailed():
                 self._reset()
                 return []
             case OrderResponseReceived():
--- a/daisyhub/hosting/tests/test_proof_lease.py
+++ b/daisyhub/hosting/tests/test_proof_lease.py
@@ -20,7 +20,7 @@
     LeaseRead,
     LeaseTick,
     LeaseWriteFailed,
-    LeaseWriteRefused,
+    LeaseWriteRejected,
     LeaseWritten,
     ReadLease,
     WriteLease,
@@ -126,7 +126,7 @@
             return
         assert isinstance(action, WriteLease)
         if action.expected_version != self.version:
-            self.responses[number].append(LeaseWriteRefused(action.write_id))
+            self.responses[number].append(LeaseWriteRejected(action.write_id))
             return
         self.version += 1
         self.record = action.record
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -18,7 +18,7 @@
 from daisyhub.hosting import (
     BookAccessFailed,
     BookLoaded,
-    BookWriteRefused,
+    BookWriteRejected,
     BookWritten,
     LoadBook,
     ObservedEndpoint,
@@ -162,7 +162,7 @@
 
     def write_book(self, action):
         if action.expected_version != self.version:
-            return BookWriteRefused()
+            return BookWriteRejected()
         self.version += 1
         self.book = action.book
         return BookWritten(self.version)
