--- a/daisyhub/catalog/_controller.py
+++ b/daisyhub/catalog/_controller.py
@@ -56,6 +56,8 @@
     def adopt(self, found: StoredObject, source: str) -> bool:
         """Activates a manifest if it is valid and newer.
 
+        It is newer if its revision is higher and its version isn't lower.
+
         Args:
             found: Object of the manifest.
             source: Where the object was received from, for the log.
--- a/daisyhub/config/_acceptance.py
+++ b/daisyhub/config/_acceptance.py
@@ -1,10 +1,10 @@
 """Accepts or refuses one change of the configuration.
 
 The head is updated conditionally. If the response to an update is lost, the
-identical update is sent again until the store returns the head's version. The
-audit entry of that version then identifies the change that created it. A
-change is therefore never accepted twice, and never reported as refused after
-it took effect.
+identical update is sent again. If the store then rejects it, the stored head,
+or the audit entry of the proposed version if the head is newer, identifies the
+change that created the proposed version. A change is therefore never accepted
+twice, and never reported as refused after it took effect.
 """
 
 from collections.abc import Callable
@@ -44,7 +44,9 @@
 
 __all__ = ["AcceptanceCore"]
 
+# Per change; the delays of all retries add up to about 7 s.
 _MAX_RETRIES = 12
+# Bounds the audit entries that are read to name the teams of a conflict.
 _MAX_VERSIONS_EXPLAINED = 200
 _INITIAL_BACKOFF_S = 0.01
 _MAX_BACKOFF_S = 1.0
@@ -79,7 +81,7 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """None: the caller sets a timeout for each action."""
+        """None: no tick is needed; the caller limits each action's time."""
         return None
 
     def handle(self, event: object, now_s: float) -> list[object]:
@@ -135,10 +137,12 @@
         return self._restart()
 
     def _restart(self) -> object:
+        """Starts over from the current head: another change updated it."""
         self._proposed_head = None
         return self._retry(ReadHead())
 
     def _on_audit(self, event: AuditRead) -> object:
+        """Continues with an entry that the merge or `_resolve` requested."""
         if event.head is None:
             return self._on_missing_audit(event)
         if self._proposed_head is None:
@@ -151,7 +155,10 @@
     def _on_missing_audit(self, event: AuditRead) -> object:
         if self._proposed_head is None and event.version > self._head.version:
             return self._refuse(
-                ConfigConflictError(f"there is no version {event.version}")
+                ConfigConflictError(
+                    f"version {event.version} does not exist;"
+                    f" the current version is {self._head.version}"
+                )
             )
         return self._retry(ReadAudit(event.version))
 
@@ -244,7 +251,11 @@
     def _refuse_conflicts(
         self, conflicts: tuple[tuple[str, str], ...]
     ) -> object:
-        """Reads the versions since the base, then refuses with their teams."""
+        """Refuses a change, naming the teams that made conflicting changes.
+
+        Until the audit entries of the versions since the base are known,
+        returns the action that reads the next one.
+        """
         first = max(
             self.req.base_version, self._head.version - _MAX_VERSIONS_EXPLAINED
         )
@@ -252,16 +263,16 @@
         for version in versions:
             if version not in self._heads:
                 return ReadAudit(version)
-        parts = []
+        descriptions = []
         for section in dict.fromkeys(section for section, _ in conflicts):
             teams: dict[str, int] = {}
             for version in versions:
                 entry = self._heads[version]
                 if section in entry.changed:
                     teams.setdefault(entry.team, version)
-            names = [name for place, name in conflicts if place == section]
+            names = [name for other, name in conflicts if other == section]
             changes = [f"{t!r} in version {v}" for t, v in teams.items()]
-            parts.append(
+            descriptions.append(
                 f"section {section!r}, changed since by team"
                 f" {', '.join(changes)}: {', '.join(names)}"
             )
@@ -269,11 +280,16 @@
             ConfigConflictError(
                 f"team {self.req.team!r} started from version"
                 f" {self.req.base_version}, and the same entries were changed"
-                f" since: {'; '.join(parts)}"
+                f" since: {'; '.join(descriptions)}"
             )
         )
 
     def _check_owners(self, head: Sections, changed: tuple[str, ...]) -> None:
+        """Checks the changed sections against the owners in the current head.
+
+        Raises:
+            ConfigConflictError: A section belongs to other teams.
+        """
         owners = head.get("owners", {})
         for name in changed:
             if name in owners and self.req.team not in owners[name]:
@@ -284,6 +300,7 @@
                 )
 
     def _refuse(self, error: DaisyhubError) -> object:
+        """Records the refusal; `ChangeRefused` follows once it is stored."""
         self._refusal = error
         sections = self.req.sections or {}
         return WriteRefusal(
--- a/daisyhub/config/_acceptance_types.py
+++ b/daisyhub/config/_acceptance_types.py
@@ -43,7 +43,7 @@
         author: The person who submits the change.
         team: The author's team.
         at_s: Wall-clock time, seconds since the epoch.
-        write_id: Unique id of the change.
+        write_id: Unique id of the change, also used for its write of the head.
     """
 
     sections: Sections | None
@@ -62,7 +62,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HeadRead:
-    """Event: the store returned a head, possibly a stale one."""
+    """Event: the store returned a head, possibly a stale one.
+
+    Attributes:
+        head: The head; that of version 0 if none is stored.
+        object_version: Version of the head's object; 0 if none is stored.
+    """
 
     head: ConfigHead
     object_version: int
@@ -112,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StoreFailed:
-    """Event: the effect of the last action is unknown."""
+    """Event: the last action failed; it may have taken effect."""
 
     reason: str
 
@@ -167,7 +172,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeAccepted:
-    """Final: the active head; `is_new` if this change created it."""
+    """Final: `head` contains the change; `is_new` if the change created it.
+
+    Otherwise `head` is the current head, which already had the content.
+    """
 
     head: ConfigHead
     is_new: bool = True
@@ -182,7 +190,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ChangeInDoubt:
-    """Final: the store failed; `is_sent` if the head may still change."""
+    """Final: the retries are used up.
+
+    Attributes:
+        reason: Why the last retry was needed.
+        is_sent: Whether an update of the head was sent, so that the change
+            may have taken effect or may still do so.
+    """
 
     reason: str
     is_sent: bool
--- a/daisyhub/config/_adoption.py
+++ b/daisyhub/config/_adoption.py
@@ -29,8 +29,9 @@
     "withdrawn_digest",
 ]
 
+# Source id of the platform; the source id of a peer is its daemon id.
 PLATFORM = ""
-_MAX_PEER_FETCHES = 2
+_MAX_PEER_FETCHES = 2  # At the same time.
 _INITIAL_RETRY_DELAY_S = 0.5
 _MAX_RETRY_DELAY_S = 8.0
 _DIGEST_BYTES = 8
@@ -58,7 +59,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerSummaryReceived:
-    """Event: a peer's heartbeat reported its configuration state."""
+    """Event: a peer's heartbeat reported its configuration state.
+
+    Attributes:
+        daemon_id: Id of the peer.
+        version: The peer's active version.
+        withdrawn_count: Number of withdrawn key ids that the peer knows.
+        withdrawn_digest: Their digest, as of `withdrawn_digest`.
+    """
 
     daemon_id: str
     version: int
@@ -75,7 +83,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerStateFetched:
-    """Event: a peer answered `FetchFromPeer`."""
+    """Event: a peer answered `FetchFromPeer`.
+
+    Attributes:
+        daemon_id: Id of the peer.
+        head: The head of the peer's active version.
+        contents: Texts of the requested parts, by digest.
+        withdrawn: All key ids that the peer knows as withdrawn.
+    """
 
     daemon_id: str
     head: ConfigHead
@@ -104,7 +119,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class FetchFromPeer:
-    """Action: request a peer's head and the parts not in `known_digests`."""
+    """Action: request a peer's configuration state.
+
+    This is its head, its withdrawn key ids, and the parts of the head whose
+    digests aren't in `known_digests`.
+    """
 
     daemon_id: str
     known_digests: tuple[str, ...]
@@ -119,14 +138,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WithdrawKeys:
-    """Action: reject all of these keys from now on."""
+    """Action: reject these keys from now on; lists all withdrawn keys."""
 
     key_ids: frozenset[str]
 
 
 @dataclasses.dataclass(slots=True)
 class _Source:
-    """State and fetch retries of a peer or the platform."""
+    """Last reported state of a peer or the platform, and fetches from it.
+
+    Attributes:
+        version: Reported version; 0 for a peer from a completed fetch until
+            its next heartbeat.
+        withdrawn_count: Number of withdrawn key ids; 0 for the platform.
+        withdrawn_digest: Digest of the withdrawn key ids.
+        is_fetching: Whether a fetch is in progress.
+        failures: Number of consecutive failed fetches, at most 8.
+        retry_at_s: Earliest time of the next fetch.
+    """
 
     version: int = 0
     withdrawn_count: int = 0
@@ -160,7 +189,7 @@
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """When to retry a failed fetch; None if no retry is due."""
+        """Time of the next retry of a failed fetch; None if there is none."""
         return self._next_retry_s
 
     def handle(self, event: object, now_s: float) -> list[object]:
@@ -224,6 +253,7 @@
     def _adopt(
         self, source_id, head: ConfigHead, contents, now_s
     ) -> list[object]:
+        """Activates a newer head; missing or invalid parts fail the fetch."""
         if head.version <= self.version:
             return self._on_success(source_id)
         try:
@@ -253,11 +283,13 @@
         delay_s = min(
             _MAX_RETRY_DELAY_S, _INITIAL_RETRY_DELAY_S * 2**source.failures
         )
+        # The limit only keeps the power above small.
         source.failures = min(source.failures + 1, 8)
         source.retry_at_s = now_s + delay_s
         return []
 
     def _withdraw(self, key_ids: tuple[str, ...]) -> list[object]:
+        """Adds withdrawn key ids; no action if all of them are known."""
         if self.withdrawn.issuperset(key_ids):
             return []
         self.withdrawn = self.withdrawn.union(key_ids)
@@ -265,6 +297,7 @@
         return [WithdrawKeys(self.withdrawn)]
 
     def _is_ahead(self, source_id: str, source: _Source) -> bool:
+        """Whether a source has a newer version, or may have unknown key ids."""
         if source.version > self.version:
             return True
         if source_id == PLATFORM or not source.withdrawn_count:
--- a/daisyhub/config/_merge.py
+++ b/daisyhub/config/_merge.py
@@ -29,7 +29,7 @@
 
     A section that `requested` omits is unchanged; an entry that a requested
     section omits is removed. Entries that equal those of `base` keep their
-    content in `head`.
+    content in `head`, and so do entries in conflict.
     """
     merged = {name: dict(entries) for name, entries in head.items()}
     conflicts = []
--- a/daisyhub/config/_parts.py
+++ b/daisyhub/config/_parts.py
@@ -31,6 +31,8 @@
 Sections = dict[str, dict[str, object]]
 
 _MEAN_ENTRIES_PER_PART = 64
+# The platform stores values of at most one megabyte. A part is stored as a
+# JSON string, in which escaped quotes can double its size.
 _MAX_PART_CHARS = 400_000
 _MAX_ENTRY_CHARS = 400_000
 
@@ -55,7 +57,8 @@
         References sorted by section name, and part texts by digest.
 
     Raises:
-        PartsError: An entry exceeds the platform's size limit.
+        PartsError: An entry exceeds `_MAX_ENTRY_CHARS`, so that the platform
+            may not be able to store it.
     """
     refs, contents = [], {}
     for name in sorted(sections):
@@ -68,6 +71,7 @@
 
 
 def _split_entries(section: str, entries: dict[str, object]) -> Iterator[dict]:
+    """Yields the entries of each part; one empty part if there are none."""
     part: dict[str, object] = {}
     part_chars = 0
     for name in sorted(entries):
@@ -99,7 +103,9 @@
     for ref in head.sections:
         text = contents.get(ref.digest)
         if text is None or digest_of(text) != ref.digest:
-            raise PartsError(f"part {ref.digest} is missing or damaged")
+            raise PartsError(
+                f"section {ref.name!r}: part {ref.digest} is missing or damaged"
+            )
         sections.setdefault(ref.name, {}).update(_decode_part(text))
     return sections
 
@@ -110,7 +116,9 @@
     except ValueError as exc:
         raise PartsError(f"unreadable part: {exc}") from exc
     if not isinstance(value, dict):
-        raise PartsError("a part must be an object")
+        raise PartsError(
+            f"a part must be a JSON object, not {type(value).__name__}"
+        )
     return value
 
 
--- a/daisyhub/config/_records.py
+++ b/daisyhub/config/_records.py
@@ -17,7 +17,12 @@
 
 
 class SectionRef(msgspec.Struct, frozen=True, kw_only=True):
-    """References one part of a section by its SHA-256 digest, in hex."""
+    """Reference to one part of a section.
+
+    Attributes:
+        name: Name of the section.
+        digest: SHA-256 digest of the part's text, in hex.
+    """
 
     name: str
     digest: str
@@ -27,8 +32,9 @@
     """A version of the configuration; the latest one is active.
 
     Attributes:
-        version: Incremented by each accepted change.
-        sections: References to the parts of all sections, in order.
+        version: Incremented by each accepted change; 0 before the first.
+        sections: References to the parts of all sections, sorted by section
+            name and by the entry names within the parts.
         author: The person who submitted the change.
         team: The author's team.
         changed: Names of the changed sections.
@@ -62,7 +68,7 @@
         at_s: Wall-clock time, seconds since the epoch.
         base_version: The version that the team edited.
         head_version: The version that was active.
-        sections: Names of the submitted sections.
+        sections: Names of the submitted sections; empty for a revert.
         reason: Error message of the refusal.
     """
 
@@ -83,7 +89,13 @@
 
 
 class WithdrawnKey(msgspec.Struct, frozen=True, kw_only=True):
-    """The audit entry of a key's withdrawal."""
+    """The audit entry of a key's withdrawal.
+
+    Attributes:
+        key_id: The withdrawn key id.
+        author: The person who withdrew the key.
+        at_s: Wall-clock time, seconds since the epoch.
+    """
 
     key_id: str
     author: str
--- a/daisyhub/config/_store.py
+++ b/daisyhub/config/_store.py
@@ -52,6 +52,7 @@
 
 __all__ = ["ConfigStore"]
 
+# Daemons watch all objects under `news/`.
 HEAD_KEY = "news/config"
 WITHDRAWN_KEY = "news/keys"
 PART_PREFIX = "config/part/"
@@ -82,6 +83,7 @@
         found = await self._client.get(_audit_key(version))
         if found is not None:
             return msgspec.convert(found.value, ConfigHead)
+        # The entry may be missing while the version is the current one.
         head, _ = await self.read_head()
         return head if head.version == version else None
 
@@ -123,12 +125,14 @@
             revert_to: The version to restore; 0 for none.
 
         Returns:
-            The new head, or the active one if nothing changed.
+            The new head, or the current one if nothing changed.
 
         Raises:
-            ConfigConflictError: Another team changed the same entries, or a
-                section belongs to another team.
+            ConfigConflictError: The same entries were changed since
+                `base_version`, a section belongs to another team, or
+                `base_version` or `revert_to` doesn't exist.
             DocumentError: The merged document is invalid.
+            PartsError: An entry is too large, or a stored part is damaged.
             PlatformUnavailableError: The message says whether the change
                 may have taken effect.
         """
@@ -158,12 +162,13 @@
             action = core.handle(event, 0.0)[0]
 
     async def _perform(self, action: object) -> object:
+        """Performs an action; returns the event that reports its outcome."""
         try:
-            return await self._perform_unguarded(action)
+            return await self._perform_or_raise(action)
         except PlatformUnavailableError as exc:
             return StoreFailed(str(exc))
 
-    async def _perform_unguarded(self, action: object) -> object:
+    async def _perform_or_raise(self, action: object) -> object:
         match action:
             case ReadHead():
                 return HeadRead(*await self.read_head())
@@ -225,10 +230,15 @@
     async def withdraw_key(
         self, key_id: str, *, author: str = "", at_s: float = 0.0
     ) -> None:
-        """Adds a key id to the withdrawn set and records the author.
+        """Adds a key id to the withdrawn set and records who withdrew it.
+
+        Args:
+            key_id: The key id; no error if it is withdrawn already.
+            author: The person who withdraws the key.
+            at_s: Wall-clock time, seconds since the epoch.
 
         Raises:
-            PlatformUnavailableError: The outcome is unknown.
+            PlatformUnavailableError: The key may or may not be withdrawn.
         """
         for _ in range(_MAX_WITHDRAW_ATTEMPTS):
             if await self._try_withdraw(key_id):
@@ -238,9 +248,13 @@
                 )
                 return
             await anyio.sleep(_RETRY_DELAY_S)
-        raise PlatformUnavailableError(f"key {key_id}: concurrent writes")
+        raise PlatformUnavailableError(
+            f"key {key_id}: {_MAX_WITHDRAW_ATTEMPTS} attempts to withdraw it"
+            " met concurrent writes"
+        )
 
     async def _try_withdraw(self, key_id: str) -> bool:
+        """Returns whether the key id is withdrawn; False after a conflict."""
         known, version = await self.read_withdrawn()
         if key_id in known:
             return True
@@ -257,7 +271,7 @@
         return True
 
     async def read_withdrawn(self) -> tuple[tuple[str, ...], int]:
-        """Returns the withdrawn key ids and the version of their object."""
+        """Returns the withdrawn key ids and their object's version, or 0."""
         found = await self._client.get(WITHDRAWN_KEY)
         if found is None:
             return (), 0
--- a/daisyhub/config/tests/store_model.py
+++ b/daisyhub/config/tests/store_model.py
@@ -25,6 +25,7 @@
         return self.states[-1]
 
     def at(self, lag):
+        """Returns the state of `lag` writes ago, or the first one."""
         return self.states[max(0, len(self.states) - 1 - lag)]
 
     def put(self, key, value, expected, write_id):
@@ -45,8 +46,8 @@
     def watch(self, after, lag):
         """Returns (revision, objects under `news/` changed after `after`)."""
         revision = max(0, len(self.states) - 1 - lag)
-        news = [o for k, o in self.at(lag).items() if k.startswith("news/")]
-        return revision, tuple(o for o in news if o.revision > after)
+        found = [o for k, o in self.at(lag).items() if k.startswith("news/")]
+        return revision, tuple(o for o in found if o.revision > after)
 
 
 class Operator:
@@ -104,9 +105,9 @@
         return acceptance.StoreFailed("down")
     if fault == "late" and isinstance(action, acceptance.WriteHead):
         late.append(action)
-        return acceptance.StoreFailed("no answer")
-    event = _perform_unguarded(action, store, lag)
-    return acceptance.StoreFailed("no answer") if fault == "lose" else event
+        return acceptance.StoreFailed("no response")
+    event = _perform_without_fault(action, store, lag)
+    return acceptance.StoreFailed("no response") if fault == "lose" else event
 
 
 def write_head(action, store):
@@ -114,7 +115,7 @@
     return store.put(HEAD, head, action.expected_version, head.write_id)
 
 
-def _perform_unguarded(action, store, lag):
+def _perform_without_fault(action, store, lag):
     match action:
         case acceptance.WriteParts(contents):
             for digest, text in contents.items():
--- a/daisyhub/config/tests/test_proof_config.py
+++ b/daisyhub/config/tests/test_proof_config.py
@@ -64,17 +64,19 @@
     "client_accounts": lambda n: {"weight": n},
     "endpoint_pools": lambda n: {"kind": "engine", "budget": n},
 }
+# Faults of an operator's action, see `store_model.perform`; mostly none.
 FAULTS = st.sampled_from(["", "", "", "", "lose", "late", "fail"])
+# Number of writes by which a read is stale.
 LAGS = st.sampled_from([0, 0, 0, 1, 3, 8])
 
 
 class Daemon:
     """A daemon between two restarts."""
 
-    def __init__(self, core_class, news_class):
+    def __init__(self, core_class, watch_class):
         self.core = core_class()
-        self.news = news_class(("news/keys", "news/config"), 20.0)
-        self.next_watch = self.news.handle(WatchStarted(), 0.0)[-1]
+        self.watch_core = watch_class(("news/keys", "news/config"), 20.0)
+        self.next_watch = self.watch_core.handle(WatchStarted(), 0.0)[-1]
         self.fetches = []
         self.last_version = 0
         self.last_withdrawn = frozenset()
@@ -92,7 +94,7 @@
 
     acceptance_class = AcceptanceCore
     adoption_class = AdoptionCore
-    news_class = WatchCore
+    watch_class = WatchCore
 
     @initialize()
     def start(self):
@@ -111,7 +113,7 @@
         self.key_ids = set()
 
     def new_daemon(self):
-        return Daemon(self.adoption_class, self.news_class)
+        return Daemon(self.adoption_class, self.watch_class)
 
     # Rules of the operators.
 
@@ -128,7 +130,14 @@
     def change(
         self, team, section, entry, number, age, faults, is_revert, mode
     ):
-        """Starts a change, perhaps based on an old version."""
+        """Starts a change, or finishes the team's pending one.
+
+        The change sets the weight or budget of one entry to `number`, or
+        removes the entry if `number` is 0; or it reverts to an old version.
+        It is based on the version of `age` versions ago. `mode` is `whole` to
+        finish it under `faults`, `pause` to stop before the update of the
+        head, or the fault of that update.
+        """
         operator = self.operators[team]
         if operator.core and not operator.final:
             self.finish(operator, faults)
@@ -154,7 +163,6 @@
         if mode == "whole":
             self.finish(operator, faults)
             return
-        # Stops at the update of the head, or applies a fault there.
         while not operator.final and not isinstance(
             operator.next_action, WriteHead
         ):
@@ -187,6 +195,7 @@
 
     @rule()
     def late_write(self):
+        """Performs the oldest delayed update of the head."""
         if self.late_writes:
             write_head(self.late_writes.pop(0), self.store)
             self.check_head()
@@ -249,23 +258,24 @@
             event = WatchResponseReceived(
                 *self.store.watch(daemon.next_watch.after_revision, lag)
             )
-        for action in daemon.news.handle(event, self.now_s):
+        for action in daemon.watch_core.handle(event, self.now_s):
             if isinstance(action, WatchObjects):
                 daemon.next_watch = action
                 continue
             assert isinstance(action, DeliverObject)
-            self.deliver_news(daemon, action, is_failing)
+            self.deliver(daemon, action, is_failing)
 
-    def deliver_news(self, daemon, action, is_failing):
+    def deliver(self, daemon, action, is_failing):
         if is_failing:
             failed = DeliveryFailed(action.listener, action.found)
-            daemon.news.handle(failed, self.now_s)
+            daemon.watch_core.handle(failed, self.now_s)
             return
         value = action.found.value
+        # Listener 0 watches the withdrawn keys, listener 1 the head.
         event = HeadReceived(value) if action.listener else None
         daemon.feed(event or WithdrawnKeysReceived(value.key_ids), self.now_s)
         done = ObjectDelivered(action.listener, action.found)
-        daemon.news.handle(done, self.now_s)
+        daemon.watch_core.handle(done, self.now_s)
 
     @rule(
         name=st.sampled_from(DAEMONS),
@@ -368,6 +378,7 @@
         if not hasattr(self, "store"):
             return
         self.partitions.clear()
+        # In part of the runs, peers must converge first without the store.
         if len(self.store.states) % 2:
             best = max(d.core.version for d in self.daemons.values())
             self.settle()
@@ -403,6 +414,7 @@
             self.never_reverts()
 
     def check_audit(self, newest):
+        """Checks all audit entries but the newest, which may be missing."""
         for version in range(1, newest):
             entry = self.store.current[f"audit/{version}"]
             assert entry.value.write_id == self.accepted_ids[version - 1]
@@ -443,7 +455,7 @@
 
 
 class SkipsFailedDeliveries(WatchCore):
-    """Broken: doesn't deliver news again that a listener failed to process."""
+    """Broken: drops objects that a listener failed to process."""
 
     def _on_delivery_failed(self, event, now_s):
         pass
@@ -468,7 +480,7 @@
             AdoptsLowerVersion: "adoption_class",
             NeverRetries: "adoption_class",
             ReplacesWithdrawnKeys: "adoption_class",
-            SkipsFailedDeliveries: "news_class",
+            SkipsFailedDeliveries: "watch_class",
         }
         for core_class, attribute in broken.items():
             with self.subTest(core_class.__name__):
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -1,4 +1,7 @@
-"""Client of the platform: stored objects, leases, endpoint orders, usage."""
+"""Client of the product's own platform API: objects, leases, orders, usage.
+
+`daisyhub.platform` contains the adapters to the users' platform.
+"""
 
 from daisyhub.hosting._client import (
     EndpointRecord,
--- a/daisyhub/hosting/_client.py
+++ b/daisyhub/hosting/_client.py
@@ -1,4 +1,4 @@
-"""Client of the platform's HTTP API."""
+"""Client of the HTTP API of the product's own platform."""
 
 import urllib.parse
 from typing import Any, Literal
@@ -54,7 +54,7 @@
 
 
 class EndpointRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """An entry of the platform's endpoint list, which may lag.
+    """An entry of the platform's endpoint list, which may be out of date.
 
     Attributes:
         endpoint_id: Unique id.
@@ -103,7 +103,16 @@
 
 
 class PlatformClient:
-    """Calls the platform; all methods may raise `PlatformUnavailableError`."""
+    """Calls the platform.
+
+    All methods may raise `PlatformUnavailableError`: the platform is
+    unreachable, or its response is an error or invalid.
+
+    Args:
+        address: Address of the platform.
+        http: Sends the requests.
+        timeout_s: Timeout of a request, in seconds.
+    """
 
     def __init__(self, address: Address, http: HttpClient, timeout_s: float):
         self._address = address
@@ -148,8 +157,8 @@
     ) -> int:
         """Writes an object if it is at `expected_version` (0 if absent).
 
-        If the response is lost, the object is read back and its write id
-        tells whether the write took effect.
+        If the response is lost, the object is read back, and its write id
+        shows whether the write took effect.
 
         Returns:
             The new version.
@@ -173,13 +182,18 @@
         return _decode(response, PlatformObject).version
 
     async def _resolve_put(self, key, expected_version, write_id) -> int:
+        """Determines the outcome of a write from the stored object.
+
+        An object that is still at `expected_version` leaves it unknown: the
+        write may take effect later.
+        """
         found = await self._read_back(key)
         if found is not None and found.write_id == write_id:
             return found.version
         version = found.version if found is not None else 0
         if version == expected_version:
             raise PlatformUnavailableError(
-                f"{key}: outcome of the write is unknown"
+                f"object {key!r}: the outcome of the write is unknown"
             )
         raise PlatformConflictError(key, version)
 
@@ -204,7 +218,8 @@
         """Orders an endpoint to start or stop; idempotent.
 
         Returns:
-            The endpoint's id, or an empty string if the order was refused.
+            The endpoint's id, or an empty string if the platform refused the
+            order permanently.
         """
         body = msgspec.json.encode(OrderRequest(order=order, fencing=fencing))
         target = f"/domains/{_quote(domain)}/orders"
--- a/daisyhub/hosting/_lease.py
+++ b/daisyhub/hosting/_lease.py
@@ -35,7 +35,8 @@
     Attributes:
         holder: Id of the holder; empty after a release.
         fencing: Fencing number, incremented when a process acquires the lease.
-        term_s: Seconds without a change after which the lease expires.
+        term_s: Seconds without a change, plus a margin, after which another
+            process may acquire the lease.
     """
 
     holder: str
@@ -58,7 +59,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRead:
-    """Event: the lease was read; `record` is None if it doesn't exist."""
+    """Event: the lease was read; None and version 0 if it doesn't exist."""
 
     record: LeaseRecord | None
     version: int
@@ -74,7 +75,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseWriteRejected:
-    """Event: the write with this id failed on a version conflict."""
+    """Event: the write with this id was rejected by a version conflict."""
 
     write_id: int
 
@@ -104,7 +105,8 @@
     """Decides when to read, acquire, renew and release one lease.
 
     Args:
-        holder: Id of this process; must change with each restart.
+        holder: Id of this process; must change with each restart, so that a
+            process doesn't mistake its predecessor's lease for its own.
         term_s: Term of the lease, in seconds.
         margin_s: Safety margin in seconds. The holder stops using the lease
             this much earlier, and others wait this much longer.
@@ -132,7 +134,12 @@
         return None if self._is_request_pending else self._next_tick_s
 
     def fencing_if_held(self, now_s: float, extra_margin_s: float = 0) -> int:
-        """Returns the fencing number, or 0 if the lease may have expired."""
+        """Returns the fencing number, or 0 if the lease may have expired.
+
+        Args:
+            now_s: The current time.
+            extra_margin_s: Seconds before the expiry from which to return 0.
+        """
         if now_s + extra_margin_s < self._valid_until_s:
             return self._fencing
         return 0
@@ -178,7 +185,7 @@
         return self._read()
 
     def _discard_observation(self, now_s: float) -> list[object]:
-        """Discards the observed state, which would be stale in a candidate."""
+        """Discards the observed state; a candidate must read it again."""
         self._observed_version = None
         self._observed_record = None
         self._next_tick_s = now_s + self.term_s / _RENEWALS_PER_TERM
--- a/daisyhub/hosting/_lease_runner.py
+++ b/daisyhub/hosting/_lease_runner.py
@@ -41,7 +41,7 @@
     Args:
         name: Name of the lease in the store.
         core: Decides when to read and to write.
-        client: The platform.
+        client: Client of the platform.
         is_candidate: Returns whether this process should try to acquire the
             lease of the given name.
     """
@@ -64,7 +64,7 @@
         return self._core.fencing_if_held(boot_time_s())
 
     def fencing_with_margin(self, extra_margin_s: float) -> int:
-        """Returns `fencing`, or 0 from `extra_margin_s` before expiry."""
+        """Returns `fencing`, or 0 if less than `extra_margin_s` remains."""
         return self._core.fencing_if_held(boot_time_s(), extra_margin_s)
 
     @property
@@ -80,7 +80,7 @@
             await self._feed(LeaseTick(self._is_candidate(self.name)))
 
     async def release(self) -> None:
-        """Releases the lease; gives up if the store doesn't respond in time."""
+        """Releases the lease; a failure to store the release is ignored."""
         self._core.release()
         with (
             anyio.move_on_after(_RELEASE_TIMEOUT_S, shield=True),
@@ -130,7 +130,7 @@
     """Creates leases for one process.
 
     Args:
-        client: The platform.
+        client: Client of the platform.
         holder: Id of this process; must change with each restart.
         timing: Term and margin of the leases.
     """
@@ -144,11 +144,14 @@
         self._candidate_rule: CandidateRule = _is_always_candidate
 
     def set_candidate_rule(self, rule: CandidateRule) -> None:
-        """Sets the predicate that selects the duties to try to acquire."""
+        """Sets the rule that returns whether to try to acquire a duty.
+
+        It also applies to duty leases that exist already.
+        """
         self._candidate_rule = rule
 
     def new_lease(self, name: str) -> Lease:
-        """Returns a lease, not yet held, that this process always tries for."""
+        """Returns a lease that this process always tries to acquire."""
         return Lease(name, self._new_core(), self._client, _is_always_candidate)
 
     def new_duty_lease(self, name: str) -> Lease:
--- a/daisyhub/hosting/_orders.py
+++ b/daisyhub/hosting/_orders.py
@@ -5,7 +5,7 @@
 it is sent. A new holder first writes the book with its own fencing number,
 which prevents an earlier holder from adding orders, and then resends the
 pending orders with the same ids. Two holders can therefore only send the same
-orders, and a change of holder can't exceed a pool's maximum.
+orders, and no pool exceeds its maximum after a change of holder.
 """
 
 import dataclasses
@@ -33,6 +33,8 @@
 ]
 
 _RESEND_INTERVAL_S = 2.0
+# An answered order counts as completed after this time, even if the platform's
+# list doesn't show its effect.
 _LISTING_TIMEOUT_S = 120.0
 
 
@@ -95,7 +97,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class BookWriteRejected:
-    """Event: the write conflicted with another holder's write."""
+    """Event: the book wasn't written, as it is at another version."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -118,7 +120,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderOutcomeUnknown:
-    """Event: the order failed, or whether it took effect is unknown."""
+    """Event: the order wasn't sent, or it is unknown if it took effect."""
 
     order_id: str
 
@@ -138,7 +140,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """Action: check the lease immediately before sending the order."""
+    """Action: send the order, after a check that the lease is still held."""
 
     order: EndpointOrder
     fencing: int
@@ -225,7 +227,8 @@
         """Returns the orders whose effect isn't listed yet.
 
         An accepted order stays pending until the platform's lagging list
-        shows its effect, so that no endpoint is ordered twice.
+        shows its effect, or until a timeout, so that no endpoint is ordered
+        twice.
         """
         listed = {e.endpoint_id for p in pool_states for e in p.endpoints}
         leaving = {
@@ -251,6 +254,7 @@
         self, order: EndpointOrder, listed, leaving, now_s
     ) -> bool:
         endpoint_id = self._responses.get(order.order_id)
+        # An empty id is a permanent refusal, None is no response.
         if endpoint_id == "":
             return True
         if not self._has_response(order):
@@ -263,6 +267,7 @@
         return order.endpoint_id not in listed or order.endpoint_id in leaving
 
     def _has_response(self, order: EndpointOrder) -> bool:
+        """Whether the platform responded, to this or an earlier holder."""
         if order.kind == "start" and order.endpoint_id:
             return True
         return order.order_id in self._responses
@@ -271,6 +276,7 @@
         if not self._is_loading:
             return []
         self._is_loading = False
+        # A higher fencing number is that of a later holder.
         if not self._fencing or event.book.fencing > self._fencing:
             return []
         self._book = event.book
--- a/daisyhub/hosting/_pool_sizing.py
+++ b/daisyhub/hosting/_pool_sizing.py
@@ -12,16 +12,24 @@
 
 __all__ = ["ObservedEndpoint", "PoolState", "PoolSizer", "SizingDecision"]
 
-MAX_PENDING_ORDERS = 4
+MAX_PENDING_ORDERS = 4  # In one pool.
 SHRINK_DELAY_S = 60.0
 CHEAP_BACKOFF_S = 60.0
-MASS_LOSS_SHARE = 0.5
-_SHRINK_HYSTERESIS = 0.5
+MASS_LOSS_SHARE = 0.5  # Of the cheap endpoints, between two observations.
+_SHRINK_HYSTERESIS = 0.5  # Share of the target load of one endpoint.
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class ObservedEndpoint:
-    """An endpoint's state as observed by the lease holder."""
+    """An endpoint's state as observed by the lease holder.
+
+    Attributes:
+        endpoint_id: Unique id.
+        cheap: Whether the platform may reclaim it at a few seconds' notice.
+        is_leaving: Whether it is about to stop.
+        load: Estimated number of open requests.
+        capacity: Number of requests that it serves concurrently.
+    """
 
     endpoint_id: str
     cheap: bool
@@ -75,7 +83,7 @@
         self._cheap_paused_until_s = 0.0
 
     def observe(self, pool_state: PoolState, now_s: float) -> None:
-        """Detects a mass loss of cheap endpoints."""
+        """Detects a mass loss of cheap endpoints since the previous call."""
         cheap_ids = frozenset(
             endpoint.endpoint_id
             for endpoint in pool_state.endpoints
@@ -133,6 +141,7 @@
     def _grow(
         self, pool_state, count, cheap_count, new_count, now_s
     ) -> SizingDecision:
+        """Starts `new_count` endpoints, cheap ones as far as allowed."""
         may_be_cheap = now_s >= self._cheap_paused_until_s
         cheap = 0
         for total in range(count + 1, count + new_count + 1):
@@ -155,7 +164,12 @@
 
 
 def _target_count(pool_state: PoolState, count: int) -> int:
-    """Returns the number of endpoints for the load, within the limits."""
+    """Returns the number of endpoints for the load, within the limits.
+
+    Args:
+        pool_state: Observed endpoints and limits of the pool.
+        count: Number of remaining and starting endpoints.
+    """
     load = sum(endpoint.load for endpoint in pool_state.endpoints)
     capacity = max(
         (endpoint.capacity for endpoint in pool_state.endpoints), default=1
--- a/daisyhub/hosting/tests/test_proof_lease.py
+++ b/daisyhub/hosting/tests/test_proof_lease.py
@@ -27,6 +27,8 @@
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
+# A holder uses its lease for 5 s after a renewal; others wait for 7 s.
+# The machine advances the time by 4.9 s and 7.1 s, next to these limits.
 TERM_S = 6.0
 MARGIN_S = 1.0
 PROCESSES = (0, 1)
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -92,6 +92,7 @@
     def change_load(self, load):
         self.load = load
 
+    # Longer than the resend interval, or than the delays of the pool sizing.
     @rule(seconds=st.sampled_from([3.0, 70.0]))
     def pass_time(self, seconds):
         self.now_s += seconds
--- a/daisyhub/identity/_keys.py
+++ b/daisyhub/identity/_keys.py
@@ -68,7 +68,12 @@
 
 
 def hash_secret(secret: str, hash_key: str) -> str:
-    """Returns the HMAC-SHA-256 of a key's secret part, in hex."""
+    """Returns the HMAC-SHA-256 of a key's secret part, in hex.
+
+    Args:
+        secret: The secret part.
+        hash_key: Key of the HMAC, in hex.
+    """
     digest = hmac.new(bytes.fromhex(hash_key), secret.encode(), hashlib.sha256)
     return digest.hexdigest()
 
@@ -92,7 +97,7 @@
         return tuple(sorted(self._withdrawn))
 
     def add_listener(self, listener: Callable[[str], None]) -> None:
-        """Registers a callback that is called with each invalidated key id."""
+        """Registers a callback for key ids that are withdrawn or removed."""
         self._listeners.append(listener)
 
     def replace_keys(self, keys: dict[str, ClientKey]) -> None:
@@ -120,6 +125,7 @@
         Raises:
             Refusal: The key is unknown or withdrawn, or its secret is wrong.
         """
+        # An unknown key id is hashed and compared like a known one.
         entry = self._keys.get(key.key_id)
         actual = hash_secret(key.secret, self.hash_key)
         expected = entry.secret_hash if entry else "0" * len(actual)
--- a/daisyhub/identity/tests/test_proof_keys.py
+++ b/daisyhub/identity/tests/test_proof_keys.py
@@ -111,6 +111,8 @@
         )
 
     def send(self, path, query, headers, body):
+        """Returns the texts that a client or a log could show."""
+
         async def read_body(_):
             return body
 
@@ -162,6 +164,7 @@
         if SEED is not None:
             run = hypothesis.seed(int(SEED))(run)
         run()
+        # Guards against examples that are nearly all refused.
         self.assertGreater(self.forwarded_count, EXAMPLES / 20)
 
     def test_detects_an_unrestricted_header_list(self):
