--- a/daisyhub/cli/_base.py
+++ b/daisyhub/cli/_base.py
@@ -79,6 +79,8 @@
 
         Raises:
             UsageError: `--settings` is missing.
+            DocumentError: The settings file is invalid.
+            OSError: The settings file can't be read.
         """
         if self._cfg is None:
             if not SETTINGS.value:
--- a/daisyhub/cli/_config.py
+++ b/daisyhub/cli/_config.py
@@ -69,10 +69,14 @@
 
     name = "check"
     usage = "check FILE"
-    summary = "Checks a configuration document and prints every fault."
+    summary = "Checks a configuration document and prints all errors."
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Prints the number of entries of each section."""
+        """Prints the number of entries of each section.
+
+        Raises:
+            DocumentError: The document is invalid; lists all errors.
+        """
         document = check_config(_read_document(args), args[0])
         rows = [
             {"section": name, "entries": len(getattr(document, name))}
@@ -117,17 +121,17 @@
 
 
 class ApplyCommand(Command):
-    """Applies and activates a document's sections."""
+    """Activates a document's changes as a new version."""
 
     name = "apply"
     usage = "apply FILE --team=NAME [--base=VERSION]"
     summary = (
-        "Carries a document's changes relative to the base over to the"
-        " version in force."
+        "Applies a document's changes relative to the base to the active"
+        " version."
     )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Prints the new version and the changed sections."""
+        """Prints the new version, or the current one if nothing changed."""
         text = _read_document(args)
         check_config(text, args[0])
         sections = json.loads(remove_comments(text))
@@ -148,7 +152,7 @@
 
     name = "revert-to"
     usage = "revert-to VERSION --team=NAME"
-    summary = "Puts an earlier version's content in force as a new version."
+    summary = "Activates an earlier version's content as a new version."
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
         """Prints the new version."""
--- a/daisyhub/cli/_endpoints.py
+++ b/daisyhub/cli/_endpoints.py
@@ -18,7 +18,7 @@
     usage = "endpoint list FAILURE_DOMAIN | endpoint drain FAILURE_DOMAIN ID"
     summary = (
         "Lists a failure domain's endpoints; takes one out of service until"
-        " it is started anew."
+        " it is restarted."
     )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
--- a/daisyhub/cli/_keys.py
+++ b/daisyhub/cli/_keys.py
@@ -13,7 +13,7 @@
     name = "key"
     usage = "key create ACCOUNT --team=NAME | key withdraw KEY_ID | key list"
     summary = (
-        "Makes a key, shown once, and puts its hash in force; withdraws one"
+        "Creates a key, shown once, and activates its hash; withdraws one"
         " within seconds; lists keys."
     )
 
--- a/daisyhub/cli/_main.py
+++ b/daisyhub/cli/_main.py
@@ -58,7 +58,7 @@
     return "\n".join(lines)
 
 
-async def _run_command(
+async def _run_and_close(
     command: Command, args: list[str], ctx: Context
 ) -> ExitCode:
     try:
@@ -79,7 +79,7 @@
 def run_command(command: Command, args: list[str], ctx: Context) -> int:
     """Runs one command; prints its error and returns its exit code."""
     try:
-        return anyio.run(_run_command, command, args, ctx)
+        return anyio.run(_run_and_close, command, args, ctx)
     except OSError as exc:
         print(exc, file=sys.stderr)
         return ExitCode.USAGE
--- a/daisyhub/cli/_status.py
+++ b/daisyhub/cli/_status.py
@@ -11,7 +11,10 @@
 
 
 async def _read_statuses(ctx: Context) -> dict[str, dict | None]:
-    """Returns the status of each daemon by id; None if it is unreachable."""
+    """Returns the status of each daemon by id.
+
+    None if the daemon is unreachable or its response is invalid.
+    """
     statuses = {}
     for daemon_id, address in sorted(ctx.cfg.daemons.items()):
         statuses[daemon_id] = None
@@ -36,7 +39,9 @@
 
     name = "status"
     usage = "status"
-    summary = "Shows the version in force on each daemon and what it holds."
+    summary = (
+        "Shows each daemon's active version and the duties and lots it holds."
+    )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
         """Prints a row for each daemon in the settings."""
@@ -70,7 +75,10 @@
     summary = "Shows the trainer lots that daemons serve."
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
-        """Prints a row for each lot and daemon."""
+        """Prints a row for each lot and daemon.
+
+        Returns `INVALID` if no daemon serves the lot to show.
+        """
         match args:
             case ["list"]:
                 wanted_lot_id = None
--- a/daisyhub/cli/_usage.py
+++ b/daisyhub/cli/_usage.py
@@ -16,8 +16,8 @@
     name = "usage"
     usage = "usage show [FAILURE_DOMAIN]"
     summary = (
-        "Shows sealed usage that may not be reported yet; what is reported"
-        " is kept by the platform."
+        "Shows sealed usage that may not be reported yet; the platform keeps"
+        " reported usage."
     )
 
     async def run(self, ctx: Context, args: list[str]) -> ExitCode:
--- a/daisyhub/cli/tests/__init__.py
+++ b/daisyhub/cli/tests/__init__.py
@@ -1,1 +1,1 @@
-"""Tests of the package."""
+"""Tests of the command line."""
--- a/daisyhub/cli/tests/test_commands.py
+++ b/daisyhub/cli/tests/test_commands.py
@@ -91,7 +91,7 @@
         return str(path)
 
     def run_cli(self, *args, code=ExitCode.OK, **flag_values):
-        """Returns the printed rows, or the text on stderr without any."""
+        """Returns the printed rows, or stderr if nothing was printed."""
         command = next(c for c in COMMANDS if c.name == args[0])
         out, err = io.StringIO(), io.StringIO()
         ctx = Context()
@@ -158,6 +158,7 @@
         self.apply(whole, base=1, code=ExitCode.INVALID)
 
     def test_large_sections_are_split_over_several_values(self):
+        # More than 1 MB, the maximum size of one value on the platform.
         accounts = {f"{n:0>120}": {"weight": 1} for n in range(8000)}
         self.apply({"client_accounts": accounts})
         accounts[f"{7:0>120}"] = {"weight": 2}
--- a/daisyhub/platform/__init__.py
+++ b/daisyhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters between the product and the users' platform; they only translate."""
+"""Runs a daemon on the users' platform; the adapters only translate formats."""
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -84,8 +84,8 @@
 # half of the 2 s within which a leaving endpoint must be taken out of use.
 _BATCH_DELAY_PER_PEER_S = 0.03
 _MAX_BATCH_DELAY_S = 1.0
-# Seconds between checks for entries that expired while the store was
-# unavailable.
+# Seconds between checks for endpoints whose entries expired while the store was
+# unavailable and did not reappear.
 _EXPIRY_CHECK_INTERVAL_S = 0.25
 # Seconds for which a leaving daemon still accepts requests: the platform stops
 # sending callers after two failed readiness checks, one per second.
@@ -102,6 +102,9 @@
     Args:
         cfg: Its settings.
         settings_path: The settings file, checked for changes on SIGHUP.
+
+    Attributes:
+        incarnation: Start of this process, microseconds since the epoch.
     """
 
     def __init__(self, cfg: FleetSettings, settings_path: str):
@@ -333,7 +336,7 @@
 
     @property
     def controllers(self) -> tuple[Controller, ...]:
-        """All controllers."""
+        """The controllers that `run` starts and `status` reports."""
         return (
             self.cluster,
             *self.watchers,
@@ -389,7 +392,7 @@
         return {d.duty: d.fencing for d in duties if d.fencing}
 
     def _batch_delay_s(self) -> float:
-        """Returns how many seconds to batch server changes before a watch.
+        """Returns how many seconds to batch changes before the next watch.
 
         Every change causes a store call by every daemon, so the delay grows
         with their number. It is limited because a leaving endpoint must
@@ -427,6 +430,8 @@
                 revision=found.revision,
                 reason=str(exc),
             )
+            # The entry exists, so it did not expire during a store failure:
+            # the endpoint is removed at once.
             self.directory.remove(
                 found.name, time.monotonic(), is_store_stable=True
             )
@@ -448,6 +453,7 @@
             )
 
     def _remove_endpoint(self, name: str) -> None:
+        """Removes an endpoint whose entry was deleted or has expired."""
         now_s = time.monotonic()
         is_stable = now_s - self._last_store_failure_s > _STORE_RECOVERY_S
         self.log.record(
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -12,7 +12,7 @@
 
 _OK = 200
 _CONFLICT = 409
-# Timeout of a call; the platform responds in milliseconds unless it is slow.
+# Timeout of a call; the platform normally responds in milliseconds.
 _CALL_TIMEOUT_S = 1.0
 
 
@@ -21,7 +21,7 @@
 
     Args:
         address: Address of `cloud-api`.
-        holder: Name of this machine, sent with each call.
+        holder: This daemon's id, sent with each call as the duty's holder.
         http: HTTP client.
         log: Log of failed calls.
     """
@@ -37,7 +37,7 @@
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
     ) -> OrderDeskOutcome:
-        """Reports a window; see `OrderDeskClient.report_usage`."""
+        """Reports a window; a conflict means that `fencing` is stale."""
         body = {"window-id": window, "counts": counts}
         return await self._call(
             "/usage", body, fencing, OrderDeskOutcome.STALE_FENCING
--- a/daisyhub/platform/_engines.py
+++ b/daisyhub/platform/_engines.py
@@ -1,4 +1,4 @@
-"""Clients for engine orders and reports, and a reader of published versions.
+"""Client for engine orders and reports, and a reader of published versions.
 
 Some of the platform's names need an explanation: `sequence` is the number of
 orders that an engine accepted since its start, `expect` is the value of
--- a/daisyhub/platform/_lots_json.py
+++ b/daisyhub/platform/_lots_json.py
@@ -4,7 +4,7 @@
 weight version that may be used, `desired-count` is the number of groups that
 the trainer waits for, `scorer` is the reward call, `next-token` is the position
 after the last result, and `dead_letter` is the state of an item that was given
-up.
+up. The `body` of an item or a scorer is base64, which msgspec decodes.
 """
 
 import msgspec
@@ -162,7 +162,13 @@
 
 
 class _EventReader(EventReader):
-    """Parses `text/event-stream` with lines that state the weight version."""
+    """Parses `text/event-stream` with lines that state the weight version.
+
+    A version applies to its event and all later ones.
+
+    Args:
+        version: Weight version of the events before the first such line.
+    """
 
     def __init__(self, version: int):
         self._version = version
@@ -192,5 +198,5 @@
             elif line.startswith(_DATA_PREFIX):
                 data.append(line[len(_DATA_PREFIX) :].removeprefix(b" "))
         if number is None:
-            raise ValueError(f"an event without a number: {block[:80]!r}")
+            raise ValueError(f"an event without an id line: {block[:80]!r}")
         return StreamEvent(number, b"\n".join(data).decode(), self._version)
--- a/daisyhub/platform/_retirements.py
+++ b/daisyhub/platform/_retirements.py
@@ -1,7 +1,7 @@
-"""Completes the platform's requests to vacate a machine with a disk.
+"""Completes retirements, requests to vacate a machine with a disk.
 
 The product stores no data on such machines, so each request is completed at
-once. The platform's `duration-s`, the time allowed for it, is not needed.
+once. The time that the platform allows, `duration-s`, is not needed.
 """
 
 import anyio
@@ -34,7 +34,7 @@
     """Completes retirement requests while this daemon holds the duty.
 
     Args:
-        duty: The duty.
+        duty: Controller of the duty.
         store: Store of the requests and their statuses.
         log: Log of completed requests and failures.
     """
--- a/daisyhub/platform/_servers.py
+++ b/daisyhub/platform/_servers.py
@@ -1,8 +1,9 @@
 """Decodes the entries of servers in the store.
 
-Some of the platform's names need an explanation: `slots` is the number of
-requests that the server serves concurrently, `version` (at the top level) is
-the version of its software, `spot` means that the platform may reclaim it, and
+Some of the platform's names need an explanation: a server is an endpoint,
+`service` is its pool, `zone` is its failure domain, `slots` is the number of
+requests that it serves concurrently, `version` (at the top level) is the
+version of its software, `spot` means that the platform may reclaim it, and
 `born` is its start time in milliseconds since 1970. `sequence` is the number of
 its writes of the entry, not of its orders as in the server's report, and isn't
 used.
--- a/daisyhub/platform/_store.py
+++ b/daisyhub/platform/_store.py
@@ -1,4 +1,4 @@
-"""HTTP client for the platform's object store."""
+"""HTTP client for the platform's object store; a daemon has one."""
 
 import urllib.parse
 from typing import Any
@@ -35,7 +35,10 @@
 
 
 class _Metadata(msgspec.Struct, frozen=True):
-    """The fields of an object's `metadata` that are used."""
+    """The fields of an object's `metadata` that are used.
+
+    `deleting` means that the object is marked for deletion.
+    """
 
     name: str
     revision: int
@@ -132,7 +135,7 @@
         )
         if response.status == _GONE:
             raise HistoryGoneError(
-                f"no history of {kind} since {after_revision}"
+                f"no history of {kind} since revision {after_revision}"
             )
         batch = _decode(response, _WatchResponse)
         return WatchBatch(
@@ -267,9 +270,9 @@
         return None
 
 
-def _decode(response: HttpResponse, kind: Any) -> Any:
+def _decode(response: HttpResponse, response_type: Any) -> Any:
     try:
-        return msgspec.json.decode(response.body, type=kind)
+        return msgspec.json.decode(response.body, type=response_type)
     except msgspec.DecodeError as exc:
         raise ObjectStoreError(
             f"invalid response from the store: {exc}", may_be_done=True
--- a/daisyhub/platform/_wire.py
+++ b/daisyhub/platform/_wire.py
@@ -58,8 +58,8 @@
 }
 _MISDIRECTED_STATUS = 421
 _MS_PER_S = 1000.0
-# Deadline of a request that states none, in seconds; the longest timeout of a
-# route is far shorter.
+# Seconds until the deadline of a request whose deadline header is absent or
+# invalid; the longest timeout of a route is far shorter.
 _DEFAULT_DEADLINE_S = 600.0
 # Maximum long-poll time for results, in seconds; set by the platform's
 # interface.
@@ -144,6 +144,10 @@
 def _read_seconds(
     by_name: dict[bytes, bytes], name: bytes, default_s: float
 ) -> float:
+    """Returns a header's milliseconds in seconds.
+
+    `default_s` if the header is absent or invalid.
+    """
     value = by_name.get(name)
     if value is None or not _MILLISECONDS.fullmatch(value):
         return default_s
--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -85,6 +85,7 @@
             executed_requests = await fleet.executed_requests()
             self.assertFalse(any(run["has_key"] for run in executed_requests))
             items = [r for r in executed_requests if r["id"].startswith("L-")]
+            # The ids of reward calls end with "r".
             item_accounts = {r["account"] for r in items if r["id"][-1] != "r"}
             self.assertEqual(item_accounts, {"t"})
             await self.wait_for_usage(fleet, 1)
@@ -141,6 +142,11 @@
         await self.check_resumption(signal.SIGKILL, 2.4)
 
     async def check_resumption(self, signal_number, after_s):
+        """Checks that items are resumed after a signal to the lot's holder.
+
+        The signal is sent `after_s` seconds after the lot was accepted. An item
+        takes about 3 s, and the holder saves unfinished texts each second.
+        """
         async with running_fleet(event_s=0.5) as fleet:
             holder = await fleet.holder()
             others = [d for d in fleet.daemon_names if d != holder]
@@ -222,6 +228,7 @@
         )
         async with running_fleet() as fleet:
             fleet.signal("edge-0", signal.SIGTERM)
+            # Shortly before the end of the notice, which takes 2.3 s.
             await anyio.sleep(2.1)
             port = fleet.ports["edge-0/front"]
             async with await anyio.connect_tcp("127.0.0.1", port) as conn:
