--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -534,7 +534,7 @@
         """Passes the failure domains without live peers to the directory."""
         own = frozenset((self.cfg.failure_domain,))
         self.directory.set_unreachable_domains(
-            self.peers.silent_domains() - own
+            self.peers.unreachable_domains() - own
         )
 
     async def _shut_down(self) -> None:
