--- a/daisyhub/lots/tests/test_reader.py
+++ b/daisyhub/lots/tests/test_reader.py
@@ -100,13 +100,13 @@
         self.assertEqual((total, results), (1, [RESULT]))
 
     async def test_stale_read_that_misses_an_object_is_repeated(self):
-        self.store.fail_next("late read", *[Fault.EMPTY] * 3)
+        self.store.fail_next("stale read", *[Fault.EMPTY] * 3)
         reader = self.reader(FakeNetwork({}, is_unreachable=True))
         await LotStore(self.store).write_chunk("L", 0, (RESULT,))
         total, results = await reader.results("L", "a", 0, 0.0)
         self.assertEqual((total, results), (1, [RESULT]))
         # The lot's head, its first chunk, and the chunk that could follow.
-        self.assertEqual(self.store.calls["late read"], 3)
+        self.assertEqual(self.store.calls["stale read"], 3)
 
     async def test_lot_unknown_to_the_holder_is_read_from_the_store(self):
         reader = self.reader(FakeNetwork({}))
--- a/daisyhub/objects/tests/test_kind_watcher.py
+++ b/daisyhub/objects/tests/test_kind_watcher.py
@@ -62,10 +62,10 @@
             nonlocal has_live_holder
             while not store.calls["watch"]:
                 await anyio.sleep(0.001)
-            self.assertEqual(store.calls["late watch"], 0)
+            self.assertEqual(store.calls["stale watch"], 0)
             has_live_holder = True
             store.put("k", "a", b"1")
-            while not store.calls["late watch"]:
+            while not store.calls["stale watch"]:
                 await anyio.sleep(0.001)
 
         await self.run_with(watcher, test)
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -75,8 +75,8 @@
     ) -> StoredObject | None:
         """See `ObjectStore.read`."""
         if can_be_stale:
-            self.calls["late read"] += 1
-            if self._next_fault("late read") is Fault.EMPTY:
+            self.calls["stale read"] += 1
+            if self._next_fault("stale read") is Fault.EMPTY:
                 return None
         return self._call_with_fault(
             "read", lambda: self.objects.get((kind, name))
@@ -95,7 +95,7 @@
         can_be_stale: bool = False,
     ) -> WatchBatch:
         """See `ObjectStore.watch`."""
-        self.calls["late watch" if can_be_stale else "watch"] += 1
+        self.calls["stale watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
         if fault is Fault.HISTORY_GONE:
             raise HistoryGoneError(kind)
