--- a/daisyhub/cluster/_peers.py
+++ b/daisyhub/cluster/_peers.py
@@ -100,7 +100,7 @@
             peer, time.monotonic()
         )
 
-    def silent_domains(self) -> frozenset[str]:
+    def unreachable_domains(self) -> frozenset[str]:
         """Returns the known failure domains without a live daemon."""
         known = {peer.ping.domain for peer in self._peers.values()}
         return frozenset(known - {peer.ping.domain for peer in self.live()})
