--- a/daisyhub/connections/_client.py
+++ b/daisyhub/connections/_client.py
@@ -81,7 +81,9 @@
                 self._has_failed = True
                 raise
             if chunk is None:
-                # After `aclose`, the connection of httpcore is idle.
+                # After `aclose`, httpcore's connection is idle, or closed if
+                # the server ends it. `end_exchange` comes first, so that this
+                # close isn't a reset.
                 self._conn.end_exchange()
                 await self._response.aclose()
                 return
@@ -188,7 +190,8 @@
             fresh: Whether to open a new connection instead of reusing one.
 
         Raises:
-            RequestFailedError: No complete response was received.
+            RequestFailedError: No complete response was received, or it is
+                larger than `max_body_bytes`.
         """
         started_s = time.monotonic()
         deadline_s = anyio.current_time() + timeout_s
@@ -264,6 +267,9 @@
     ) -> None:
         """Returns a connection to the pool, or closes it.
 
+        If it isn't idle, since the server ends it after the response or the
+        response is incomplete, the older idle connections are closed too.
+
         Args:
             address: Address of the server.
             conn: The connection.
@@ -286,7 +292,7 @@
         await self._close_dropped()
 
     def has_idle(self, address: Address) -> bool:
-        """Whether the pool has a connection to an address."""
+        """Whether the pool has an unexpired connection to an address."""
         conns = self._idle.get(address)
         return bool(conns) and self._is_recent(conns[-1], time.monotonic())
 
@@ -338,6 +344,14 @@
     async def _acquire(
         self, address: Address, fresh: bool, deadline_s: float
     ) -> Connection:
+        """Returns the idle connection last used, or a new one.
+
+        An idle connection is readable if the server closed it or sent excess
+        bytes; it isn't reused then.
+
+        Raises:
+            RequestFailedError: No new connection could be opened in time.
+        """
         # Read anew each time: other tasks may replace the list during a close.
         while not fresh and (conns := self._idle.get(address)):
             conn = conns.pop()
@@ -359,7 +373,12 @@
     headers: tuple[Header, ...],
     body: bytes,
 ) -> httpcore.Response:
-    """Sends a request; returns once the response's head is received."""
+    """Sends a request; returns once the response's head is received.
+
+    Raises:
+        RequestFailedError: The response fails `_check_request_id` or
+            `_check_framing`.
+    """
     req = _build_request(method, address, target, headers, body)
     response = await conn.http.handle_async_request(req)
     conn.has_response_head = True
@@ -371,7 +390,11 @@
 async def _read_body(
     conn: Connection, response: httpcore.Response, max_bytes: int
 ) -> bytes:
-    """Returns the complete body of a response."""
+    """Returns the complete body of a response.
+
+    Raises:
+        RequestFailedError: The body is larger than `max_bytes`.
+    """
     chunks = []
     size = 0
     async for chunk in response.stream:
@@ -382,7 +405,8 @@
                 ran=ExecutionStatus.RAN,
             )
         chunks.append(chunk)
-    # After `aclose`, the connection of httpcore is idle.
+    # After `aclose`, httpcore's connection is idle, or closed if the server
+    # ends it. `end_exchange` comes first, so that this close isn't a reset.
     conn.end_exchange()
     await response.aclose()
     return b"".join(chunks)
@@ -423,7 +447,7 @@
     for name, value in response.headers:
         if name.lower() == _REQUEST_ID_HEADER and value != sent_ids[0]:
             raise RequestFailedError(
-                "the response belongs to another request",
+                "the response has the request id of another request",
                 ran=ExecutionStatus.UNKNOWN,
             )
 
@@ -436,7 +460,8 @@
     if b"content-length" in names or b"transfer-encoding" in names:
         return
     raise RequestFailedError(
-        "the response has no length", ran=ExecutionStatus.RAN
+        "the response has neither Content-Length nor Transfer-Encoding",
+        ran=ExecutionStatus.RAN,
     )
 
 
--- a/daisyhub/connections/_connection.py
+++ b/daisyhub/connections/_connection.py
@@ -94,7 +94,8 @@
         has_response_head: Whether the head of the current request's response
             was received.
         keep_alive_s: Seconds for which an idle connection may be reused:
-            those that the peer stated, less a margin.
+            those that the peer stated, less a margin; infinite if it stated
+            none.
     """
 
     def __init__(self, address: Address, stream: AsyncNetworkStream):
@@ -161,7 +162,10 @@
         return bool(self._poll.poll(0))
 
     async def aclose(self) -> None:
-        """Closes the connection; ignores errors and cancellation."""
+        """Closes the connection; ignores errors and delays a cancellation.
+
+        Takes at most `_CLOSE_TIMEOUT_S`.
+        """
         with anyio.move_on_after(_CLOSE_TIMEOUT_S, shield=True):
             with contextlib.suppress(Exception):
                 await self.http.aclose()
@@ -180,7 +184,7 @@
 
 @contextlib.contextmanager
 def mapped_errors(address: Address, get_ran, deadline_s: float):
-    """Cancels the block at the deadline; maps network errors to one error.
+    """Cancels the block at the deadline; maps httpcore's errors to one error.
 
     Args:
         address: Address of the peer, for the error message.
--- a/daisyhub/connections/tests/test_complete_responses.py
+++ b/daisyhub/connections/tests/test_complete_responses.py
@@ -131,6 +131,10 @@
         )
 
     async def test_one_timeout_drops_all_silent_connections(self):
+        """Guards against one timeout per connection after a network failure.
+
+        A network device that loses its state makes all connections silent.
+        """
         async with anyio.create_task_group() as tasks:
             for number in range(5):
                 tasks.start_soon(self.get, f"/r{number}/late")
@@ -156,6 +160,7 @@
         self.assertEqual(caught.exception.ran, ExecutionStatus.NOT_RUN)
 
     async def test_a_truncated_stream_raises(self):
+        """The connection of the truncated response isn't reused either."""
         for behaviour in ("cut", "cut_chunked"):
             response = await self.client.open(
                 "GET", self.address, f"/r/{behaviour}", timeout_s=5.0
--- a/daisyhub/gateway/_app.py
+++ b/daisyhub/gateway/_app.py
@@ -23,14 +23,17 @@
 class GatewayApp:
     """Converts ASGI calls into requests for the filter chain.
 
-    A request is cancelled when its caller disconnects. Only final responses
-    are sent; refusals have `Retry-After` where a retry makes sense.
+    Serves the callers of `daisyhub.platform`'s daemon; for the daemon in
+    `daisyhub.daemon`, see `CallersApp`. A request is cancelled when its caller
+    disconnects. Nothing is sent before the chain returns a response; refusals
+    have `Retry-After` where a retry makes sense.
 
     Args:
         handler: The filter chain.
         wire: Wire format of callers.
         metrics: Counts responses and refusals, and measures latency.
-        log: Receives refusals, internal errors and disconnects.
+        log: Receives refusals, internal errors, disconnects and failed
+            streams.
 
     Attributes:
         is_draining: Whether responses ask callers to close their connection.
@@ -106,7 +109,10 @@
         return resp
 
     def _refuse(self, exc: Refusal, req: Request | None) -> Response:
-        """Counts and logs a refusal; returns its response."""
+        """Counts and logs a refusal; returns its response.
+
+        `Retry-After` has two decimals, as delays may be below one second.
+        """
         request_id = req.request_id if req else ""
         self._metrics.count("refusals", code=exc.code)
         self._log.record(
@@ -148,6 +154,10 @@
 
         An incomplete stream gets no final chunk, so that the caller detects
         the truncation.
+
+        Raises:
+            _IncompleteStreamError: The stream failed or the caller
+                disconnected.
         """
         is_complete = False
         async with anyio.create_task_group() as tasks:
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -48,7 +48,8 @@
 # The endpoint's deadline is this much before the caller's, for the transfer of
 # the response and a margin for a busy daemon.
 _ENDPOINT_MARGIN_S = 0.03
-# Median latencies until an endpoint that refused has free capacity again.
+# Delay in `Retry-After`, in median latencies: the expected time until an
+# endpoint that refused has free capacity again.
 _RETRY_AFTER_FACTOR = 2.0
 _MIN_RETRY_AFTER_S = 0.05
 # Responses with this status or a higher one give no latency sample.
@@ -70,14 +71,14 @@
     """A request to send to an endpoint of its route.
 
     Attributes:
-        request_id: The caller's id of this attempt.
+        request_id: Id that the caller sent, or id of a reward call.
         route: Route of the request.
         method: HTTP method.
         target: Path and query, sent unchanged.
-        host: Host name that the caller sent.
+        host: Value of the `Host` header.
         headers: The caller's headers.
         body: The complete body.
-        account: Client account; empty if it isn't sent.
+        account: Client account to send; empty for none.
         deadline_s: Monotonic time by which the response must be complete.
         is_streamed: Whether the response is streamed instead of buffered.
     """
@@ -113,7 +114,9 @@
 
         A request that isn't idempotent can't be repeated if the endpoint has
         closed an idle connection. A second attempt at an endpoint must not use
-        a connection that may be as unresponsive as the one of the first.
+        a connection that may be as unresponsive as the one of the first. A
+        first attempt at another endpoint may reuse a connection, although the
+        core's `StartAttempt.fresh` is set.
         """
         is_repeated = endpoint_id in self.tried
         self.tried.add(endpoint_id)
@@ -229,6 +232,12 @@
         return await self._evaluate_response(action, token, response)
 
     async def _exchange(self, task: SendTask, entry, fresh: bool):
+        """Returns the endpoint's response, streamed or buffered as required.
+
+        Raises:
+            RequestFailedError: No complete response, or no response head of a
+                stream, was received.
+        """
         remaining_s = max(0.0, task.deadline_s - time.monotonic())
         headers = self._wire.request_headers(
             EndpointRequest(
@@ -261,6 +270,11 @@
 
         The attempt failed if the endpoint states that it didn't run the
         request. Any other response, an error included, is delivered.
+
+        Args:
+            action: The attempt.
+            token: The directory's token of the attempt.
+            response: The response, or the head of a streamed one.
         """
         now_s = time.monotonic()
         endpoint_id = action.endpoint_id
--- a/daisyhub/gateway/_wire.py
+++ b/daisyhub/gateway/_wire.py
@@ -18,12 +18,12 @@
     """A request to one endpoint, except for method, path and body.
 
     Attributes:
-        request_id: The caller's id of this attempt.
-        host: Host name that the caller sent.
+        request_id: Id that the caller sent, or id of a lot's item.
+        host: Value of the `Host` header.
         endpoint_id: The endpoint that must serve the request.
-        account: Client account of the key; empty if it isn't sent.
+        account: Client account to send; empty for none.
         remaining_s: Seconds until the endpoint must have responded.
-        headers: The caller's headers.
+        headers: Headers of the caller or of a lot's item.
         resume_after: Number of the last event received, after which a stream
             resumes; 0 for a stream from the start.
     """
--- a/daisyhub/gateway/tests/test_unsent_attempts.py
+++ b/daisyhub/gateway/tests/test_unsent_attempts.py
@@ -48,6 +48,7 @@
             self.assertEqual(action.endpoint_id, expected)
 
     def test_the_request_fails_if_no_endpoint_is_reachable(self):
+        """Guards against endless repeats, as unsent attempts don't count."""
         forward = make_core("abc", 5)
         (action,) = forward.handle(ForwardStarted(), 0.0)
         tries = 1
--- a/daisyhub/serving/_callers_app.py
+++ b/daisyhub/serving/_callers_app.py
@@ -17,7 +17,9 @@
 
 __all__ = ["CallersApp", "OpenStreams"]
 
-_DEFAULT_DEADLINE_S = 3600.0
+# Applies if the caller states no timeout; the route filter limits it to the
+# route's timeout.
+_DEFAULT_TIMEOUT_S = 3600.0
 _MS_PER_S = 1000
 _MAX_TIMEOUT_DIGITS = 9
 _TIMEOUT_HEADER = b"daisyhub-timeout-ms"
@@ -59,6 +61,9 @@
 class CallersApp:
     """Converts ASGI calls into requests for the filter chain.
 
+    Serves the callers of the daemon in `daisyhub.daemon`; for the daemon of
+    `daisyhub.platform`, see `GatewayApp`.
+
     Args:
         handler: The filter chain.
         keys: Checks the key of a stream and reports invalidated keys.
@@ -81,6 +86,7 @@
         self._keys = keys
         self._streams = OpenStreams(keys)
         self._metrics = metrics
+        # The start time keeps request ids unique across restarts.
         self._id_prefix = f"{daemon_id}-{time.time_ns() // 1000:x}"
         self._numbers = itertools.count(1)
         self.is_draining = False
@@ -152,6 +158,9 @@
         The stream is cancelled when the caller disconnects or its key becomes
         invalid. An incomplete stream gets no final chunk, so that the caller
         detects the truncation.
+
+        Raises:
+            _IncompleteStreamError: The stream failed or was cancelled.
         """
         is_complete = False
         async with anyio.create_task_group() as tasks:
@@ -219,21 +228,29 @@
 
 
 def _parse_timeout_s(headers) -> float:
-    """Returns the timeout that the caller stated, or the default."""
+    """Returns the timeout in seconds that the caller stated, or the default.
+
+    Raises:
+        Refusal: The stated timeout is invalid.
+    """
     for name, value in headers:
         if name != _TIMEOUT_HEADER:
             continue
         if not value.isdigit() or len(value) > _MAX_TIMEOUT_DIGITS:
             raise Refusal(
                 ErrorCode.HEADER_INVALID,
-                "daisyhub-timeout-ms must be a whole number of milliseconds",
+                "daisyhub-timeout-ms must be a whole number of milliseconds"
+                f" with at most {_MAX_TIMEOUT_DIGITS} digits",
             )
         return int(value) / _MS_PER_S
-    return _DEFAULT_DEADLINE_S
+    return _DEFAULT_TIMEOUT_S
 
 
 def _key_id_of(req: Request) -> str:
-    """Returns the key id of a request whose key was already validated."""
+    """Returns the key id of a request whose key was already validated.
+
+    Keys have the form `dh_<key id>_<secret>`. Empty if there is no key.
+    """
     for value in req.header_values(b"authorization"):
         return value.decode("latin-1").partition("dh_")[2].partition("_")[0]
     return ""
--- a/daisyhub/serving/_server.py
+++ b/daisyhub/serving/_server.py
@@ -14,6 +14,8 @@
 
 _BACKLOG = 1024
 _KEEP_ALIVE_S = 75
+# Maximum time that `shutdown` waits for partly received requests, and the
+# interval at which it checks for them.
 _LAST_REQUESTS_TIMEOUT_S = 1.0
 _LAST_REQUESTS_POLL_INTERVAL_S = 0.01
 
@@ -69,7 +71,10 @@
             self.stopped.set()
 
     def stop(self) -> None:
-        """Stops accepting connections; open requests are completed."""
+        """Starts the shutdown; no connections are accepted any more.
+
+        Open requests get `drain_limit_s` to end and are cancelled afterwards.
+        """
         self.should_exit = True
         self._stop.set()
 
@@ -86,7 +91,8 @@
         """Shuts down once no connection has a partly received request.
 
         uvicorn closes every connection without an open request, so a request
-        that is being received would be lost. The wait is bounded.
+        that is being received would be lost. The wait is bounded, as a
+        connection may never send the rest.
         """
         with anyio.move_on_after(_LAST_REQUESTS_TIMEOUT_S):
             while self._has_unread() or self._has_partial_request():
--- a/daisyhub/serving/tests/test_bad_input.py
+++ b/daisyhub/serving/tests/test_bad_input.py
@@ -108,6 +108,7 @@
     return f"POST /records HTTP/1.1\r\n{HOST}{KEY}{headers}\r\n{body}"
 
 
+# Raw requests and the expected status of their responses.
 CASES = {
     "no key": (get("/records", ""), 401),
     "two keys": (get("/records", KEY + KEY), 400),
--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -96,7 +96,10 @@
         self.assertEqual(content.count(b"chunk"), 40)
 
     async def check_shutdown_of_all_daemons(self):
-        """Checks that both daemons stop under load without failed requests."""
+        """Checks that both daemons stop under load without failed requests.
+
+        The last daemon must complete its requests and streams as well.
+        """
         self.statuses = []
         self.chunk_counts = []
         daemons = self.deployment.daemons()
@@ -133,6 +136,8 @@
 
 class LastRequestsTest(unittest.IsolatedAsyncioTestCase):
     async def test_a_partly_received_request_is_served_after_stop(self):
+        """Guards against a shutdown that closes such a connection as idle."""
+
         async def app(scope, receive, send):
             start = {"type": "http.response.start", "status": 204}
             await send({**start, "headers": []})
