--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -1,4 +1,7 @@
-"""Client of the platform: stored objects, leases, endpoint orders, usage."""
+"""Client of the product's own platform API: objects, leases, orders, usage.
+
+`daisyhub.platform` contains the adapters to the users' platform.
+"""
 
 from daisyhub.hosting._client import (
     EndpointRecord,
@@ -14,7 +17,7 @@
     LeaseRecord,
     LeaseTick,
     LeaseWriteFailed,
-    LeaseWriteRefused,
+    LeaseWriteRejected,
     LeaseWritten,
     ReadLease,
     WriteLease,
@@ -27,7 +30,7 @@
 from daisyhub.hosting._orders import (
     BookAccessFailed,
     BookLoaded,
-    BookWriteRefused,
+    BookWriteRejected,
     BookWritten,
     EndpointOrder,
     LoadBook,
@@ -51,7 +54,7 @@
     "OrderRequest",
     "BookAccessFailed",
     "BookLoaded",
-    "BookWriteRefused",
+    "BookWriteRejected",
     "BookWritten",
     "EndpointOrder",
     "LoadBook",
@@ -75,7 +78,7 @@
     "LeaseTick",
     "LeaseWritten",
     "LeaseWriteFailed",
-    "LeaseWriteRefused",
+    "LeaseWriteRejected",
     "PlatformClient",
     "PlatformObject",
     "ReadLease",
--- a/daisyhub/hosting/tests/test_proof_lease.py
+++ b/daisyhub/hosting/tests/test_proof_lease.py
@@ -20,13 +20,15 @@
     LeaseRead,
     LeaseTick,
     LeaseWriteFailed,
-    LeaseWriteRefused,
+    LeaseWriteRejected,
     LeaseWritten,
     ReadLease,
     WriteLease,
 )
 from daisyhub.testing.proofs import find_failure, run_proof
 
+# A holder uses its lease for 5 s after a renewal; others wait for 7 s.
+# The machine advances the time by 4.9 s and 7.1 s, next to these limits.
 TERM_S = 6.0
 MARGIN_S = 1.0
 PROCESSES = (0, 1)
@@ -126,7 +128,7 @@
             return
         assert isinstance(action, WriteLease)
         if action.expected_version != self.version:
-            self.responses[number].append(LeaseWriteRefused(action.write_id))
+            self.responses[number].append(LeaseWriteRejected(action.write_id))
             return
         self.version += 1
         self.record = action.record
--- a/daisyhub/hosting/tests/test_proof_orders.py
+++ b/daisyhub/hosting/tests/test_proof_orders.py
@@ -18,7 +18,7 @@
 from daisyhub.hosting import (
     BookAccessFailed,
     BookLoaded,
-    BookWriteRefused,
+    BookWriteRejected,
     BookWritten,
     LoadBook,
     ObservedEndpoint,
@@ -92,6 +92,7 @@
     def change_load(self, load):
         self.load = load
 
+    # Longer than the resend interval, or than the delays of the pool sizing.
     @rule(seconds=st.sampled_from([3.0, 70.0]))
     def pass_time(self, seconds):
         self.now_s += seconds
@@ -162,7 +163,7 @@
 
     def write_book(self, action):
         if action.expected_version != self.version:
-            return BookWriteRefused()
+            return BookWriteRejected()
         self.version += 1
         self.book = action.book
         return BookWritten(self.version)
