--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -46,7 +46,7 @@
         objects: The objects, by kind and name.
         faults: Faults of the next calls, by verb.
         calls: Number of calls, by verb. A read that can be stale counts as
-            "late read" too, a watch that can be stale as "late watch" only.
+            "stale read" too, a watch that can be stale as "stale watch" only.
     """
 
     def __init__(self):
