--- a/daisyhub/lots/_dispatch_core.py
+++ b/daisyhub/lots/_dispatch_core.py
@@ -2,8 +2,9 @@
 
 Trainers wait for whole groups, and the longest text of a group decides when
 the group is complete. Lots are therefore scheduled by due time, the items of a
-lot by expected length, the longest first, and engines of usual speed are
-preferred to slow ones. Adding runs to an engine hardly slows its other runs.
+lot by expected length, the longest first. Engines of usual speed are preferred
+to slow ones even if they have more runs, as adding a run to an engine hardly
+slows its other runs.
 
 A run without events for too long is cancelled and resumed on another engine
 after its last event. While fast engines have free slots, items that run on a
--- a/daisyhub/lots/_holder.py
+++ b/daisyhub/lots/_holder.py
@@ -524,6 +524,8 @@
         Returns:
             Whether the listing is up to date; False if the read failed.
         """
+        # A daemon that no longer receives this one's pings may have acquired
+        # the duty and listed results.
         is_own = not lot.is_inherited and not self._deps.has_lost_peers()
         if is_own or lot.listing.is_complete:
             return True
@@ -597,7 +599,8 @@
     async def _delete_expired_lots(self, watcher: KindWatcher) -> None:
         """Deletes lots whose retention time is over, at intervals.
 
-        A failed delete is logged likewise, and retried at the next interval.
+        Each attempt is logged as `lot_deleted`, also if it fails; a failed one
+        is repeated at the next interval.
         """
         while True:
             await anyio.sleep(_DELETE_INTERVAL_S)
--- a/daisyhub/lots/_lot_store.py
+++ b/daisyhub/lots/_lot_store.py
@@ -127,8 +127,8 @@
         try:
             await self._store.create(_ITEMS_KIND, name, content)
         except ObjectConflictError:
-            # A lot with this id was submitted before, or to another daemon,
-            # too. Creating the head decides which of them is accepted.
+            # A lot with this id was submitted before, or also to another
+            # daemon. Creating the head decides which of them is accepted.
             return
         except ObjectStoreError as exc:
             raise ObjectStoreError(str(exc), may_be_done=False) from exc
--- a/daisyhub/lots/tests/test_dispatch_core.py
+++ b/daisyhub/lots/tests/test_dispatch_core.py
@@ -266,8 +266,8 @@
     def test_reward_call_uses_max_attempts_of_its_own_route(self):
         """A reward call is retried as often as its own route allows.
 
-        The maximum of attempts of the lot's route applied once, so that items
-        were given up too early.
+        Guards against use of the lot's `max_attempts`, with which items were
+        given up too early.
         """
         self.feed(engines("e1"))
         (run,) = self.feed(lot(item("a"), max_attempts=2))
--- a/daisyhub/lots/tests/test_proof_listing.py
+++ b/daisyhub/lots/tests/test_proof_listing.py
@@ -134,7 +134,7 @@
             assert core.listed == found[: len(core.listed)]
 
     def teardown(self):
-        """Checks that every finished item is listed once faults end."""
+        """Ends all faults; then every item must get listed, none twice."""
         for number in DAEMONS:
             for item_id in ITEMS:
                 if not self.cores[number].is_listed(item_id):
--- a/daisyhub/rollouts/__init__.py
+++ b/daisyhub/rollouts/__init__.py
@@ -1,7 +1,9 @@
 """Trainer lots and weight rollouts.
 
 A lot generates groups of samples and delivers each group once, with the weight
-versions that produced it. A rollout orders engines to load new weights.
+versions that produced it. Trainers pull its groups; the lots of `daisyhub.lots`
+are another kind, whose results are read by position. A rollout orders engines
+to load new weights.
 """
 
 from daisyhub.rollouts._lot_core import LotCore
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -170,7 +170,8 @@
         attempt: Number of the attempt; repeated in its outcome.
         group: Index of the group.
         index: Index of the sample in the group.
-        others: Running attempts for the same sample; use another engine.
+        others: Running attempts for the same sample; their engines are used
+            only if there is no other.
     """
 
     attempt: int
--- a/daisyhub/rollouts/_slot_table.py
+++ b/daisyhub/rollouts/_slot_table.py
@@ -164,7 +164,8 @@
             now_s: Monotonic time in seconds.
 
         Returns:
-            Whether the group is complete without the discarded samples.
+            Whether the group still has all samples; False for a group that
+            isn't in the table.
         """
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
--- a/daisyhub/rollouts/_weight_core.py
+++ b/daisyhub/rollouts/_weight_core.py
@@ -2,8 +2,8 @@
 
 The core decides when to order which engine to load which version. It doesn't
 know the fencing number: the caller reads it from the lease immediately before
-sending an order, with the order's extra margin, and doesn't send if there is
-none. Times are seconds on any monotonic clock.
+sending an order. If the lease doesn't last for the order's extra margin, there
+is no number and the order isn't sent. Times are seconds on any monotonic clock.
 """
 
 import dataclasses
@@ -255,7 +255,8 @@
     def _start_orders(self) -> list[object]:
         """Starts orders up to each pool's limit of concurrent loads.
 
-        A failed engine isn't queued again before a later tick.
+        A failed engine isn't queued again here, but in `_queue_due` once its
+        retry is due.
         """
         orders = []
         for pool, due in self._due_engines.items():
--- a/daisyhub/rollouts/tests/test_proof_lot.py
+++ b/daisyhub/rollouts/tests/test_proof_lot.py
@@ -1,4 +1,4 @@
-"""Stateful test: groups are delivered once, fresh, with correct versions.
+"""Property test: groups are delivered once, fresh, with correct versions.
 
 Faults: several holders that crash, freeze and resume; writes that are lost,
 late or unanswered; engines that fail, return invalid spans, respond twice
--- a/daisyhub/rollouts/tests/test_proof_weights.py
+++ b/daisyhub/rollouts/tests/test_proof_weights.py
@@ -1,4 +1,4 @@
-"""Stateful test: one holder orders weight loads in stages, for all engines.
+"""Property test: one holder orders weight loads in stages, for all engines.
 
 The lease is modelled by the guarantee that its own test checks: a fencing
 number is granted only after the previous one has lapsed for a margin. Faults:
