--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets of daisyhub. VENV may name a shared environment.
+# Development targets. VENV may be the path of a shared virtual environment.
 VENV ?= .venv
 PYTHON ?= python3
 PY = PYTHONPATH=. $(VENV)/bin/python
--- a/benchmarks/__init__.py
+++ b/benchmarks/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks, apart from the tests."""
+"""Benchmarks, which aren't part of the test suite."""
--- a/benchmarks/fleet_daemon.py
+++ b/benchmarks/fleet_daemon.py
@@ -1,7 +1,7 @@
-"""What a daemon on the users' platform costs: at rest, a look-up, a start.
+"""Measures idle cost, processor time per look-up and start-up time of a daemon.
 
-Run `python -m benchmarks.fleet_daemon`. Real daemons on a stand-in of the
-platform, on loopback; processor time is that of the daemon's process.
+Run `python -m benchmarks.fleet_daemon`. Starts real daemons on loopback with a
+fake of the users' platform. Processor times are those of one daemon's process.
 """
 
 import os
@@ -14,8 +14,8 @@
 
 from daisyhub.testing.fleet import KEY, Fleet
 
-_REST_S = 10.0
-_REQUESTS = 400
+_IDLE_S = 10.0
+_REQUEST_COUNT = 400
 _TARGETS = {
     "ready after, s": 1.0,
     "at rest, % of a core": 1.1,
@@ -44,8 +44,8 @@
     await fleet.holder()
     await anyio.sleep(2.0)
     before_s = _processor_s(pid)
-    await anyio.sleep(_REST_S)
-    rest_s = _processor_s(pid) - before_s
+    await anyio.sleep(_IDLE_S)
+    idle_s = _processor_s(pid) - before_s
     memory_mb = _resident_mb(pid)
     before_s = _processor_s(pid)
     headers = (
@@ -54,7 +54,7 @@
         (b"daisyhub-deadline-ms", b"4000"),
         (b"api-key", KEY.encode()),
     )
-    for number in range(_REQUESTS):
+    for number in range(_REQUEST_COUNT):
         await fleet.http.request(
             "POST",
             fleet.address(f"{name}/front"),
@@ -62,7 +62,7 @@
             headers=headers,
             timeout_s=5.0,
         )
-    took_s = _processor_s(pid) - before_s
+    requests_s = _processor_s(pid) - before_s
     fleet.processes[name].kill()
     fleet.processes[name].wait()
     started_s = time.monotonic()
@@ -70,9 +70,9 @@
     await fleet.wait_until_ready(name)
     return {
         "ready after, s": time.monotonic() - started_s,
-        "at rest, % of a core": 100 * rest_s / _REST_S,
+        "at rest, % of a core": 100 * idle_s / _IDLE_S,
         "memory at rest, MB": memory_mb,
-        "processor time a look-up, ms": 1000 * took_s / _REQUESTS,
+        "processor time a look-up, ms": 1000 * requests_s / _REQUEST_COUNT,
     }
 
 
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -1,8 +1,9 @@
-"""Cost of the hop: processor time a request, daemon against direct calls.
+"""Compares the processor time per request with and without the daemon.
 
-Starts one daemon and one fake service on loopback, sends a bounded number of
-requests over 1, 16 and 64 connections, and reads the processor time that each
-process used from /proc. Also reports a daemon at rest.
+Starts one daemon and one fake service on loopback, sends a fixed number of
+requests over 1, 16 and 64 connections, once through the daemon and once
+directly to the service, and reads the processor time of the receiving process
+from /proc. Also reports the processor time and memory of an idle daemon.
 """
 
 import dataclasses
@@ -19,13 +20,13 @@
 from daisyhub.testing.demo_config import DemoKeys, demo_document
 from daisyhub.testing.processes import Deployment
 
-_REQUESTS = 3000
-_CONNECTIONS = (1, 16, 64)
-_REST_S = 10.0
-_MS = 1000
+_REQUEST_COUNT = 3000
+_CONNECTION_COUNTS = (1, 16, 64)
+_IDLE_S = 10.0
+_MS_PER_S = 1000
 
 
-def _cpu_s(pid: int) -> float:
+def _processor_s(pid: int) -> float:
     fields = (
         pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")")[1].split()
     )
@@ -39,32 +40,34 @@
     return 0.0
 
 
-async def _load(caller: Caller, connections: int, target: str) -> float:
-    """Sends the requests; returns the seconds that it took."""
-    left = _REQUESTS
+async def _send_load(caller: Caller, connections: int, target: str) -> float:
+    """Sends all requests and returns the elapsed seconds."""
+    remaining = _REQUEST_COUNT
 
-    async def work() -> None:
-        nonlocal left
-        while left > 0:
-            left -= 1
-            answer = await caller.send("GET", target)
-            if answer.status != 200:
-                raise SystemExit(f"status {answer.status}")
+    async def send_requests() -> None:
+        nonlocal remaining
+        while remaining > 0:
+            remaining -= 1
+            response = await caller.send("GET", target)
+            if response.status != 200:
+                raise SystemExit(
+                    f"GET {target} returned status {response.status}"
+                )
 
     started_s = time.monotonic()
     async with anyio.create_task_group() as tasks:
         for _ in range(connections):
-            tasks.start_soon(work)
+            tasks.start_soon(send_requests)
     return time.monotonic() - started_s
 
 
 async def _measure(name, caller, pid, target) -> None:
-    await _load(caller, 4, target)
-    for connections in _CONNECTIONS:
-        before_s = _cpu_s(pid)
-        took_s = await _load(caller, connections, target)
-        cost_ms = (_cpu_s(pid) - before_s) / _REQUESTS * _MS
-        rate = _REQUESTS / took_s
+    await _send_load(caller, 4, target)  # Warm-up.
+    for connections in _CONNECTION_COUNTS:
+        before_s = _processor_s(pid)
+        elapsed_s = await _send_load(caller, connections, target)
+        cost_ms = (_processor_s(pid) - before_s) / _REQUEST_COUNT * _MS_PER_S
+        rate = _REQUEST_COUNT / elapsed_s
         print(
             f"{name:<16} {connections:>3} connections  {cost_ms:6.3f} ms"
             f" a request  {rate:7.0f} requests/s",
@@ -73,7 +76,7 @@
 
 
 def _timing() -> dict[str, float]:
-    """Returns the defaults of a deployment, not the fast ones of tests."""
+    """Returns the default timings instead of the short ones used in tests."""
     return dataclasses.asdict(TimingSettings())
 
 
@@ -102,10 +105,10 @@
             "direct service", direct, service.popen.pid, "/records/1"
         )
         pid = daemon.popen.pid
-        before_s = _cpu_s(pid)
-        await anyio.sleep(_REST_S)
-        share = (_cpu_s(pid) - before_s) / _REST_S * 100
-        print(f"at rest: {share:.2f}% of a core, {_memory_mb(pid):.1f} MB")
+        before_s = _processor_s(pid)
+        await anyio.sleep(_IDLE_S)
+        percent = (_processor_s(pid) - before_s) / _IDLE_S * 100
+        print(f"at rest: {percent:.2f}% of a core, {_memory_mb(pid):.1f} MB")
     finally:
         deployment.stop()
 
--- a/benchmarks/measure/__init__.py
+++ b/benchmarks/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measures of the decision cores under a fake clock, against plain policies."""
+"""Compares the deterministic cores with simpler policies on a fake clock."""
--- a/benchmarks/measure/__main__.py
+++ b/benchmarks/measure/__main__.py
@@ -1,7 +1,7 @@
-"""Runs every measure and writes tables and plots.
+"""Runs all simulations and writes tables and plots.
 
-`python -m benchmarks.measure [FOLDER]` writes `tables.md` and one plot for
-each measure, to docs/measures by default. Results depend on the seeds alone.
+`python -m benchmarks.measure [FOLDER]` writes `tables.md` and one plot per
+figure, by default to docs/measures. Results depend only on the seeds.
 """
 
 import dataclasses
@@ -24,14 +24,14 @@
 _FOLDER = "docs/measures"
 
 _LOOKUPS = (
-    LookupPolicy(name="512 places", follows_capacity=False),
+    LookupPolicy(name="512 places", is_limit_adaptive=False),
     LookupPolicy(
-        name="512 places, no hedging", follows_capacity=False, hedges=False
+        name="512 places, no hedging", is_limit_adaptive=False, is_hedged=False
     ),
     LookupPolicy(name="as built"),
     LookupPolicy(name="first come first served", is_fair=False),
     LookupPolicy(name="round robin", is_least_loaded=False),
-    LookupPolicy(name="no hedging", hedges=False),
+    LookupPolicy(name="no hedging", is_hedged=False),
     LookupPolicy(name="servers of all domains", is_site_wide=True),
     LookupPolicy(
         name="all domains, round robin",
@@ -39,7 +39,7 @@
         is_least_loaded=False,
     ),
     LookupPolicy(
-        name="all domains, no hedging", is_site_wide=True, hedges=False
+        name="all domains, no hedging", is_site_wide=True, is_hedged=False
     ),
     LookupPolicy(name="one more cheap server each", extra="cheap"),
     LookupPolicy(
@@ -60,7 +60,7 @@
         spare_samples=4,
     ),
     LotPolicy(name="round robin", is_least_loaded=False),
-    LotPolicy(name="groups restart", keeps_samples=False),
+    LotPolicy(name="groups restart", should_keep_samples=False),
 )
 _ALL_DOMAINS = tuple(
     dataclasses.replace(
@@ -75,14 +75,14 @@
 )
 _USAGE = (
     UsagePolicy(name="as built"),
-    UsagePolicy(name="no copies", copies=False),
-    UsagePolicy(name="a new holder forgets the marks", marks=False),
+    UsagePolicy(name="no copies", has_copies=False),
+    UsagePolicy(name="a new holder forgets the marks", has_marks=False),
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Cell:
-    """Median, lowest and highest of a figure over the seeds."""
+    """Median, lowest and highest value of a figure over the seeds."""
 
     median: float
     low: float
@@ -91,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class Row:
-    """One policy at one site."""
+    """Figures of one policy at one site."""
 
     site: str
     policy: str
--- a/benchmarks/measure/faults.py
+++ b/benchmarks/measure/faults.py
@@ -1,4 +1,4 @@
-"""Fault scripts: what goes wrong in a run, drawn from its seed."""
+"""Random faults of a simulation, drawn from its seed."""
 
 import dataclasses
 import random
@@ -12,9 +12,9 @@
 
     Attributes:
         kind: `burst`, `hang`, `refuse`, `slow`, `reclaim`, `kill`, `outage`.
-        start_s: When it starts.
-        end_s: When it is over.
-        target: Number of the server, account, domain or daemon.
+        start_s: Time at which the fault starts.
+        end_s: Time at which the fault ends.
+        target: Index of the affected server, account, domain or daemon.
     """
 
     kind: str
@@ -24,7 +24,11 @@
 
 
 def lookup_faults(seed: int, servers: int) -> tuple[Fault, ...]:
-    """A burst, a hanging, a refusing and a slow server, a reclaimed zone."""
+    """Returns the faults of a look-up simulation.
+
+    These are a burst of requests, a server that hangs, one that refuses, one
+    that is slow, and a failure domain whose cheap servers are reclaimed.
+    """
     rng = random.Random(seed)
     starts = [start + rng.uniform(0, 3) for start in (12, 30, 45, 60, 75)]
     return (
@@ -37,7 +41,7 @@
 
 
 def engine_faults(seed: int, engines: int) -> tuple[Fault, ...]:
-    """One engine crashes, later one goes silent."""
+    """Returns a refusing engine and, later, an engine that hangs."""
     rng = random.Random(seed)
     start_s = rng.uniform(15, 30)
     return (
@@ -47,7 +51,7 @@
 
 
 def usage_faults(seed: int, daemons: int) -> tuple[Fault, ...]:
-    """Daemons die at random, and the platform is away twice."""
+    """Returns random kills of daemons and two outages of the platform."""
     rng = random.Random(seed)
     kills = tuple(
         Fault("kill", rng.uniform(0, 6000), 0, rng.randrange(daemons))
--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -1,4 +1,4 @@
-"""Policies of look-ups, their figures, and the plain admission."""
+"""Policies and figures of look-ups, and a baseline for admission."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -14,38 +14,42 @@
 )
 
 __all__ = [
-    "MOST_PLACES",
+    "MAX_CONCURRENCY_LIMIT",
     "FirstComeFirstServed",
     "LookupPolicy",
     "LookupResult",
     "prefer_regular",
 ]
 
-MOST_PLACES = 512
+MAX_CONCURRENCY_LIMIT = 512
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LookupPolicy:
-    """What decides.
+    """Options of a look-up simulation.
 
     Attributes:
-        name: For the table.
-        follows_capacity: Whether a daemon's places follow what the live
-            endpoints tell, or are `MOST_PLACES`.
-        is_fair: Fair queueing, or first come first served.
-        is_least_loaded: Less loaded of two, or round robin.
-        hedges: Whether hedging is on.
-        is_site_wide: Whether daemons use other domains' servers too.
-        is_regular_first: Whether requests that may run only once go to
-            regular servers while there are any.
-        extra: One more server in each domain: `none`, `cheap` or `dear`.
+        name: Name in the table.
+        is_limit_adaptive: Whether a daemon's concurrency limit follows the
+            capacity that endpoints report, instead of being constantly
+            `MAX_CONCURRENCY_LIMIT`.
+        is_fair: Whether admission uses fair queueing instead of first come
+            first served.
+        is_least_loaded: Whether balancing chooses the less loaded of two
+            endpoints instead of round robin.
+        is_hedged: Whether idempotent requests are hedged.
+        is_site_wide: Whether daemons also use servers of other domains.
+        is_regular_first: Whether requests that may run only once prefer
+            regular servers to cheap ones.
+        extra: Kind of the additional server in each domain: `none`, `cheap` or
+            `dear`.
     """
 
     name: str
-    follows_capacity: bool = True
+    is_limit_adaptive: bool = True
     is_fair: bool = True
     is_least_loaded: bool = True
-    hedges: bool = True
+    is_hedged: bool = True
     is_site_wide: bool = False
     is_regular_first: bool = False
     extra: Literal["none", "cheap", "dear"] = "none"
@@ -53,11 +57,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LookupResult:
-    """Figures of one run; shares are of all requests.
+    """Figures of one run.
 
-    `worst_` figures are of the worst-served account among those that stay
-    within their share; `any_refused` includes the one that bursts. A request
-    is refused if it got no answer for whatever reason.
+    `worst_` figures are those of the worst-served account, except for the
+    account that bursts and so exceeds its share; `any_refused` includes that
+    account. Both refused shares are of the account's requests and count each
+    request without a response, for any reason. Other shares are of all
+    requests.
     """
 
     worst_p99_s: float
@@ -70,7 +76,7 @@
 
 
 class FirstComeFirstServed:
-    """One queue with the same bound; the plain baseline of admission."""
+    """Admission baseline: one queue with the same bound as `AdmissionCore`."""
 
     def __init__(self, concurrency_limit: int):
         self.concurrency_limit = concurrency_limit
@@ -78,7 +84,7 @@
         self._queue: list[RequestArrived] = []
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes the events of `AdmissionCore`."""
+        """Handles the events of `AdmissionCore` except its ticks."""
         if isinstance(event, ConcurrencyLimitChanged):
             self.concurrency_limit = event.concurrency_limit
         elif isinstance(event, RequestArrived):
@@ -91,25 +97,25 @@
             self._in_service.discard(event.request_id)
         actions = []
         while self._queue and len(self._in_service) < self.concurrency_limit:
-            waiting = self._queue.pop(0)
-            if waiting.deadline_s <= now_s:
+            request = self._queue.pop(0)
+            if request.deadline_s <= now_s:
                 shed = ShedRequest(
-                    waiting.request_id, ErrorCode.OVERLOADED, 1.0
+                    request.request_id, ErrorCode.OVERLOADED, 1.0
                 )
                 actions.append(shed)
                 continue
-            self._in_service.add(waiting.request_id)
-            actions.append(AdmitRequest(waiting.request_id))
+            self._in_service.add(request.request_id)
+            actions.append(AdmitRequest(request.request_id))
         return actions
 
 
 def prefer_regular(
     candidates: Sequence[EndpointState],
 ) -> Sequence[EndpointState]:
-    """Returns the candidates that can't be reclaimed, if there are any.
+    """Returns the candidates that can't be reclaimed, or all if there are none.
 
-    A request that may run only once is lost with a reclaimed endpoint; with
-    cheap endpoints alone it is still served, since they tell before they go.
+    A request that may run only once fails if its endpoint is reclaimed. Cheap
+    endpoints alone still serve it, since they announce that they will leave.
     """
     if not any(state.cheap for state in candidates):
         return candidates
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -1,4 +1,4 @@
-"""Look-ups through the admission and forward cores, server by server."""
+"""Simulates look-ups with the admission and forward cores."""
 
 import functools
 import random
@@ -7,7 +7,7 @@
 from benchmarks.measure.clock import Clock
 from benchmarks.measure.faults import lookup_faults
 from benchmarks.measure.lookup_policies import (
-    MOST_PLACES,
+    MAX_CONCURRENCY_LIMIT,
     FirstComeFirstServed,
     LookupPolicy,
     LookupResult,
@@ -44,18 +44,18 @@
 
 __all__ = ["run_lookups"]
 
-_DAEMONS_EACH = 2
+_DAEMONS_PER_DOMAIN = 2
 _BURST_FACTOR = 6.0
 _SLOW_FACTOR = 6.0
 _LIST_LAG_S = 5.0
 _LIST_POLL_S = 2.0
-_PLACES_INTERVAL_S = 1.0
+_LIMIT_UPDATE_INTERVAL_S = 1.0
 _CHEAP_PRICE = 0.3
 _POOL = "records"
 
 
 class _Server:
-    """Works on `slots` requests at one time, the rest waits in order."""
+    """Simulated server with a bounded number of slots and a FIFO queue."""
 
     def __init__(self, run: "_Run", record: EndpointRecord, number: int):
         self.run = run
@@ -70,7 +70,7 @@
         self._finishes = [t for t in self._finishes if t > now_s]
         return len(self._finishes)
 
-    def is_in(self, kind: str) -> bool:
+    def has_fault(self, kind: str) -> bool:
         now_s = self.run.clock.now_s
         return any(
             f.kind == kind
@@ -79,7 +79,7 @@
             for f in self.run.faults
         )
 
-    def is_gone(self) -> bool:
+    def is_reclaimed(self) -> bool:
         now_s = self.run.clock.now_s
         domain = self.record.endpoint_id.split("-")[0]
         return self.record.cheap and any(
@@ -90,19 +90,19 @@
         )
 
     def submit(self) -> float:
-        """Returns when the answer will be there."""
-        factor = _SLOW_FACTOR if self.is_in("slow") else 1.0
-        took_s = self.run.service_time_s() * factor
+        """Queues a request and returns its completion time."""
+        slowdown = _SLOW_FACTOR if self.has_fault("slow") else 1.0
+        service_s = self.run.draw_service_s() * slowdown
         slot = min(range(len(self._free_at_s)), key=self._free_at_s.__getitem__)
         start_s = max(self.run.clock.now_s, self._free_at_s[slot])
-        self._free_at_s[slot] = start_s + took_s
-        self._finishes.append(start_s + took_s)
-        self.busy_s += took_s
-        return start_s + took_s
+        self._free_at_s[slot] = start_s + service_s
+        self._finishes.append(start_s + service_s)
+        self.busy_s += service_s
+        return start_s + service_s
 
 
 class _Daemon:
-    """The cores of one daemon around its own endpoint table."""
+    """Cores and endpoint table of one daemon."""
 
     def __init__(self, run: "_Run", domain: str, seed: int):
         policy = run.policy
@@ -110,12 +110,12 @@
         self.domain = domain
         self.table = EndpointTable()
         self.table.apply_list(run.records_of(domain))
-        kind = LeastLoaded if policy.is_least_loaded else RoundRobin
-        self.balancer = kind(seed)
-        core = AdmissionCore if policy.is_fair else FirstComeFirstServed
-        self.admission = core(MOST_PLACES)
+        balancer_class = LeastLoaded if policy.is_least_loaded else RoundRobin
+        self.balancer = balancer_class(seed)
+        core_class = AdmissionCore if policy.is_fair else FirstComeFirstServed
+        self.admission = core_class(MAX_CONCURRENCY_LIMIT)
         self.budget = RetryBudget()
-        self.waiting: dict[str, _Request] = {}
+        self.waiting_requests: dict[str, _Request] = {}
 
     def choose(
         self, excluded: frozenset[str], *, idempotent: bool
@@ -126,30 +126,34 @@
             states = prefer_regular(states)
         return self.balancer.choose(states)
 
-    def follow_capacity(self) -> None:
-        """Lets the places follow the capacity that endpoints tell."""
-        sharing = _DAEMONS_EACH
+    def update_concurrency_limit(self) -> None:
+        """Sets the limit from the reported capacity, once per interval."""
+        daemon_count = _DAEMONS_PER_DOMAIN
         if self.run.policy.is_site_wide:
-            sharing = len(self.run.daemons)
+            daemon_count = len(self.run.daemons)
         capacity = self.table.reported_capacity([_POOL])
         self.feed(
             ConcurrencyLimitChanged(
-                compute_concurrency_limit(capacity, sharing, MOST_PLACES)
+                compute_concurrency_limit(
+                    capacity, daemon_count, MAX_CONCURRENCY_LIMIT
+                )
             )
         )
-        self.run.clock.after(_PLACES_INTERVAL_S, self.follow_capacity)
+        self.run.clock.call_later(
+            _LIMIT_UPDATE_INTERVAL_S, self.update_concurrency_limit
+        )
 
     def feed(self, event: object) -> None:
         for action in self.admission.handle(event, self.run.clock.now_s):
-            req = self.waiting.pop(action.request_id)
+            req = self.waiting_requests.pop(action.request_id)
             if isinstance(action, AdmitRequest):
-                req.begin()
+                req.start_forwarding()
             else:
                 req.finish("refused")
 
 
 class _Request:
-    """One request through a daemon's cores."""
+    """A request that passes through the cores of a daemon."""
 
     def __init__(self, run: "_Run", number: int, account: int):
         self.run = run
@@ -160,11 +164,11 @@
         self.idempotent = run.rng.random() >= run.site.filing_share
         self.daemon = run.rng.choice(run.daemons)
         self.admitted_s: float | None = None
-        self._open: dict[int, _Server] = {}
-        self._is_over = False
+        self._open_attempts: dict[int, _Server] = {}
+        self._is_finished = False
 
     def arrive(self) -> None:
-        self.daemon.waiting[self.request_id] = self
+        self.daemon.waiting_requests[self.request_id] = self
         self.daemon.feed(
             RequestArrived(
                 request_id=self.request_id,
@@ -176,9 +180,11 @@
             )
         )
 
-    def begin(self) -> None:
+    def start_forwarding(self) -> None:
         self.admitted_s = self.run.clock.now_s
-        hedge_s = self.run.site.hedge_after_s if self.run.policy.hedges else 0
+        hedge_s = (
+            self.run.site.hedge_after_s if self.run.policy.is_hedged else 0
+        )
         plan = ForwardPlan(
             idempotent=self.idempotent,
             deadline_s=self.deadline_s,
@@ -189,84 +195,88 @@
         )
         self.core = ForwardCore(plan, choose, self.daemon.budget)
         self.feed(ForwardStarted())
-        if not self._is_over and self.core.next_wakeup_s is not None:
+        if not self._is_finished and self.core.next_wakeup_s is not None:
             tick_s = self.core.next_wakeup_s
-            self.run.clock.at(tick_s, lambda: self.feed(ForwardTick()))
+            self.run.clock.call_at(tick_s, lambda: self.feed(ForwardTick()))
 
     def feed(self, event: object) -> None:
-        if self._is_over:
+        if self._is_finished:
             return
         for action in self.core.handle(event, self.run.clock.now_s):
             if isinstance(action, StartAttempt):
                 self._send(action)
             elif isinstance(action, DeliverResponse):
-                self.finish("answered", self._open.pop(action.attempt))
+                self.finish("answered", self._open_attempts.pop(action.attempt))
             else:
-                kind = (
+                outcome = (
                     "failed"
                     if action.ran is ExecutionStatus.NOT_RUN
                     else "unknown"
                 )
-                self.finish(kind)
+                self.finish(outcome)
 
     def _send(self, action: StartAttempt) -> None:
         run = self.run
         server = run.servers[action.endpoint_id]
-        self._open[action.attempt] = server
+        self._open_attempts[action.attempt] = server
         self.daemon.table.record_sent(action.endpoint_id)
         hop_s = run.hop_s(self.daemon.domain, server)
-        if server.is_in("refuse") or server.is_gone():
-            run.clock.after(
+        if server.has_fault("refuse") or server.is_reclaimed():
+            run.clock.call_later(
                 2 * hop_s,
-                lambda: self._fail(action.attempt, ExecutionStatus.NOT_RUN),
+                lambda: self._fail_attempt(
+                    action.attempt, ExecutionStatus.NOT_RUN
+                ),
             )
             return
-        run.clock.at(
+        run.clock.call_at(
             self.deadline_s,
-            lambda: self._fail(action.attempt, ExecutionStatus.UNKNOWN),
+            lambda: self._fail_attempt(action.attempt, ExecutionStatus.UNKNOWN),
         )
-        if server.is_in("hang"):
+        if server.has_fault("hang"):
             return
         done_s = server.submit() + 2 * hop_s
-        run.clock.at(done_s, lambda: self._answer(action.attempt))
+        run.clock.call_at(
+            done_s, lambda: self._complete_attempt(action.attempt)
+        )
 
-    def _answer(self, attempt: int) -> None:
-        server = self._open.get(attempt)
-        if self._is_over or server is None:
+    def _complete_attempt(self, attempt: int) -> None:
+        server = self._open_attempts.get(attempt)
+        if self._is_finished or server is None:
             return
-        if server.is_gone() or server.is_in("hang"):
-            return  # Lost with the server; the deadline will tell.
-        self._note(attempt, failed=False)
-        news = EndpointUpdate(
+        if server.is_reclaimed() or server.has_fault("hang"):
+            return  # The response is lost; the attempt times out.
+        self._record_done(attempt, failed=False)
+        update = EndpointUpdate(
             endpoint_id=server.record.endpoint_id,
             incarnation=1,
             load=server.load(),
             capacity=self.run.site.service_slots,
         )
-        self.daemon.table.apply_update(news)
+        self.daemon.table.apply_update(update)
         self.feed(AttemptCompleted(attempt))
 
-    def _fail(self, attempt: int, ran: ExecutionStatus) -> None:
-        if self._is_over or attempt not in self._open:
+    def _fail_attempt(self, attempt: int, ran: ExecutionStatus) -> None:
+        if self._is_finished or attempt not in self._open_attempts:
             return
-        self._note(attempt, failed=True)
-        del self._open[attempt]
+        self._record_done(attempt, failed=True)
+        del self._open_attempts[attempt]
         timed_out = ran is ExecutionStatus.UNKNOWN
         self.feed(AttemptFailed(attempt=attempt, ran=ran, timed_out=timed_out))
 
-    def _note(self, attempt: int, *, failed: bool) -> None:
+    def _record_done(self, attempt: int, *, failed: bool) -> None:
         self.daemon.table.record_done(
-            self._open[attempt].record.endpoint_id,
+            self._open_attempts[attempt].record.endpoint_id,
             failed=failed,
             now_s=self.run.clock.now_s,
         )
 
-    def finish(self, kind: str, server: _Server | None = None) -> None:
-        self._is_over = True
+    def finish(self, outcome: str, server: _Server | None = None) -> None:
+        self._is_finished = True
         now_s = self.run.clock.now_s
-        took_s = now_s - self.started_s + 2 * self.run.site.caller_s
-        self.run.outcomes.append((self.account, kind, took_s, server))
-        for other in self._open.values():
+        latency_s = now_s - self.started_s + 2 * self.run.site.caller_s
+        self.run.outcomes.append((self.account, outcome, latency_s, server))
+        for other in self._open_attempts.values():
             self.daemon.table.record_done(
                 other.record.endpoint_id, failed=False, now_s=now_s
             )
@@ -276,7 +286,7 @@
 
 
 class _Run:
-    """One seed under one policy."""
+    """Simulation of one seed under one policy."""
 
     def __init__(self, site: Site, policy: LookupPolicy, seed: int):
         self.site = site
@@ -293,16 +303,16 @@
         self.daemons = [
             _Daemon(self, domain, seed + number)
             for domain in site.domains
-            for number in range(_DAEMONS_EACH)
+            for number in range(_DAEMONS_PER_DOMAIN)
         ]
 
     def _records(self):
         counts = {"service": self.site.services}
         if self.policy.extra != "none":
             counts[self.policy.extra] = (1,) * len(self.site.domains)
-        for kind, of_domains in counts.items():
+        for kind, domain_counts in counts.items():
             for domain, count in zip(
-                self.site.domains, of_domains, strict=True
+                self.site.domains, domain_counts, strict=True
             ):
                 for number in range(count):
                     yield EndpointRecord(
@@ -322,21 +332,21 @@
         ]
 
     def hop_s(self, domain: str, server: _Server) -> float:
-        is_near = server.record.endpoint_id.startswith(domain)
-        return 0.0001 if is_near else self.site.hop_s
+        is_same_domain = server.record.endpoint_id.startswith(domain)
+        return 0.0001 if is_same_domain else self.site.hop_s
 
-    def service_time_s(self) -> float:
-        took_s = self.rng.lognormvariate(0, 0.3) * self.site.service_s
+    def draw_service_s(self) -> float:
+        service_s = self.rng.lognormvariate(0, 0.3) * self.site.service_s
         if self.rng.random() < self.site.long_share:
-            took_s *= self.site.long_factor
-        return took_s
+            service_s *= self.site.long_factor
+        return service_s
 
     def run(self) -> LookupResult:
         self._schedule_arrivals()
-        self.clock.at(0.0, self._read_list)
-        if self.policy.follows_capacity:
+        self.clock.call_at(0.0, self._read_list)
+        if self.policy.is_limit_adaptive:
             for daemon in self.daemons:
-                self.clock.at(0.0, daemon.follow_capacity)
+                self.clock.call_at(0.0, daemon.update_concurrency_limit)
         self.clock.run(self.site.duration_s + 2 * self.site.deadline_s)
         return self._result()
 
@@ -353,10 +363,12 @@
                 self._schedule_request(time_s, number, account)
 
     def _schedule_request(self, time_s: float, number: int, account: int):
-        self.clock.at(time_s, lambda: _Request(self, number, account).arrive())
+        self.clock.call_at(
+            time_s, lambda: _Request(self, number, account).arrive()
+        )
 
     def _read_list(self) -> None:
-        """The platform's list drops reclaimed servers after a lag."""
+        """Removes reclaimed servers from the tables after the list's lag."""
         reclaim = next(f for f in self.faults if f.kind == "reclaim")
         if self.clock.now_s >= reclaim.start_s + _LIST_LAG_S:
             for daemon in self.daemons:
@@ -364,11 +376,11 @@
                     [
                         record
                         for record in self.records_of(daemon.domain)
-                        if not self.servers[record.endpoint_id].is_gone()
+                        if not self.servers[record.endpoint_id].is_reclaimed()
                     ],
                     self.clock.now_s,
                 )
-        self.clock.after(_LIST_POLL_S, self._read_list)
+        self.clock.call_later(_LIST_POLL_S, self._read_list)
 
     def _result(self) -> LookupResult:
         total = len(self.outcomes)
@@ -381,8 +393,8 @@
         cheap = sum(1 for o in answered if o[3].record.cheap)
         return LookupResult(
             worst_p99_s=max(self._p99_s(a) for a in accounts),
-            worst_refused=max(self._lost_share(a) for a in accounts),
-            any_refused=max(self._lost_share(a) for a in (0, *accounts)),
+            worst_refused=max(self._unanswered_share(a) for a in accounts),
+            any_refused=max(self._unanswered_share(a) for a in (0, *accounts)),
             failed=1 - len(answered) / total,
             price=price / len(answered),
             cheap_share=cheap / total,
@@ -397,11 +409,11 @@
         ]
         return statistics.quantiles(times_s, n=100)[98]
 
-    def _lost_share(self, account: int) -> float:
+    def _unanswered_share(self, account: int) -> float:
         own = [o for o in self.outcomes if o[0] == account]
         return sum(1 for o in own if o[1] != "answered") / len(own)
 
 
 def run_lookups(site: Site, policy: LookupPolicy, seed: int) -> LookupResult:
-    """Runs one seed of a site's look-ups under a policy."""
+    """Simulates one seed of a site's look-ups under a policy."""
     return _Run(site, policy, seed).run()
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -1,4 +1,4 @@
-"""Trainers' lots through the lot core, with engines that fail and swap."""
+"""Simulates trainers' lots with the lot core and failing engines."""
 
 import dataclasses
 import functools
@@ -34,35 +34,37 @@
 
 _CAPACITY = 16
 _SWAP_S = 1.0
-_STORE_S = 0.01
+_STORE_LATENCY_S = 0.01
 _PULL_WAIT_S = 10.0
 _LONG_SHARE = 0.03
 _LONG_FACTOR = 4.0
-_DETECT_S = 0.01
-_PAUSE_S = 0.001
-_LIMIT_S = 3000.0
+_REFUSAL_DELAY_S = 0.01
+_PULL_INTERVAL_S = 0.001
+_MAX_DURATION_S = 3000.0
 _POOL = "model"
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LotPolicy:
-    """What decides.
+    """Options of a lot simulation.
 
     Attributes:
-        name: For the table.
-        is_least_loaded: Less loaded of two, or round robin.
-        keeps_samples: A lost sample leaves the others of its group, or not.
+        name: Name in the table.
+        is_least_loaded: Whether balancing chooses the less loaded of two
+            engines instead of round robin.
+        should_keep_samples: Whether the other samples of a group are kept if an
+            attempt for one of its samples fails.
         is_site_wide: Whether a lot uses the engines of all domains.
-        timeout_s: When a generation without an answer is given up.
-        max_staleness: Bound in versions.
+        timeout_s: Time after which an attempt without a response fails.
+        max_staleness: Maximum staleness of delivered samples in versions.
         spare_samples: Second attempts start for groups that miss at most
             this many samples.
-        has_faults: Whether the fault script runs.
+        has_faults: Whether engines fail.
     """
 
     name: str
     is_least_loaded: bool = True
-    keeps_samples: bool = True
+    should_keep_samples: bool = True
     is_site_wide: bool = False
     timeout_s: float = 60.0
     max_staleness: int = 2
@@ -72,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LotResult:
-    """Figures of one run, over all trainers."""
+    """Figures of one run over all trainers."""
 
     idle_share: float
     staleness: float
@@ -80,14 +82,14 @@
 
 
 class _RestartingSlots(SlotTable):
-    """Plain baseline: a lost sample takes its whole group with it."""
+    """Baseline: a failed attempt discards the samples of its whole group."""
 
     def fail_attempt(self, attempt: int, now_s: float) -> None:
-        place = self.slot_of(attempt)
+        slot_key = self.slot_of(attempt)
         super().fail_attempt(attempt, now_s)
-        if place is None:
+        if slot_key is None:
             return
-        group = place[0]
+        group = slot_key[0]
         for index, slot in enumerate(self._groups.get(group, ())):
             if slot.sample is None:
                 continue
@@ -98,7 +100,7 @@
 
 
 class _GroupRestartingCore(LotCore):
-    """A lot core over these slots."""
+    """Lot core that restarts whole groups."""
 
     def __init__(self, spec: LotSpec, holder: str):
         super().__init__(spec, holder)
@@ -107,19 +109,19 @@
 
 @dataclasses.dataclass(slots=True)
 class _Attempt:
-    """One attempt at an engine; `slot` is -1 if the engine refused it."""
+    """An attempt on an engine; `slot` is -1 if the engine refused it."""
 
     number: int
     engine: "_Engine"
     sent_s: float
     first_version: int
     slot: int = -1
-    begins_s: float = 0.0
+    starts_s: float = 0.0
     ends_s: float = 0.0
 
 
 class _Engine:
-    """Makes `_CAPACITY` samples at one time; one version for each pool."""
+    """Simulated engine with `_CAPACITY` slots and one version per trainer."""
 
     def __init__(self, run: "_Run", name: str, number: int):
         self.run = run
@@ -128,8 +130,8 @@
         self.versions = dict.fromkeys(range(run.site.trainers), 0)
         self._free_at_s = [0.0] * _CAPACITY
 
-    def is_in(self, kind: str, start_s: float) -> bool:
-        """Whether a fault of this kind was on between `start_s` and now."""
+    def had_fault_since(self, kind: str, start_s: float) -> bool:
+        """Returns whether a fault was active between `start_s` and now."""
         return any(
             f.kind == kind
             and f.target == self.number
@@ -139,18 +141,18 @@
         )
 
     def reserve(self, attempt: _Attempt) -> None:
-        """Sets when a new sample will start and be done."""
-        length_s = self.run.sample_s()
+        """Assigns a slot to an attempt and sets its start and end."""
+        length_s = self.run.draw_sample_duration_s()
         slot = min(range(_CAPACITY), key=self._free_at_s.__getitem__)
         attempt.slot = slot
-        attempt.begins_s = max(self.run.clock.now_s, self._free_at_s[slot])
-        attempt.ends_s = attempt.begins_s + length_s
+        attempt.starts_s = max(self.run.clock.now_s, self._free_at_s[slot])
+        attempt.ends_s = attempt.starts_s + length_s
         self._free_at_s[slot] = attempt.ends_s
 
-    def free(self, attempt: _Attempt) -> None:
-        """Ends an attempt early, if nothing waits behind it."""
+    def release(self, attempt: _Attempt) -> None:
+        """Frees the slot of an ended attempt if no later attempt is queued."""
         if self._free_at_s[attempt.slot] == attempt.ends_s:
-            free_s = max(self.run.clock.now_s, attempt.begins_s)
+            free_s = max(self.run.clock.now_s, attempt.starts_s)
             self._free_at_s[attempt.slot] = free_s
 
     def swap(self, trainer: int, version: int) -> None:
@@ -161,7 +163,7 @@
 
 
 class _Trainer:
-    """Pulls a step's groups, trains, publishes the next version."""
+    """Pulls the groups of a step, trains and publishes the next version."""
 
     def __init__(self, run: "_Run", number: int):
         site, policy = run.site, run.policy
@@ -180,26 +182,28 @@
             spare_samples=policy.spare_samples,
             sample_timeout_s=policy.timeout_s,
         )
-        kind = LotCore if policy.keeps_samples else _GroupRestartingCore
-        self.core = kind(spec, "holder")
+        core_class = (
+            LotCore if policy.should_keep_samples else _GroupRestartingCore
+        )
+        self.core = core_class(spec, "holder")
         self.table = EndpointTable()
         self.table.apply_list(run.records_of(number))
-        balancer = LeastLoaded if policy.is_least_loaded else RoundRobin
-        self.balancer = balancer(run.seed + number)
+        balancer_class = LeastLoaded if policy.is_least_loaded else RoundRobin
+        self.balancer = balancer_class(run.seed + number)
         self.version = 0
         self.idle_s = 0.0
         self.staleness: list[int] = []
         self.ended_s: float | None = None
         self.generated = 0
-        self._open: dict[int, _Attempt] = {}
-        self._stored = 0
+        self._open_attempts: dict[int, _Attempt] = {}
+        self._stored_version = 0
         self._groups = 0
         self._calls = 0
         self._pulls = 1
-        self._wait_since_s = 0.0
+        self._waiting_since_s = 0.0
 
-    def ask(self) -> None:
-        """Pulls; the id is repeated until it brings groups."""
+    def pull(self) -> None:
+        """Sends a pull, with the same id until it returns groups."""
         self._calls += 1
         acks = (f"pull-{self._pulls - 1}",) if self._pulls > 1 else ()
         self.feed(
@@ -220,35 +224,39 @@
                 case Generate():
                     self._generate(action)
                 case CancelSample():
-                    self._cancel(action)
+                    self._cancel_attempt(action)
                 case ReadState():
                     read = StateRead(LotState(), 0)
-                    clock.after(_STORE_S, functools.partial(self.feed, read))
+                    clock.call_later(
+                        _STORE_LATENCY_S, functools.partial(self.feed, read)
+                    )
                 case WriteState():
-                    self._stored += 1
-                    done = StateWritten(action.write_id, self._stored)
-                    clock.after(_STORE_S, functools.partial(self.feed, done))
+                    self._stored_version += 1
+                    done = StateWritten(action.write_id, self._stored_version)
+                    clock.call_later(
+                        _STORE_LATENCY_S, functools.partial(self.feed, done)
+                    )
                 case DeliverGroups():
-                    self._take(action)
+                    self._receive_groups(action)
                 case RefuseCall():
-                    clock.after(_PAUSE_S, self.ask)
+                    clock.call_later(_PULL_INTERVAL_S, self.pull)
 
     def tick(self) -> None:
         if self.ended_s is None:
             self.feed(LotTick())
-            self.run.clock.after(0.25, self.tick)
+            self.run.clock.call_later(0.25, self.tick)
 
     def _choose(self, action: Generate) -> str:
-        """Chooses an engine that has no other attempt for the sample."""
+        """Chooses an engine, preferably one without attempts for the sample."""
         now_s = self.run.clock.now_s
         used = frozenset(
-            self._open[other].engine.name
+            self._open_attempts[other].engine.name
             for other in action.others
-            if other in self._open
+            if other in self._open_attempts
         )
-        found = self.table.candidates(_POOL, now_s, used)
-        found = found or self.table.candidates(_POOL, now_s)
-        return self.balancer.choose(found)
+        candidates = self.table.candidates(_POOL, now_s, used)
+        candidates = candidates or self.table.candidates(_POOL, now_s)
+        return self.balancer.choose(candidates)
 
     def _generate(self, action: Generate) -> None:
         clock = self.run.clock
@@ -256,49 +264,56 @@
         engine = self.run.engines[self._choose(action)]
         version = engine.versions[self.number]
         attempt = _Attempt(action.attempt, engine, clock.now_s, version)
-        self._open[attempt.number] = attempt
+        self._open_attempts[attempt.number] = attempt
         self.table.record_sent(engine.name)
-        failed = functools.partial(self._fail, attempt)
-        if engine.is_in("refuse", clock.now_s):
-            clock.after(_DETECT_S, failed)
+        failed = functools.partial(self._fail_attempt, attempt)
+        if engine.had_fault_since("refuse", clock.now_s):
+            clock.call_later(_REFUSAL_DELAY_S, failed)
             return
         engine.reserve(attempt)
-        clock.at(attempt.begins_s, functools.partial(self._begin, attempt))
-        clock.at(attempt.ends_s, functools.partial(self._finish, attempt))
-        clock.after(self.run.policy.timeout_s, failed)
+        clock.call_at(
+            attempt.starts_s, functools.partial(self._start_attempt, attempt)
+        )
+        clock.call_at(
+            attempt.ends_s, functools.partial(self._complete_attempt, attempt)
+        )
+        clock.call_later(self.run.policy.timeout_s, failed)
 
-    def _begin(self, attempt: _Attempt) -> None:
+    def _start_attempt(self, attempt: _Attempt) -> None:
         attempt.first_version = attempt.engine.versions[self.number]
 
-    def _finish(self, attempt: _Attempt) -> None:
-        """Ends an attempt; one that met a silent engine waits in vain."""
-        if attempt.number not in self._open:
+    def _complete_attempt(self, attempt: _Attempt) -> None:
+        """Completes an attempt unless its engine failed meanwhile.
+
+        After a hang no response arrives, and the attempt fails at its timeout.
+        """
+        if attempt.number not in self._open_attempts:
             return
-        if attempt.engine.is_in("refuse", attempt.sent_s):
-            self._fail(attempt)
-        elif not attempt.engine.is_in("hang", attempt.sent_s):
-            self._close(attempt.number, failed=False)
+        if attempt.engine.had_fault_since("refuse", attempt.sent_s):
+            self._fail_attempt(attempt)
+        elif not attempt.engine.had_fault_since("hang", attempt.sent_s):
+            self._end_attempt(attempt.number, failed=False)
             last = attempt.engine.versions[self.number]
-            answer = _answer(attempt.first_version, last)
-            self.feed(SampleReceived(attempt.number, answer))
+            response = _make_response(attempt.first_version, last)
+            self.feed(SampleReceived(attempt.number, response))
 
-    def _fail(self, attempt: _Attempt) -> None:
-        if attempt.number in self._open:
-            self._close(attempt.number, failed=True)
+    def _fail_attempt(self, attempt: _Attempt) -> None:
+        if attempt.number in self._open_attempts:
+            self._end_attempt(attempt.number, failed=True)
             self.feed(SampleFailed(attempt.number))
 
-    def _cancel(self, action: CancelSample) -> None:
-        if action.attempt in self._open:
-            self._close(action.attempt, failed=False)
+    def _cancel_attempt(self, action: CancelSample) -> None:
+        if action.attempt in self._open_attempts:
+            self._end_attempt(action.attempt, failed=False)
 
-    def _close(self, number: int, *, failed: bool) -> None:
+    def _end_attempt(self, number: int, *, failed: bool) -> None:
         now_s = self.run.clock.now_s
-        attempt = self._open.pop(number)
+        attempt = self._open_attempts.pop(number)
         self.table.record_done(attempt.engine.name, failed=failed, now_s=now_s)
         if attempt.slot >= 0 and now_s < attempt.ends_s:
-            attempt.engine.free(attempt)
+            attempt.engine.release(attempt)
 
-    def _take(self, action: DeliverGroups) -> None:
+    def _receive_groups(self, action: DeliverGroups) -> None:
         clock = self.run.clock
         for group in action.groups:
             for sample in group.samples:
@@ -306,24 +321,24 @@
         self._groups += len(action.groups)
         self._pulls += bool(action.groups)
         if self._groups < self.run.site.groups and action.remaining:
-            clock.after(_PAUSE_S, self.ask)
+            clock.call_later(_PULL_INTERVAL_S, self.pull)
             return
-        self.idle_s += clock.now_s - self._wait_since_s
+        self.idle_s += clock.now_s - self._waiting_since_s
         self._groups = 0
         if not action.remaining:
             self.ended_s = clock.now_s
             return
-        clock.after(self.run.site.train_s, self._next_step)
+        clock.call_later(self.run.site.train_s, self._next_step)
 
     def _next_step(self) -> None:
         self.version += 1
-        self._wait_since_s = self.run.clock.now_s
+        self._waiting_since_s = self.run.clock.now_s
         self.run.publish(self.number, self.version)
-        self.ask()
+        self.pull()
 
 
 class _Run:
-    """One seed under one policy."""
+    """Simulation of one seed under one policy."""
 
     def __init__(self, site: Site, policy: LotPolicy, seed: int):
         self.site = site
@@ -331,30 +346,30 @@
         self.seed = seed
         self.rng = random.Random(seed)
         self.clock = Clock()
-        self._places = [
+        self._engine_names = [
             f"{domain}-{number}"
             for domain, count in zip(site.domains, site.engines, strict=True)
             for number in range(count)
         ]
         self.faults = ()
         if policy.has_faults:
-            self.faults = engine_faults(seed, len(self._places))
+            self.faults = engine_faults(seed, len(self._engine_names))
         self.engines = {
             name: _Engine(self, name, number)
-            for number, name in enumerate(self._places)
+            for number, name in enumerate(self._engine_names)
         }
         self.trainers = [_Trainer(self, n) for n in range(site.trainers)]
 
     def records_of(self, trainer: int) -> list[EndpointRecord]:
-        """Engines of the domain whose daemon holds the lot, or all."""
+        """Returns the engines of the lot holder's domain or of all domains."""
         domain = self.site.domains[trainer % len(self.site.domains)]
         return [
             EndpointRecord(endpoint_id=name, pool=_POOL, ip="10.0.0.1", port=80)
-            for name in self._places
+            for name in self._engine_names
             if self.policy.is_site_wide or name.startswith(domain)
         ]
 
-    def sample_s(self) -> float:
+    def draw_sample_duration_s(self) -> float:
         length_s = self.rng.lognormvariate(0, 0.5) * self.site.sample_s
         if self.rng.random() < _LONG_SHARE:
             length_s *= _LONG_FACTOR
@@ -363,27 +378,27 @@
     def publish(self, trainer: int, version: int) -> None:
         for engine in self.engines.values():
             delay_s = self.rng.uniform(0.5, 1.5)
-            self._swap_later(delay_s, engine, trainer, version)
+            self._schedule_swap(delay_s, engine, trainer, version)
 
-    def _swap_later(self, delay_s, engine, trainer, version) -> None:
-        self.clock.after(delay_s, lambda: engine.swap(trainer, version))
+    def _schedule_swap(self, delay_s, engine, trainer, version) -> None:
+        self.clock.call_later(delay_s, lambda: engine.swap(trainer, version))
 
     def run(self) -> LotResult:
         for trainer in self.trainers:
-            self.clock.at(0.0, trainer.ask)
-            self.clock.at(0.0, trainer.tick)
-        self.clock.run(_LIMIT_S)
-        whole_s = sum(t.ended_s or _LIMIT_S for t in self.trainers)
+            self.clock.call_at(0.0, trainer.pull)
+            self.clock.call_at(0.0, trainer.tick)
+        self.clock.run(_MAX_DURATION_S)
+        total_s = sum(t.ended_s or _MAX_DURATION_S for t in self.trainers)
         staleness = [s for t in self.trainers for s in t.staleness]
         generated = sum(t.generated for t in self.trainers)
         return LotResult(
-            idle_share=sum(t.idle_s for t in self.trainers) / whole_s,
+            idle_share=sum(t.idle_s for t in self.trainers) / total_s,
             staleness=sum(staleness) / len(staleness),
             wasted=1 - len(staleness) / generated,
         )
 
 
-def _answer(first: int, last: int) -> EngineResponse:
+def _make_response(first: int, last: int) -> EngineResponse:
     spans = (Span(version=first, start=0, end=1),)
     if last != first:
         spans += (Span(version=last, start=1, end=2),)
@@ -391,5 +406,5 @@
 
 
 def run_lots(site: Site, policy: LotPolicy, seed: int) -> LotResult:
-    """Runs one seed of a site's trainers under a policy."""
+    """Simulates one seed of a site's trainers under a policy."""
     return _Run(site, policy, seed).run()
--- a/benchmarks/measure/plots.py
+++ b/benchmarks/measure/plots.py
@@ -1,4 +1,4 @@
-"""One small bar chart for each measure: medians, lowest to highest."""
+"""Draws a bar chart per figure with medians and ranges."""
 
 import pathlib
 
@@ -29,11 +29,11 @@
 
 
 def draw(parts: dict, folder: pathlib.Path) -> None:
-    """Writes `<figure>.png` for each measure.
+    """Writes `<figure>.png` for each plotted figure.
 
     Args:
-        parts: Rows by part, as `__main__` makes them.
-        folder: Where to write.
+        parts: Rows of `__main__` by title of the table.
+        folder: Folder of the files.
     """
     for part, figure, title in _PLOTS:
         _draw_one(parts[part], figure, title, folder / f"{figure}.png")
--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -1,4 +1,4 @@
-"""Usage windows: what is billed late, twice or never."""
+"""Simulates usage windows and counts late, duplicate and lost billing."""
 
 import collections
 import dataclasses
@@ -39,35 +39,35 @@
 
 __all__ = ["UsagePolicy", "UsageResult", "run_usage"]
 
-_DAEMONS = 2
+_DAEMON_COUNT = 2
 _WINDOW_S = 60
 _GRACE_S = 5.0
 _RETRY_S = 1.0
 _SERVED_S = 110 * _WINDOW_S
 _END_S = _SERVED_S + 20 * _WINDOW_S
-_TAKE_OVER_S = 100 * _WINDOW_S
-_MOST_PER_S = 2
-_LOST_ANSWERS = 0.02
+_HOLDER_CHANGE_S = 100 * _WINDOW_S
+_MAX_REQUESTS_PER_S = 2
+_LOST_RESPONSE_SHARE = 0.02
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class UsagePolicy:
-    """What is done.
+    """Options of a usage simulation.
 
     Attributes:
-        name: For the table.
-        copies: Whether a peer keeps a copy of the counts.
-        marks: Whether a holder reads back which parts were sealed.
+        name: Name in the table.
+        has_copies: Whether a peer keeps copies of usage parts.
+        has_marks: Whether the holder reads which parts are already sealed.
     """
 
     name: str
-    copies: bool = True
-    marks: bool = True
+    has_copies: bool = True
+    has_marks: bool = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class UsageResult:
-    """Shares of the requests served; `late` without those billed twice."""
+    """Shares of served requests; `late` excludes those billed twice."""
 
     late: float
     never: float
@@ -75,7 +75,7 @@
 
 
 class _Daemon:
-    """One epoch of a daemon with its cores."""
+    """Counters and cores of one epoch of a daemon."""
 
     def __init__(self, number: int, epoch: int):
         self.daemon_id = f"daemon-{number}"
@@ -86,18 +86,18 @@
 
 
 class _Run:
-    """One failure domain with two daemons and a platform.
+    """Simulation of one failure domain with two daemons and a platform.
 
-    Each daemon's count of a second has an account of its own, so that what
-    was billed can be compared with what was served.
+    Each daemon uses a new account every second, so that billed and served
+    requests can be compared individually.
     """
 
     def __init__(self, policy: UsagePolicy, seed: int):
         self.policy = policy
         self.rng = random.Random(seed)
-        self.faults = usage_faults(seed, _DAEMONS)
+        self.faults = usage_faults(seed, _DAEMON_COUNT)
         self.now_s = 0
-        self.daemons = [_Daemon(n, 1) for n in range(_DAEMONS)]
+        self.daemons = [_Daemon(n, 1) for n in range(_DAEMON_COUNT)]
         self.holder = 0
         self.fencing = 1
         self.ledger = (Ledger(), 0)
@@ -107,24 +107,24 @@
 
     def run(self) -> UsageResult:
         for self.now_s in range(_END_S):
-            self._serve()
-            self._fail()
-            self._copy()
-            self._step()
+            self._count_requests()
+            self._apply_faults()
+            self._exchange_copies()
+            self._run_cores()
         return self._result()
 
-    def _serve(self) -> None:
+    def _count_requests(self) -> None:
         if self.now_s >= _SERVED_S:
             return
         for daemon in self.daemons:
             account = f"{daemon.daemon_id}/{self.now_s}"
-            requests = self.rng.randint(0, _MOST_PER_S)
+            requests = self.rng.randint(0, _MAX_REQUESTS_PER_S)
             self.served[account] = requests
             for _ in range(requests):
                 daemon.counters.add(account, 100, self.now_s)
 
-    def _fail(self) -> None:
-        """Kills lose what was counted since the last copy."""
+    def _apply_faults(self) -> None:
+        """Kills daemons, which lose uncopied counts, and changes the holder."""
         for fault in self.faults:
             if fault.kind == "kill" and int(fault.start_s) == self.now_s:
                 number = fault.target
@@ -132,47 +132,47 @@
                 self.daemons[number] = _Daemon(number, epoch)
                 if number == self.holder:
                     self._change_holder()
-        if self.now_s == _TAKE_OVER_S:
+        if self.now_s == _HOLDER_CHANGE_S:
             self._change_holder()
 
     def _change_holder(self) -> None:
         self.holder = 1 - self.holder
         self.fencing += 1
 
-    def _live(self, daemon: _Daemon) -> dict[str, int]:
+    def _live_peers(self, daemon: _Daemon) -> dict[str, int]:
         return {d.daemon_id: d.epoch for d in self.daemons if d is not daemon}
 
-    def _copy(self) -> None:
+    def _exchange_copies(self) -> None:
         for daemon in self.daemons:
-            live = self._live(daemon) if self.policy.copies else {}
-            told = daemon.counters.tick(live)
+            live = self._live_peers(daemon) if self.policy.has_copies else {}
+            usage_by_peer = daemon.counters.tick(live)
             for peer in self.daemons:
-                news = told.get(peer.daemon_id)
-                if news is None:
+                usage = usage_by_peer.get(peer.daemon_id)
+                if usage is None:
                     continue
-                peer.counters.keep_copies(daemon.daemon_id, news.parts)
-                if news.acked_number:
+                peer.counters.keep_copies(daemon.daemon_id, usage.parts)
+                if usage.acked_number:
                     peer.counters.on_copies_acknowledged(
                         daemon.daemon_id,
                         daemon.epoch,
-                        news.acked_epoch,
-                        news.acked_number,
+                        usage.acked_epoch,
+                        usage.acked_number,
                     )
 
-    def _step(self) -> None:
-        """Lets all cores go on, in any order."""
-        turns = []
+    def _run_cores(self) -> None:
+        """Ticks all cores in random order."""
+        events = []
         for daemon in self.daemons:
-            live = self._live(daemon)
+            live = self._live_peers(daemon)
             is_holder = daemon is self.daemons[self.holder]
             fencing = self.fencing if is_holder else 0
             running = frozenset({daemon.daemon_id, *live})
             flush = FlushTick(self.now_s, live)
             seal = SealTick(self.now_s, fencing, running)
-            turns.append((daemon, daemon.flush, flush))
-            turns.append((daemon, daemon.seal, seal))
-        self.rng.shuffle(turns)
-        for daemon, core, event in turns:
+            events.append((daemon, daemon.flush, flush))
+            events.append((daemon, daemon.seal, seal))
+        self.rng.shuffle(events)
+        for daemon, core, event in events:
             self._feed(daemon, core, event)
 
     def _feed(self, daemon: _Daemon, core: Core, event: object) -> None:
@@ -181,12 +181,12 @@
             actions = core.handle(self._call(daemon, actions[0]), self.now_s)
 
     def _call(self, daemon: _Daemon, action: object) -> object:
-        """Calls the platform; some calls take effect without an answer."""
+        """Calls the platform; some calls take effect without a response."""
         if self._is_in_outage():
             return CallFailed()
-        answer = self._perform(daemon, action)
-        is_lost = self.rng.random() < _LOST_ANSWERS
-        return CallFailed() if is_lost else answer
+        response = self._perform(daemon, action)
+        is_lost = self.rng.random() < _LOST_RESPONSE_SHARE
+        return CallFailed() if is_lost else response
 
     def _is_in_outage(self) -> bool:
         return any(
@@ -199,7 +199,7 @@
             case ReadLedger():
                 return self._read_ledger(daemon)
             case WriteLedger():
-                # One call at a time and two daemons: nothing is refused.
+                # Calls run one at a time, so no write is rejected.
                 self.ledger = (action.ledger, self.ledger[1] + 1)
                 return LedgerWritten(self.ledger[1])
             case SendReport():
@@ -234,7 +234,7 @@
     def _read_ledger(self, daemon: _Daemon) -> LedgerRead:
         ledger, version = self.ledger
         is_holder = daemon is self.daemons[self.holder]
-        if is_holder and not self.policy.marks:
+        if is_holder and not self.policy.has_marks:
             ledger = msgspec.structs.replace(ledger, marks=())
         return LedgerRead(ledger, version)
 
@@ -247,16 +247,16 @@
             for count in window.counts:
                 billed[count.account] += count.requests
         total = sum(self.served.values())
-        over = [billed[a] - n for a, n in self.served.items()]
-        twice = sum(max(0, n) for n in over)
+        surpluses = [billed[a] - n for a, n in self.served.items()]
+        twice = sum(max(0, n) for n in surpluses)
         return UsageResult(
             late=(late - twice) / total,
-            never=sum(max(0, -n) for n in over) / total,
+            never=sum(max(0, -n) for n in surpluses) / total,
             twice=twice / total,
         )
 
 
 def run_usage(site: Site, policy: UsagePolicy, seed: int) -> UsageResult:
-    """Runs one seed of one failure domain; the site changes nothing."""
+    """Simulates one seed of one failure domain; `site` is unused."""
     del site
     return _Run(policy, seed).run()
--- a/benchmarks/measure/workloads.py
+++ b/benchmarks/measure/workloads.py
@@ -1,4 +1,4 @@
-"""Workload scripts: two sites of three failure domains each."""
+"""Workloads of two sites with three failure domains each."""
 
 import dataclasses
 
@@ -10,27 +10,30 @@
     """Sizes and load of one site.
 
     Attributes:
-        name: Its name.
-        domains: Failure domains.
-        services: Record servers by domain.
-        engines: Model engines by domain.
-        trainers: Trainers that share the engines.
-        hop_s: One way between failure domains, seconds.
-        caller_s: One way from callers, seconds.
-        rates: Requests a second by client account; the first two are large.
-        duration_s: Length of a look-up run.
-        filing_share: Share of requests that may not be repeated.
-        service_slots: Requests that a record server works on at one time.
-        service_s: Median time of one request.
+        name: Name in the table.
+        domains: Names of the failure domains.
+        services: Number of record servers by domain.
+        engines: Number of model engines by domain.
+        trainers: Number of trainers that share the engines.
+        hop_s: One-way latency between failure domains.
+        caller_s: One-way latency between callers and daemons.
+        rates: Requests per second by client account; the first two accounts are
+            large.
+        duration_s: Duration of a look-up run.
+        filing_share: Share of requests that aren't idempotent.
+        service_slots: Number of requests that a record server processes at one
+            time.
+        service_s: Median service time of a request.
         long_share: Share of requests that take `long_factor` times as long.
-        long_factor: How much longer they take.
-        deadline_s: When a caller gives up.
-        hedge_after_s: When a repeatable request goes to a second server.
-        steps: Steps of each trainer.
-        groups: Groups of a step.
-        group_size: Samples of a group.
-        train_s: Length of a step's training.
-        sample_s: Median length of a sample.
+        long_factor: Factor of the service time of these requests.
+        deadline_s: Time after which a caller gives up.
+        hedge_after_s: Time after which an idempotent request is also sent to a
+            second server.
+        steps: Number of steps of each trainer.
+        groups: Number of groups per step.
+        group_size: Number of samples per group.
+        train_s: Duration of the training in a step.
+        sample_s: Median generation time of a sample.
     """
 
     name: str
--- a/benchmarks/reconcile.py
+++ b/benchmarks/reconcile.py
@@ -1,10 +1,12 @@
-"""Catching up after a partition: polynomial sets, deltas, plain transfer.
-
-`python -m benchmarks.reconcile`. The polynomial method represents each set of
-hashes by its characteristic polynomial. Both sides exchange its values at as
-many points as the bound on the differences, interpolate the quotient, and
-test their own hashes for being roots. Processor times are of one side; bytes
-are of one direction, without the records, which every method sends alike.
+"""Compares methods of set reconciliation after a network partition.
+
+Run `python -m benchmarks.reconcile`. The methods are polynomial sets, deltas by
+version number, and transfer of all records. The polynomial method represents
+each set of hashes by its characteristic polynomial. Both sides exchange its
+values at as many points as the bound on the differences, interpolate the
+quotient, and test which of their own hashes are roots. Processor times are
+those of one side. Bytes are those of one direction and exclude the differing
+records, which every method sends.
 """
 
 import random
@@ -19,9 +21,10 @@
 _RECORD_BYTES = 130
 _VALUE_BYTES = 4
 _VERSION_BYTES = 8
-_MS = 1000
+_MS_PER_S = 1000
 _REPEATS = 3
-# Name, records, writers with a version number each, differing records.
+# Name, number of records, number of writers that each have a version number,
+# numbers of differing records.
 _CASES = (
     ("configuration", 7700, 1, (1, 10, 32, 100, 317)),
     ("endpoints", 650, 28, (1, 10, 50, 200)),
@@ -30,10 +33,10 @@
 
 
 def evaluate(hashes: np.ndarray, points: np.ndarray) -> np.ndarray:
-    """Returns the characteristic polynomial's values at the points."""
+    """Returns the values of the characteristic polynomial at the points."""
     values = np.ones(len(points), dtype=np.int64)
-    for item in hashes:
-        values = values * ((points - item) % _PRIME) % _PRIME
+    for own_hash in hashes:
+        values = values * ((points - own_hash) % _PRIME) % _PRIME
     return values
 
 
@@ -42,15 +45,15 @@
 
 
 def _solve(matrix: np.ndarray) -> np.ndarray:
-    """Solves an augmented system modulo the prime; free unknowns are 0."""
+    """Solves an augmented system modulo the prime; free variables are 0."""
     rows, columns = matrix.shape
     pivots = []
     for column in range(columns - 1):
         row = len(pivots)
-        found = np.flatnonzero(matrix[row:, column]) if row < rows else []
-        if not len(found):
+        nonzero = np.flatnonzero(matrix[row:, column]) if row < rows else []
+        if not len(nonzero):
             continue
-        other = row + found[0]
+        other = row + nonzero[0]
         matrix[[row, other]] = matrix[[other, row]]
         matrix[row] = matrix[row] * _inverse(matrix[row, column]) % _PRIME
         factors = matrix[:, column].copy()
@@ -70,62 +73,73 @@
     return powers
 
 
-def only_here(own: np.ndarray, size: int, values: np.ndarray) -> np.ndarray:
-    """Returns the own hashes that the other side lacks.
+def find_missing_hashes(
+    own: np.ndarray, size: int, values: np.ndarray
+) -> np.ndarray:
+    """Returns the own hashes that are missing on the other side.
 
     Args:
-        own: The own hashes.
-        size: How many hashes the other side has.
-        values: Its polynomial at the agreed points, one for each difference
-            allowed for.
+        own: Hashes of this side.
+        size: Number of hashes of the other side.
+        values: Values of the other side's polynomial at the agreed points;
+            their number is the bound on the number of differences.
     """
     bound = len(values)
     points = _PRIME - 1 - np.arange(bound, dtype=np.int64)
     inverses = np.array([_inverse(value) for value in values], dtype=np.int64)
     quotient = evaluate(own, points) * inverses % _PRIME
-    above = (bound + len(own) - size) // 2
-    below = above - (len(own) - size)
-    powers = _powers(points, max(above, below))
-    lower = powers[:, :below] * quotient[:, None] % _PRIME
-    right = quotient * powers[:, below] - powers[:, above]
+    numerator_degree = (bound + len(own) - size) // 2
+    denominator_degree = numerator_degree - (len(own) - size)
+    powers = _powers(points, max(numerator_degree, denominator_degree))
+    lower = powers[:, :denominator_degree] * quotient[:, None] % _PRIME
+    right_side = (
+        quotient * powers[:, denominator_degree] - powers[:, numerator_degree]
+    )
     matrix = np.hstack(
-        [powers[:, :above], (-lower) % _PRIME, (right % _PRIME)[:, None]]
+        [
+            powers[:, :numerator_degree],
+            (-lower) % _PRIME,
+            (right_side % _PRIME)[:, None],
+        ]
     )
-    numerator = np.append(_solve(matrix)[:above], 1)
-    found = np.zeros(len(own), dtype=np.int64)
+    numerator = np.append(_solve(matrix)[:numerator_degree], 1)
+    roots = np.zeros(len(own), dtype=np.int64)
     for coefficient in numerator[::-1]:
-        found = (found * own + coefficient) % _PRIME
-    return own[found == 0]
+        roots = (roots * own + coefficient) % _PRIME
+    return own[roots == 0]
 
 
-def _processor_ms(work: Callable[[], object]) -> float:
+def _processor_ms(function: Callable[[], object]) -> float:
     times_ms = []
     for _ in range(_REPEATS):
         started_s = time.process_time()
-        work()
-        times_ms.append((time.process_time() - started_s) * _MS)
+        function()
+        times_ms.append((time.process_time() - started_s) * _MS_PER_S)
     return statistics.median(times_ms)
 
 
-def _polynomial_ms(count: int, changed: int) -> float:
-    """Both sides have `count` records; `changed` of them differ."""
-    rng = random.Random(count + changed)
-    hashes = rng.sample(range(1, 1 << 30), count + changed)
-    here = np.array(hashes[:count], dtype=np.int64)
-    there = np.array(hashes[changed:], dtype=np.int64)
-    bound = 2 * changed
+def _polynomial_ms(count: int, changed_count: int) -> float:
+    """Returns the time to find the differences, milliseconds.
+
+    Both sides have `count` records, of which `changed_count` differ.
+    """
+    rng = random.Random(count + changed_count)
+    hashes = rng.sample(range(1, 1 << 30), count + changed_count)
+    own = np.array(hashes[:count], dtype=np.int64)
+    other = np.array(hashes[changed_count:], dtype=np.int64)
+    bound = 2 * changed_count
     points = _PRIME - 1 - np.arange(bound, dtype=np.int64)
-    values = evaluate(there, points)
-    found = only_here(here, count, values)
-    if set(found) != set(hashes[:changed]):
-        raise SystemExit("the differences were not found")
-    return _processor_ms(lambda: only_here(here, count, values))
+    values = evaluate(other, points)
+    missing = find_missing_hashes(own, count, values)
+    if set(missing) != set(hashes[:changed_count]):
+        raise SystemExit("the polynomial method returned wrong differences")
+    return _processor_ms(lambda: find_missing_hashes(own, count, values))
 
 
-def _delta_ms(count: int, changed: int) -> float:
-    """Scans the versions of all records for those above the other's."""
+def _delta_ms(count: int, changed_count: int) -> float:
+    """Returns the time to encode all records above the other side's version."""
     records = [(n, "x" * _RECORD_BYTES) for n in range(count)]
-    version = count - changed - 1
+    version = count - changed_count - 1
     return _processor_ms(
         lambda: msgspec.msgpack.encode([r for r in records if r[0] > version])
     )
@@ -139,18 +153,19 @@
 
 
 def main() -> None:
-    """Prints a table."""
+    """Prints the figures as a Markdown table."""
     print("| case | records | changed | polynomial | deltas | plain |")
     print("| --- | --- | --- | --- | --- | --- |")
     for name, count, origins, sizes in _CASES:
-        for changed in sizes:
-            polynomial_ms = _polynomial_ms(count, changed)
-            delta_ms = _delta_ms(count, changed)
+        for changed_count in sizes:
+            polynomial_ms = _polynomial_ms(count, changed_count)
+            delta_ms = _delta_ms(count, changed_count)
             print(
-                f"| {name} | {count} | {changed} "
-                f"| {2 * changed * _VALUE_BYTES} B, {polynomial_ms:.1f} ms "
+                f"| {name} | {count} | {changed_count} "
+                f"| {2 * changed_count * _VALUE_BYTES} B,"
+                f" {polynomial_ms:.1f} ms "
                 f"| {origins * _VERSION_BYTES} B, {delta_ms:.2f} ms "
-                f"| {(count - changed) * _RECORD_BYTES} B more,"
+                f"| {(count - changed_count) * _RECORD_BYTES} B more,"
                 f" {_plain_ms(count):.2f} ms |",
                 flush=True,
             )
--- a/benchmarks/slope_calls.py
+++ b/benchmarks/slope_calls.py
@@ -1,7 +1,7 @@
-"""Cost of calls to the platform and of orders to engines, as they are paced.
+"""Measures calls to the platform and orders and probes sent to engines.
 
-The calls go one at a time with a pause between them, from this process to a
-fake in another one. The processor time is that of the caller alone.
+Calls are sent one at a time with a pause after each, from this process to a
+fake server in another process. The processor time is that of this process only.
 """
 
 import subprocess
@@ -22,11 +22,11 @@
 
 __all__ = ["call_slopes"]
 
-_CALLS = (10, 25, 50, 100)
+_CALL_COUNTS = (10, 25, 50, 100)
 _ENDPOINTS = (10, 100, 325, 650)
-_PAUSE_S = 0.005
+_CALL_INTERVAL_S = 0.005
 _REPEATS = 3
-_MS = 1000
+_MS_PER_S = 1000
 _TIMEOUT_S = 5.0
 _LOOPBACK = "127.0.0.1"
 _ORDER = b'{"kind":"load_weights","version":%d,"fencing":1}'
@@ -46,7 +46,7 @@
     return process, Address(ip=_LOOPBACK, port=port)
 
 
-async def _wait_until_up(http: HttpClient, address: Address) -> None:
+async def _wait_until_listening(http: HttpClient, address: Address) -> None:
     with anyio.fail_after(20):
         while True:
             try:
@@ -58,26 +58,26 @@
 
 
 async def _cost_ms(call: Call, count: int) -> float:
-    """Returns the processor time of `count` paced calls."""
+    """Returns the processor time of `count` calls with pauses, milliseconds."""
     await call()
     started_s = time.process_time()
     for _ in range(count):
         await call()
-        await anyio.sleep(_PAUSE_S)
-    return (time.process_time() - started_s) * _MS
+        await anyio.sleep(_CALL_INTERVAL_S)
+    return (time.process_time() - started_s) * _MS_PER_S
 
 
-async def _slope(name: str, call: Call) -> Slope:
-    found = []
-    for count in _CALLS:
+async def _call_slope(name: str, call: Call) -> Slope:
+    points = []
+    for count in _CALL_COUNTS:
         costs = [await _cost_ms(call, count) for _ in range(_REPEATS)]
-        found.append(Point.of(count, costs))
-    return Slope(name=name, per="call", unit="ms", points=tuple(found))
+        points.append(Point.from_values(count, costs))
+    return Slope(name=name, per="call", unit="ms", points=tuple(points))
 
 
-async def _list_slope(http: HttpClient, address: Address) -> Slope:
+async def _endpoint_list_slope(http: HttpClient, address: Address) -> Slope:
     client = PlatformClient(address, http, _TIMEOUT_S)
-    found = []
+    points = []
     for count in _ENDPOINTS:
         records = endpoint_records(count)
         await http.request(
@@ -92,12 +92,12 @@
             await client.list_endpoints("busan")
 
         costs = [await _cost_ms(read, 30) / 30 for _ in range(_REPEATS)]
-        found.append(Point.of(count, costs))
+        points.append(Point.from_values(count, costs))
     return Slope(
         name="endpoint list read",
         per="endpoint",
         unit="ms",
-        points=tuple(found),
+        points=tuple(points),
     )
 
 
@@ -105,8 +105,8 @@
     return msgspec.json.encode(value)
 
 
-async def _nothing() -> None:
-    """Costs only the pause between calls."""
+async def _do_nothing() -> None:
+    """Does nothing, so that the cost of the pauses alone is measured."""
 
 
 async def _measure() -> list[Slope]:
@@ -142,15 +142,15 @@
         await http.request("GET", engine_address, "/load", timeout_s=_TIMEOUT_S)
 
     try:
-        await _wait_until_up(http, platform_address)
-        await _wait_until_up(http, engine_address)
+        await _wait_until_listening(http, platform_address)
+        await _wait_until_listening(http, engine_address)
         return [
-            await _slope("pauses alone", _nothing),
-            await _slope("platform reads", read),
-            await _slope("platform writes", write),
-            await _slope("weight orders, new connection each", order),
-            await _slope("probes of one endpoint", probe),
-            await _list_slope(http, platform_address),
+            await _call_slope("pauses alone", _do_nothing),
+            await _call_slope("platform reads", read),
+            await _call_slope("platform writes", write),
+            await _call_slope("weight orders, new connection each", order),
+            await _call_slope("probes of one endpoint", probe),
+            await _endpoint_list_slope(http, platform_address),
         ]
     finally:
         await http.aclose()
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -1,4 +1,4 @@
-"""Slopes of the decision cores: lots, admission, leases."""
+"""Measures the deterministic cores of lots, admission and leases."""
 
 import time
 from collections.abc import Iterator
@@ -45,22 +45,22 @@
 
 __all__ = ["core_slopes"]
 
-_SLOTS = (64, 256, 1024, 2048)
+_SLOT_COUNTS = (64, 256, 1024, 2048)
 _GROUP_SIZE = 8
-_GROUPS_A_PULL = 8
+_GROUPS_PER_PULL = 8
 _CONCURRENCY = 128
 _TOKENS = 32
-_ANSWER_TOKENS = (100, 400, 1600, 6400)
+_RESPONSE_TOKENS = (100, 400, 1600, 6400)
 _VOCABULARY = 100_000
-_ACCOUNTS = (8, 64, 512, 2048)
-_DAEMONS = (1, 4, 9, 28)
-_CANDIDATES_TRYING = 2
+_ACCOUNT_COUNTS = (8, 64, 512, 2048)
+_DAEMON_COUNTS = (1, 4, 9, 28)
+_CANDIDATE_COUNT = 2
 _LEASE_S = 600.0
 _EVENT_S = 0.001
 _US_PER_S = 1e6
 
 
-def _spec(slots: int) -> LotSpec:
+def _make_spec(slots: int) -> LotSpec:
     return LotSpec(
         lot_id="lot",
         lot_class="assess",
@@ -74,16 +74,16 @@
     )
 
 
-def _answer() -> EngineResponse:
+def _make_response() -> EngineResponse:
     spans = (Span(version=1, start=0, end=_TOKENS),)
     return EngineResponse(tokens=tuple(range(_TOKENS)), spans=spans)
 
 
 class _LotRun:
-    """Runs a whole lot through its core; counts events and bytes written."""
+    """Runs a lot through its core; counts events, commits and their bytes."""
 
     def __init__(self, slots: int):
-        self.core = LotCore(_spec(slots), "holder")
+        self.core = LotCore(_make_spec(slots), "holder")
         self.events = 0
         self.commit_bytes = 0
         self.commits = 0
@@ -91,36 +91,36 @@
 
     def feed(self, event: object) -> list[object]:
         self.events += 1
-        # The seat asks for the next wake-up after each event.
+        # The lot server reads the next wake-up time after each event.
         actions = self.core.handle(event, self.events * _EVENT_S)
         _ = self.core.next_wakeup_s
         return actions
 
     def run(self, is_pulled: bool = True) -> "_LotRun":
-        waiting = self.feed(LotTick())
+        pending = self.feed(LotTick())
         if is_pulled:
-            waiting += self._ask(())
-        while waiting:
-            action = waiting.pop(0)
+            pending += self._pull_groups(())
+        while pending:
+            action = pending.pop(0)
             match action:
                 case ReadState():
-                    waiting += self.feed(StateRead(LotState(), 0))
+                    pending += self.feed(StateRead(LotState(), 0))
                 case Generate():
-                    ready = SampleReceived(action.attempt, _answer())
-                    waiting += self.feed(ready)
+                    received = SampleReceived(action.attempt, _make_response())
+                    pending += self.feed(received)
                 case WriteState():
-                    waiting += self._commit(action)
+                    pending += self._commit(action)
                 case DeliverGroups() if action.remaining:
-                    waiting += self._ask((action.pull_id,))
+                    pending += self._pull_groups((action.pull_id,))
         return self
 
-    def _ask(self, acks: tuple[str, ...]) -> list[object]:
+    def _pull_groups(self, acks: tuple[str, ...]) -> list[object]:
         self._pulls += 1
         event = PullRequested(
             call=self._pulls,
             pull_id=f"pull-{self._pulls:08d}",
             version=1,
-            max_groups=_GROUPS_A_PULL,
+            max_groups=_GROUPS_PER_PULL,
             until_s=1e9,
             acks=acks,
         )
@@ -136,10 +136,10 @@
     run = _LotRun(slots)
     started_s = time.process_time()
     run.run()
-    used_s = time.process_time() - started_s
+    processor_s = time.process_time() - started_s
     if run.core.remaining:
         raise SystemExit(f"{run.core.remaining} groups were not pulled")
-    return used_s * _US_PER_S / slots
+    return processor_s * _US_PER_S / slots
 
 
 def _lot_commit_bytes(slots: int) -> float:
@@ -150,13 +150,13 @@
     return float(_LotRun(slots).run().commits)
 
 
-def _full_lot(slots: int) -> LotCore:
-    """Returns a lot whose samples are all there and none was pulled."""
+def _complete_lot(slots: int) -> LotCore:
+    """Returns a lot with all samples generated and no group pulled."""
     return _LotRun(slots).run(is_pulled=False).core
 
 
-def _answer_json(tokens: int) -> bytes:
-    """Returns an engine's answer as it comes over the wire."""
+def _response_json(tokens: int) -> bytes:
+    """Returns the JSON body of an engine's response."""
     ids = tuple((7919 * n) % _VOCABULARY for n in range(tokens))
     span = Span(version=1, start=0, end=tokens)
     return msgspec.json.encode(EngineResponse(tokens=ids, spans=(span,)))
@@ -167,21 +167,21 @@
 
 
 def _decode_us(tokens: int) -> float:
-    data = _answer_json(tokens)
+    data = _response_json(tokens)
     return processor_us(lambda: _decode(data))
 
 
 def _encode_us(tokens: int) -> float:
-    answer = _decode(_answer_json(tokens))
-    return processor_us(lambda: msgspec.json.encode(answer))
+    response = _decode(_response_json(tokens))
+    return processor_us(lambda: msgspec.json.encode(response))
 
 
-def _kept_bytes(tokens: int) -> float:
-    data = _answer_json(tokens)
+def _response_memory_bytes(tokens: int) -> float:
+    data = _response_json(tokens)
     return memory_bytes(lambda: _decode(data))
 
 
-def _arrive(number: int, accounts: int) -> RequestArrived:
+def _make_arrival(number: int, accounts: int) -> RequestArrived:
     return RequestArrived(
         request_id=str(number),
         account=f"account-{number % accounts}",
@@ -193,13 +193,17 @@
 
 
 def _admission_us(accounts: int) -> float:
-    """Cost of one request while a place is free only after each departure."""
+    """Returns the cost of one request while requests wait for admission.
+
+    The slots fill up first. Once more than 100 requests wait, each arrival is
+    followed by one departure, which admits one waiting request.
+    """
     core = AdmissionCore(64)
     count = max(2000, accounts * 2)
     admitted = []
     started_s = time.process_time()
     for number in range(count):
-        actions = core.handle(_arrive(number, accounts), 0.0)
+        actions = core.handle(_make_arrival(number, accounts), 0.0)
         admitted += [
             a.request_id for a in actions if isinstance(a, AdmitRequest)
         ]
@@ -212,7 +216,7 @@
 
 
 class _LeaseStore:
-    """One lease object and the calls that it took."""
+    """Stores one lease object and counts its reads and writes."""
 
     def __init__(self):
         self.version = 0
@@ -232,17 +236,20 @@
         return LeaseWritten(action.write_id, self.version)
 
 
-def _lease_calls(daemons: int) -> _LeaseStore:
-    """Runs a duty's lease in a domain; only two daemons try for it."""
+def _run_lease(daemons: int) -> _LeaseStore:
+    """Runs the lease of one duty among the daemons of a failure domain.
+
+    Only the first two candidates by rank try to acquire it.
+    """
     store = _LeaseStore()
     names = [f"daemon-busan-{n:02d}" for n in range(daemons)]
-    tried = rank_candidates("usage/busan", names)[:_CANDIDATES_TRYING]
+    candidates = rank_candidates("usage/busan", names)[:_CANDIDATE_COUNT]
     cores = [LeaseCore(name, 6.0, 1.0) for name in names]
     now_s = 0.0
     while now_s < _LEASE_S:
         core = min(cores, key=lambda c: c.next_wakeup_s)
         now_s = max(now_s, core.next_wakeup_s)
-        actions = core.handle(LeaseTick(core.holder in tried), now_s)
+        actions = core.handle(LeaseTick(core.holder in candidates), now_s)
         while actions:
             actions = core.handle(store.perform(actions[0]), now_s)
     return store
@@ -255,36 +262,43 @@
         found = points(sizes, measure, repeats)
         return Slope(name=name, per=per, unit=unit, points=found)
 
-    yield slope("lot, whole, per sample", "slot", "us", _SLOTS, _lot_us)
+    yield slope("lot, whole, per sample", "slot", "us", _SLOT_COUNTS, _lot_us)
     yield slope(
         "lot memory, 32 tokens a sample",
         "slot",
         "bytes",
-        _SLOTS,
-        lambda n: memory_bytes(lambda: _full_lot(n)),
+        _SLOT_COUNTS,
+        lambda n: memory_bytes(lambda: _complete_lot(n)),
         1,
     )
     yield slope(
-        "lot commits, sum", "slot", "bytes", _SLOTS, _lot_commit_bytes, 1
+        "lot commits, sum", "slot", "bytes", _SLOT_COUNTS, _lot_commit_bytes, 1
+    )
+    yield slope("lot commits", "slot", "writes", _SLOT_COUNTS, _lot_commits, 1)
+    yield slope("sample decoded", "token", "us", _RESPONSE_TOKENS, _decode_us)
+    yield slope("sample encoded", "token", "us", _RESPONSE_TOKENS, _encode_us)
+    yield slope(
+        "sample kept",
+        "token",
+        "bytes",
+        _RESPONSE_TOKENS,
+        _response_memory_bytes,
+        1,
     )
-    yield slope("lot commits", "slot", "writes", _SLOTS, _lot_commits, 1)
-    yield slope("sample decoded", "token", "us", _ANSWER_TOKENS, _decode_us)
-    yield slope("sample encoded", "token", "us", _ANSWER_TOKENS, _encode_us)
-    yield slope("sample kept", "token", "bytes", _ANSWER_TOKENS, _kept_bytes, 1)
-    yield slope("admission", "account", "us", _ACCOUNTS, _admission_us)
+    yield slope("admission", "account", "us", _ACCOUNT_COUNTS, _admission_us)
     yield slope(
         "lease reads a second",
         "daemon",
         "1/s",
-        _DAEMONS,
-        lambda n: _lease_calls(n).reads / _LEASE_S,
+        _DAEMON_COUNTS,
+        lambda n: _run_lease(n).reads / _LEASE_S,
         1,
     )
     yield slope(
         "lease writes a second",
         "daemon",
         "1/s",
-        _DAEMONS,
-        lambda n: _lease_calls(n).writes / _LEASE_S,
+        _DAEMON_COUNTS,
+        lambda n: _run_lease(n).writes / _LEASE_S,
         1,
     )
--- a/benchmarks/slope_daemons.py
+++ b/benchmarks/slope_daemons.py
@@ -1,7 +1,7 @@
-"""Real daemons: processor time and memory at rest, spread of configuration.
+"""Measures idle cost and configuration propagation of real daemons.
 
-All deployments run side by side with the default times; their daemons are
-idle but for what the daemons do by themselves.
+All deployments run concurrently with the default timings. Their daemons serve
+no requests and do only periodic work.
 """
 
 import dataclasses
@@ -25,15 +25,15 @@
 __all__ = ["daemon_slopes"]
 
 _DAEMONS = (1, 2, 4, 8, 16, 24)
-_SPREAD_REPEATS = 7
+_PROPAGATION_REPEATS = 7
 _SETTLE_S = 5.0
-_REST_S = 20.0
-_PROBED = (0, 25, 50, 100)
+_IDLE_S = 20.0
+_PROBED_ENDPOINTS = (0, 25, 50, 100)
 _PROBE_SETTLE_S = 6.0
-# Endpoints are probed together, in bursts 5 to 6 s apart.
-_PROBE_REST_S = 30.0
+# All endpoints are probed at once, every 5 to 6 s; a run covers several bursts.
+_PROBE_RUN_S = 30.0
 _PERCENT = 100
-_MS = 1000
+_MS_PER_S = 1000
 _KB_PER_MB = 1024
 
 
@@ -48,11 +48,11 @@
     for line in text.splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / _KB_PER_MB
-    raise SystemExit("the process told no memory")
+    raise SystemExit("/proc/<pid>/status has no VmRSS line")
 
 
 class _Fleet:
-    """One deployment with `count` daemons in one failure domain."""
+    """A deployment with `count` daemons in one failure domain."""
 
     def __init__(self, count: int):
         self.count = count
@@ -67,9 +67,9 @@
 
     async def start(self) -> None:
         await self.deployment.start()
-        await self.change()
+        await self.apply_change()
 
-    async def change(self) -> float:
+    async def apply_change(self) -> float:
         """Applies a change; returns the seconds until all daemons have it."""
         address = self.deployment.platform.address
         http = Caller(address).http
@@ -90,44 +90,47 @@
         return time.monotonic() - started_s
 
 
-async def _at_rest(fleets: list[_Fleet]) -> tuple[Slope, Slope]:
+async def _measure_idle(fleets: list[_Fleet]) -> tuple[Slope, Slope]:
     before = {p.popen.pid: _processor_s(p) for f in fleets for p in f.daemons}
-    await anyio.sleep(_REST_S)
-    shares, sizes = [], []
+    await anyio.sleep(_IDLE_S)
+    processor_points, memory_points = [], []
     for fleet in fleets:
         percent = [
-            (_processor_s(p) - before[p.popen.pid]) / _REST_S * _PERCENT
+            (_processor_s(p) - before[p.popen.pid]) / _IDLE_S * _PERCENT
             for p in fleet.daemons
         ]
-        shares.append(Point.of(fleet.count, percent))
+        processor_points.append(Point.from_values(fleet.count, percent))
         memory = [_memory_mb(p) for p in fleet.daemons]
-        sizes.append(Point.of(fleet.count, memory))
+        memory_points.append(Point.from_values(fleet.count, memory))
     name = "daemon at rest, {}, spread over daemons".format
     return (
-        _of_daemons(name("processor"), "% of a core", shares),
-        _of_daemons(name("resident memory"), "MB", sizes),
+        _daemon_slope(name("processor"), "% of a core", processor_points),
+        _daemon_slope(name("resident memory"), "MB", memory_points),
     )
 
 
-def _of_daemons(name: str, unit: str, found: list[Point]) -> Slope:
-    return Slope(name=name, per="daemon", unit=unit, points=tuple(found))
+def _daemon_slope(name: str, unit: str, points: list[Point]) -> Slope:
+    return Slope(name=name, per="daemon", unit=unit, points=tuple(points))
 
 
-async def _spread(fleets: list[_Fleet]) -> Slope:
-    found = []
+async def _measure_propagation(fleets: list[_Fleet]) -> Slope:
+    points = []
     for fleet in fleets[1:]:
-        times_ms = [await fleet.change() * _MS for _ in range(_SPREAD_REPEATS)]
-        found.append(Point.of(fleet.count, times_ms))
-    return _of_daemons("configuration in force everywhere", "ms wall", found)
+        times_ms = [
+            await fleet.apply_change() * _MS_PER_S
+            for _ in range(_PROPAGATION_REPEATS)
+        ]
+        points.append(Point.from_values(fleet.count, times_ms))
+    return _daemon_slope("configuration in force everywhere", "ms wall", points)
 
 
-async def _probing(fleet: _Fleet) -> Slope:
-    """One daemon probes listed endpoints that are all one fake engine."""
+async def _measure_probing(fleet: _Fleet) -> Slope:
+    """Measures one daemon probing endpoints that are all one fake engine."""
     engine = fleet.deployment.engines()[0].address
     daemon = fleet.daemons[0]
     caller = Caller(fleet.deployment.platform.address)
-    found = []
-    for count in _PROBED:
+    points = []
+    for count in _PROBED_ENDPOINTS:
         records = [
             msgspec.structs.replace(record, ip=engine.ip, port=engine.port)
             for record in endpoint_records(count)
@@ -135,19 +138,19 @@
         value = msgspec.to_builtins(records)
         await caller.send("PUT", "/admin/endpoints/busan", value)
         await anyio.sleep(_PROBE_SETTLE_S)
-        shares = []
+        percents = []
         for _ in range(2):
             before_s = _processor_s(daemon)
-            await anyio.sleep(_PROBE_REST_S / 2)
+            await anyio.sleep(_PROBE_RUN_S / 2)
             used_s = _processor_s(daemon) - before_s
-            shares.append(used_s / (_PROBE_REST_S / 2) * _PERCENT)
-        found.append(Point.of(count, shares))
+            percents.append(used_s / (_PROBE_RUN_S / 2) * _PERCENT)
+        points.append(Point.from_values(count, percents))
     await caller.aclose()
     return Slope(
         name="one daemon that watches endpoints",
         per="endpoint",
         unit="% of a core",
-        points=tuple(found),
+        points=tuple(points),
     )
 
 
@@ -157,10 +160,10 @@
         for fleet in fleets:
             await fleet.start()
         await anyio.sleep(_SETTLE_S)
-        rest = await _at_rest(fleets)
-        spread = await _spread(fleets)
-        probing = await _probing(fleets[0])
-        return [*rest, spread, probing]
+        idle = await _measure_idle(fleets)
+        propagation = await _measure_propagation(fleets)
+        probing = await _measure_probing(fleets[0])
+        return [*idle, propagation, probing]
     finally:
         for fleet in fleets:
             fleet.deployment.stop()
--- a/benchmarks/slope_peers.py
+++ b/benchmarks/slope_peers.py
@@ -1,10 +1,10 @@
-"""Cost of messages between daemons over real sockets, by number of peers.
+"""Measures messages between daemons over real sockets, by number of peers.
 
-Two processes for each size: one daemon's peer network under test, and one
-that holds the networks of all its peers. Each side sends a heartbeat to the
-other at every tick; the peers' sends are spread evenly over the tick, as they
-are among daemons that started at different times. The process under test
-reports its own processor time, the input and output thread included.
+Each size has two processes: one runs the peer network under test, the other
+the networks of all its peers. Each side sends a heartbeat to the other at
+every tick. The peers' heartbeats are spread evenly over the tick, as with
+daemons that started at different times. The process under test reports its own
+processor time, which includes the I/O thread.
 """
 
 import json
@@ -22,12 +22,12 @@
 
 __all__ = ["daemon_settings", "peer_slopes"]
 
-_PEERS = (1, 3, 9, 27)
+_PEER_COUNTS = (1, 3, 9, 27)
 _REPEATS = 3
 _TICK_S = 0.5
 _SETTLE_S = 1.5
-_RUN_S = 5.0
-_MS = 1000
+_MEASUREMENT_S = 5.0
+_MS_PER_S = 1000
 _TESTED = "tested"
 _LOOPBACK = "127.0.0.1"
 _INCARNATION = 1 << 50
@@ -41,7 +41,7 @@
 def daemon_settings(
     name: str, port: int, peers: dict[str, int]
 ) -> DaemonSettings:
-    """Returns settings of a daemon on loopback with these peers' ports."""
+    """Returns settings of a loopback daemon; `peers` maps ids to ports."""
     return DaemonSettings(
         daemon_id=name,
         failure_domain="busan",
@@ -61,7 +61,9 @@
     )
 
 
-async def _tick(network: PeerNetwork, peers: list[str], offset_s: float):
+async def _send_heartbeats(
+    network: PeerNetwork, peers: list[str], offset_s: float
+):
     await anyio.sleep(offset_s)
     beat = Heartbeat(
         incarnation=_INCARNATION,
@@ -77,27 +79,38 @@
         await anyio.sleep(_TICK_S)
 
 
-async def _run_tested(ports: list[int]) -> None:
-    """Prints the processor time of one tick, milliseconds."""
+async def _run_daemon_under_test(ports: list[int]) -> None:
+    """Prints a JSON list of the milliseconds per tick and the received share.
+
+    The time is the processor time of this process. The share is that of the
+    expected heartbeats.
+    """
     peers = {f"peer-{n}": port for n, port in enumerate(ports[1:])}
     network = PeerNetwork(daemon_settings(_TESTED, ports[0], peers), 1)
-    heard = 0
+    received_count = 0
 
     def receive(envelope, message) -> None:
-        nonlocal heard
-        heard += 1
+        nonlocal received_count
+        received_count += 1
 
     network.add_receiver(receive)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(network.run)
-        tasks.start_soon(_tick, network, list(peers), 0.0)
+        tasks.start_soon(_send_heartbeats, network, list(peers), 0.0)
         await anyio.sleep(_SETTLE_S)
-        heard = 0
+        received_count = 0
         started_s = time.process_time()
-        await anyio.sleep(_RUN_S)
-        used_s = time.process_time() - started_s
-        expected = len(peers) * _RUN_S / _TICK_S
-        print(json.dumps([used_s / _RUN_S * _TICK_S * _MS, heard / expected]))
+        await anyio.sleep(_MEASUREMENT_S)
+        processor_s = time.process_time() - started_s
+        expected = len(peers) * _MEASUREMENT_S / _TICK_S
+        print(
+            json.dumps(
+                [
+                    processor_s / _MEASUREMENT_S * _TICK_S * _MS_PER_S,
+                    received_count / expected,
+                ]
+            )
+        )
         tasks.cancel_scope.cancel()
     network.close()
 
@@ -110,7 +123,7 @@
             network = PeerNetwork(cfg, 1)
             tasks.start_soon(network.run)
             offset_s = _TICK_S * number / count
-            tasks.start_soon(_tick, network, [_TESTED], offset_s)
+            tasks.start_soon(_send_heartbeats, network, [_TESTED], offset_s)
         await anyio.sleep_forever()
 
 
@@ -122,44 +135,46 @@
 
 
 def _measure_once() -> list[float]:
-    """Returns the cost of a tick at every size, measured side by side."""
-    tested, others = [], []
+    """Returns the cost of a tick at every size, measured concurrently."""
+    tested_processes, peer_processes = [], []
     try:
-        for count in _PEERS:
+        for count in _PEER_COUNTS:
             ports = free_ports(count + 1)
-            others.append(_start("peers", ports))
-            tested.append(_start(_TESTED, ports))
-        outputs = [process.communicate()[0] for process in tested]
+            peer_processes.append(_start("peers", ports))
+            tested_processes.append(_start(_TESTED, ports))
+        outputs = [process.communicate()[0] for process in tested_processes]
     finally:
-        for process in others:
+        for process in peer_processes:
             process.kill()
             process.communicate()
     costs = []
     for output in outputs:
-        cost_ms, share_heard = json.loads(output)
-        if share_heard < 0.9:
-            raise SystemExit(f"only {share_heard:.2f} of the messages arrived")
+        cost_ms, received_share = json.loads(output)
+        if received_share < 0.9:
+            raise SystemExit(
+                f"only {received_share:.2f} of the heartbeats were received"
+            )
         costs.append(cost_ms)
     return costs
 
 
 def peer_slopes() -> Iterator[Slope]:
-    """Yields the cost of one tick by the number of peers."""
+    """Yields the cost of one tick as a function of the number of peers."""
     runs = [_measure_once() for _ in range(_REPEATS)]
     yield Slope(
         name="peer tick, a message to and from each peer",
         per="peer",
         unit="ms",
         points=tuple(
-            Point.of(count, [run[place] for run in runs])
-            for place, count in enumerate(_PEERS)
+            Point.from_values(count, [run[index] for run in runs])
+            for index, count in enumerate(_PEER_COUNTS)
         ),
     )
 
 
 def main() -> None:
-    """Runs one of the two processes."""
-    run = _run_tested if sys.argv[1] == _TESTED else _run_peers
+    """Runs a process in the role given on the command line."""
+    run = _run_daemon_under_test if sys.argv[1] == _TESTED else _run_peers
     anyio.run(run, json.loads(sys.argv[2]))
 
 
--- a/benchmarks/slope_ports.py
+++ b/benchmarks/slope_ports.py
@@ -1,4 +1,4 @@
-"""Unused ports outside the range of outgoing connections."""
+"""Finds unused loopback ports outside of the ephemeral port range."""
 
 import contextlib
 import itertools
@@ -8,18 +8,22 @@
 __all__ = ["free_ports"]
 
 _FIRST_PORT = 30_000
-_PORTS = 2_500
+_PORT_COUNT = 2_500
 _LOOPBACK = "127.0.0.1"
 
-_offsets = itertools.count(os.getpid() * 61)
+_port_offsets = itertools.count(os.getpid() * 61)
 
 
 def free_ports(count: int) -> list[int]:
-    """Returns ports that nothing listens on, never one twice in a row."""
-    found = []
-    while len(found) < count:
-        port = _FIRST_PORT + next(_offsets) % _PORTS
+    """Returns ports on which nothing listens.
+
+    The search starts at an offset that depends on the process id and continues
+    where the previous call stopped, so that ports aren't reused immediately.
+    """
+    ports = []
+    while len(ports) < count:
+        port = _FIRST_PORT + next(_port_offsets) % _PORT_COUNT
         with contextlib.suppress(OSError), socket.socket() as sock:
             sock.bind((_LOOPBACK, port))
-            found.append(port)
-    return found
+            ports.append(port)
+    return ports
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -1,4 +1,4 @@
-"""Slopes of the tables: endpoints, configuration, routes, keys, metrics."""
+"""Measures the tables of endpoints, configuration, routes, keys and metrics."""
 
 import itertools
 from collections.abc import Iterator
@@ -40,20 +40,20 @@
 
 __all__ = ["endpoint_records", "table_slopes"]
 
-_ENDPOINTS = (10, 100, 650, 1000, 10_000)
+_ENDPOINT_COUNTS = (10, 100, 650, 1000, 10_000)
 _DOCUMENT_KB = (10, 30, 100, 300, 1000)
-_ROUTES = (10, 100, 1000, 10_000)
-_KEYS = (10, 100, 1000, 10_000)
-_SERIES = (1, 4, 16, 64)
-_BATCH = (1, 4, 16, 64)
-_CHANGES = 20
+_ROUTE_COUNTS = (10, 100, 1000, 10_000)
+_KEY_COUNTS = (10, 100, 1000, 10_000)
+_SERIES_COUNTS = (1, 4, 16, 64)
+_BATCH_SIZES = (1, 4, 16, 64)
+_MAX_CHANGED_KEYS = 20
 _SUSPECT_FAILURES = 3
 _KEY_ENTRY_BYTES = 130
 _POOL = "model"
 
 
 def endpoint_records(count: int) -> list[EndpointRecord]:
-    """Returns `count` records as the platform lists them."""
+    """Returns `count` endpoint records in the form of the platform's list."""
     return [
         EndpointRecord(
             endpoint_id=f"engine-busan-{number:05d}",
@@ -65,14 +65,14 @@
     ]
 
 
-def _table(count: int) -> EndpointTable:
+def _make_endpoint_table(count: int) -> EndpointTable:
     table = EndpointTable()
     table.apply_list(endpoint_records(count))
     return table
 
 
 def _choose_us(count: int) -> float:
-    table = _table(count)
+    table = _make_endpoint_table(count)
     balancer = LeastLoaded(1)
     return processor_us(
         lambda: balancer.choose(table.candidates(_POOL, 1.0, frozenset()))
@@ -80,8 +80,8 @@
 
 
 def _choose_suspect_us(count: int) -> float:
-    """Cost of a choice while one endpoint is suspect."""
-    table = _table(count)
+    """Returns the cost of choosing while one endpoint is suspect."""
+    table = _make_endpoint_table(count)
     balancer = LeastLoaded(1)
     suspect = endpoint_records(count)[0].endpoint_id
     for _ in range(_SUSPECT_FAILURES):
@@ -91,8 +91,8 @@
     )
 
 
-def _adopt_list_us(count: int) -> float:
-    table = _table(count)
+def _apply_list_us(count: int) -> float:
+    table = _make_endpoint_table(count)
     records = endpoint_records(count)
     return processor_us(lambda: table.apply_list(records))
 
@@ -101,8 +101,8 @@
     return len(msgspec.json.encode(endpoint_records(count)))
 
 
-def _sections(size_kb: int) -> Sections:
-    """Returns the sections of a document; most of it is keys."""
+def _make_sections(size_kb: int) -> Sections:
+    """Returns the sections of a document that consists mostly of keys."""
     count = max(1, size_kb * 1000 // _KEY_ENTRY_BYTES)
     keys = {
         f"{number:012x}": {"account": "yard", "secret_hash": "0" * 64}
@@ -115,14 +115,14 @@
     return {"keys": keys, "routes": routes}
 
 
-def _document(size_kb: int) -> tuple[ConfigHead, dict[str, str]]:
-    """Returns a head and its parts."""
-    refs, contents = split_sections(_sections(size_kb))
+def _make_document(size_kb: int) -> tuple[ConfigHead, dict[str, str]]:
+    """Returns a head and the section texts by digest."""
+    refs, contents = split_sections(_make_sections(size_kb))
     return ConfigHead(version=1, sections=refs), contents
 
 
 class _Adopter:
-    """Adopts versions as the controller does, without its input and output."""
+    """Adopts versions like the configuration controller, without I/O."""
 
     def __init__(self):
         self._core = AdoptionCore()
@@ -140,8 +140,8 @@
         raise SystemExit(f"version {head.version} was not adopted")
 
 
-def _adopt_config_us(size_kb: int) -> float:
-    head, contents = _document(size_kb)
+def _config_adoption_us(size_kb: int) -> float:
+    head, contents = _make_document(size_kb)
     adopter = _Adopter()
     versions = itertools.count(1)
 
@@ -154,7 +154,7 @@
 
 def _config_bytes(size_kb: int) -> float:
     def make() -> _Adopter:
-        head, contents = _document(size_kb)
+        head, contents = _make_document(size_kb)
         adopter = _Adopter()
         adopter.adopt(head, contents)
         return adopter
@@ -163,30 +163,35 @@
 
 
 def _head_bytes(size_kb: int) -> float:
-    head, _ = _document(size_kb)
+    head, _ = _make_document(size_kb)
     return float(len(msgspec.json.encode(head)))
 
 
 def _changed_bytes(size_kb: int) -> float:
-    """Bytes of the parts that one changed key makes new, mean of some."""
-    sections = _sections(size_kb)
+    """Returns the mean size of the parts that change with one key.
+
+    The mean is over some evenly spaced keys.
+    """
+    sections = _make_sections(size_kb)
     _, before = split_sections(sections)
     names = sorted(sections["keys"])
     total = 0
-    for name in names[:: max(1, len(names) // _CHANGES)][:_CHANGES]:
+    for name in names[:: max(1, len(names) // _MAX_CHANGED_KEYS)][
+        :_MAX_CHANGED_KEYS
+    ]:
         entry = {"account": "yard", "secret_hash": "1" * 64}
         keys = {**sections["keys"], name: entry}
         _, after = split_sections({**sections, "keys": keys})
-        new = after.keys() - before.keys()
-        total += sum(len(after[digest]) for digest in new)
-    return total / min(len(names), _CHANGES)
+        new_digests = after.keys() - before.keys()
+        total += sum(len(after[digest]) for digest in new_digests)
+    return total / min(len(names), _MAX_CHANGED_KEYS)
 
 
-def _fetch_bytes(size_kb: int) -> float:
-    """Bytes with which a daemon asks a peer for what it lacks."""
-    head, _ = _document(size_kb)
-    fetch = ConfigRequest(known_digests=tuple(sorted(head.digests)))
-    return _envelope_bytes(Call(call_id=1, content=fetch))
+def _config_request_bytes(size_kb: int) -> float:
+    """Returns the size of a request to a peer for missing parts."""
+    head, _ = _make_document(size_kb)
+    request = ConfigRequest(known_digests=tuple(sorted(head.digests)))
+    return _envelope_bytes(Call(call_id=1, content=request))
 
 
 def _find_route_us(count: int) -> float:
@@ -221,7 +226,7 @@
     return processor_us(lambda: table.authenticate(key))
 
 
-def _metrics(count: int) -> Metrics:
+def _make_metrics(count: int) -> Metrics:
     metrics = Metrics()
     for number in range(count):
         metrics.observe_s("request", 0.01, route=f"route-{number}")
@@ -229,7 +234,7 @@
 
 
 def _observe_us(count: int) -> float:
-    metrics = _metrics(count)
+    metrics = _make_metrics(count)
     return processor_us(
         lambda: metrics.observe_s("request", 0.0123, route="route-0")
     )
@@ -242,14 +247,14 @@
     return len(encode_envelope(envelope))
 
 
-def _heartbeat() -> Heartbeat:
+def _make_heartbeat() -> Heartbeat:
     return Heartbeat(
         incarnation=1 << 50, config_version=7600, withdrawn_keys=300
     )
 
 
-def _news_bytes(count: int) -> float:
-    news = tuple(
+def _update_batch_bytes(count: int) -> float:
+    updates = tuple(
         EndpointUpdate(
             endpoint_id=record.endpoint_id,
             incarnation=3,
@@ -259,7 +264,7 @@
         )
         for record in endpoint_records(count)
     )
-    return _envelope_bytes(_heartbeat(), EndpointUpdateBatch(news=news))
+    return _envelope_bytes(_make_heartbeat(), EndpointUpdateBatch(news=updates))
 
 
 def _slope(name, per, unit, sizes, measure, repeats=3) -> Slope:
@@ -277,25 +282,27 @@
         "endpoint table memory",
         "endpoint",
         "bytes",
-        _ENDPOINTS,
-        lambda n: memory_bytes(lambda: _table(n)),
+        _ENDPOINT_COUNTS,
+        lambda n: memory_bytes(lambda: _make_endpoint_table(n)),
+    )
+    yield _slope(
+        "choice of endpoint", "endpoint", "us", _ENDPOINT_COUNTS, _choose_us
     )
-    yield _slope("choice of endpoint", "endpoint", "us", _ENDPOINTS, _choose_us)
     yield _slope(
         "choice while an endpoint is suspect",
         "endpoint",
         "us",
-        _ENDPOINTS,
+        _ENDPOINT_COUNTS,
         _choose_suspect_us,
     )
     yield _slope(
-        "list taken over", "endpoint", "us", _ENDPOINTS, _adopt_list_us
+        "list taken over", "endpoint", "us", _ENDPOINT_COUNTS, _apply_list_us
     )
     yield _slope(
-        "list as JSON", "endpoint", "bytes", _ENDPOINTS, _list_bytes, 1
+        "list as JSON", "endpoint", "bytes", _ENDPOINT_COUNTS, _list_bytes, 1
     )
     yield _slope(
-        "configuration adopted", "KB", "us", _DOCUMENT_KB, _adopt_config_us
+        "configuration adopted", "KB", "us", _DOCUMENT_KB, _config_adoption_us
     )
     yield _slope(
         "configuration memory", "KB", "bytes", _DOCUMENT_KB, _config_bytes
@@ -303,24 +310,33 @@
     for name, measure in (
         ("configuration head", _head_bytes),
         ("parts of one changed key, mean", _changed_bytes),
-        ("fetch from a peer, asked", _fetch_bytes),
+        ("fetch from a peer, asked", _config_request_bytes),
     ):
         yield _slope(name, "KB", "bytes", _DOCUMENT_KB, measure, 1)
-    yield _slope("route found", "route", "us", _ROUTES, _find_route_us)
-    yield _slope("key checked", "key", "us", _KEYS, _find_key_us)
+    yield _slope("route found", "route", "us", _ROUTE_COUNTS, _find_route_us)
+    yield _slope("key checked", "key", "us", _KEY_COUNTS, _find_key_us)
     yield _slope(
         "key table memory",
         "key",
         "bytes",
-        _KEYS,
+        _KEY_COUNTS,
         lambda n: memory_bytes(lambda: _keys(n)),
     )
     yield _slope(
         "histogram memory",
         "series",
         "bytes",
-        _SERIES,
-        lambda n: memory_bytes(lambda: _metrics(n)),
+        _SERIES_COUNTS,
+        lambda n: memory_bytes(lambda: _make_metrics(n)),
+    )
+    yield _slope(
+        "histogram record", "series", "us", _SERIES_COUNTS, _observe_us
+    )
+    yield _slope(
+        "heartbeat and news",
+        "news",
+        "bytes",
+        _BATCH_SIZES,
+        _update_batch_bytes,
+        1,
     )
-    yield _slope("histogram record", "series", "us", _SERIES, _observe_us)
-    yield _slope("heartbeat and news", "news", "bytes", _BATCH, _news_bytes, 1)
--- a/benchmarks/slopes.py
+++ b/benchmarks/slopes.py
@@ -1,8 +1,8 @@
-"""Measures the slopes that docs/CAPACITY.md is worked out from.
+"""Measures the cost slopes from which docs/CAPACITY.md is calculated.
 
-`python -m benchmarks.slopes [PART ...]` with parts among `tables`, `cores`,
-`peers`, `catch_up`, `calls`, `daemons`; all of them by default. Processor
-times are the process's own and do not count time spent waiting.
+Run `python -m benchmarks.slopes [PART ...]`. The parts are `tables`, `cores`,
+`peers`, `catch_up`, `calls` and `daemons`; all of them run by default.
+Processor times are those of the measured process and exclude waiting.
 """
 
 import itertools
@@ -31,14 +31,16 @@
 
 
 def main() -> None:
-    """Prints every slope of the parts asked for."""
+    """Prints the slopes of the requested parts."""
     logger.remove()
     for name in sys.argv[1:] or _PARTS:
         started_s = time.monotonic()
-        for slope in itertools.chain.from_iterable(m() for m in _PARTS[name]):
+        for slope in itertools.chain.from_iterable(
+            measure() for measure in _PARTS[name]
+        ):
             print("\n".join(slope.lines()), flush=True)
-        took_s = time.monotonic() - started_s
-        print(f"-- {name} took {took_s:.0f} s", flush=True)
+        elapsed_s = time.monotonic() - started_s
+        print(f"-- {name} took {elapsed_s:.0f} s", flush=True)
 
 
 if __name__ == "__main__":
--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -1,4 +1,4 @@
-"""Processor time of weight orders, for the core alone and with HTTP.
+"""Measures the processor time of weight orders in the core and over HTTP.
 
 Run with `python -m benchmarks.weight_orders`.
 """
@@ -22,43 +22,43 @@
 )
 from daisyhub.testing.processes import Deployment
 
-ENGINES = 650
-AT_ONCE = (8, 64, 650)
-HTTP_ORDERS = 100
-RUNS = 3
-_US = 1_000_000
+ENGINE_COUNT = 650
+CONCURRENCY_LIMITS = (8, 64, 650)
+HTTP_ORDER_COUNT = 100
+RUN_COUNT = 3
+_US_PER_S = 1_000_000
 
 
 def measure_core_us(max_concurrent_loads: int) -> float:
-    """Returns the core's microseconds for each order of one roll-out."""
+    """Returns the microseconds of the core per order of one roll-out."""
     core = WeightCore(2.0)
     engines = tuple(
         EngineView(f"engine-{number:04}", "model", 1, 0)
-        for number in range(ENGINES)
+        for number in range(ENGINE_COUNT)
     )
-    start_s = time.process_time()
+    started_s = time.process_time()
     core.handle(VersionPublished("model", 1), 0.0)
-    rules = {"model": RolloutPolicy(max_concurrent_loads, True)}
-    core.handle(EnginesListed(engines, rules), 0.0)
+    policies = {"model": RolloutPolicy(max_concurrent_loads, True)}
+    core.handle(EnginesListed(engines, policies), 0.0)
     orders = core.handle(WeightTick(True), 0.0)
-    sent = 0
+    order_count = 0
     while orders:
         order = orders.pop()
-        sent += 1
+        order_count += 1
         orders += core.handle(OrderCompleted(order.attempt), 0.0)
-    assert sent == ENGINES
-    return (time.process_time() - start_s) * _US / sent
+    assert order_count == ENGINE_COUNT
+    return (time.process_time() - started_s) * _US_PER_S / order_count
 
 
 async def measure_http_us(*, fresh: bool) -> float:
-    """Returns this process's microseconds for each order sent."""
+    """Returns the microseconds of this process per sent order."""
     deployment = Deployment(("x",), 0, 1, 0)
     http = HttpClient(connect_timeout_s=1.0, idle_s=15.0)
     try:
         await deployment.start()
         address = deployment.engines()[0].address
-        start_s = time.process_time()
-        for number in range(HTTP_ORDERS):
+        started_s = time.process_time()
+        for number in range(HTTP_ORDER_COUNT):
             order = WeightOrder(kind="load_weights", version=0, fencing=number)
             await http.request(
                 "POST",
@@ -68,20 +68,20 @@
                 timeout_s=10.0,
                 fresh=fresh,
             )
-        took_s = time.process_time() - start_s
+        processor_s = time.process_time() - started_s
     finally:
         deployment.stop()
     await http.aclose()
-    return took_s * _US / HTTP_ORDERS
+    return processor_s * _US_PER_S / HTTP_ORDER_COUNT
 
 
 def main() -> None:
-    """Prints medians, lowest and highest of several runs."""
-    for at_once in AT_ONCE:
-        runs = [measure_core_us(at_once) for _ in range(RUNS)]
-        _print(f"core, {at_once} at once", runs)
+    """Prints the median, lowest and highest figures of several runs."""
+    for max_concurrent_loads in CONCURRENCY_LIMITS:
+        runs = [measure_core_us(max_concurrent_loads) for _ in range(RUN_COUNT)]
+        _print(f"core, {max_concurrent_loads} at once", runs)
     for fresh in (True, False):
-        runs = [_http_run(fresh) for _ in range(RUNS)]
+        runs = [_http_run(fresh) for _ in range(RUN_COUNT)]
         _print(f"http, {'new' if fresh else 'kept'} connection", runs)
 
 
