--- a/benchmarks/reconcile.py
+++ b/benchmarks/reconcile.py
@@ -35,8 +35,8 @@
 def evaluate(hashes: np.ndarray, points: np.ndarray) -> np.ndarray:
     """Returns the values of the characteristic polynomial at the points."""
     values = np.ones(len(points), dtype=np.int64)
-    for own_hash in hashes:
-        values = values * ((points - own_hash) % _PRIME) % _PRIME
+    for hash_value in hashes:
+        values = values * ((points - hash_value) % _PRIME) % _PRIME
     return values
 
 
@@ -74,13 +74,13 @@
 
 
 def find_missing_hashes(
-    own: np.ndarray, size: int, values: np.ndarray
+    own: np.ndarray, other_count: int, values: np.ndarray
 ) -> np.ndarray:
     """Returns the own hashes that are missing on the other side.
 
     Args:
         own: Hashes of this side.
-        size: Number of hashes of the other side.
+        other_count: Number of hashes of the other side.
         values: Values of the other side's polynomial at the agreed points;
             their number is the bound on the number of differences.
     """
@@ -88,8 +88,8 @@
     points = _PRIME - 1 - np.arange(bound, dtype=np.int64)
     inverses = np.array([_inverse(value) for value in values], dtype=np.int64)
     quotient = evaluate(own, points) * inverses % _PRIME
-    numerator_degree = (bound + len(own) - size) // 2
-    denominator_degree = numerator_degree - (len(own) - size)
+    numerator_degree = (bound + len(own) - other_count) // 2
+    denominator_degree = numerator_degree - (len(own) - other_count)
     powers = _powers(points, max(numerator_degree, denominator_degree))
     lower = powers[:, :denominator_degree] * quotient[:, None] % _PRIME
     right_side = (
@@ -103,10 +103,10 @@
         ]
     )
     numerator = np.append(_solve(matrix)[:numerator_degree], 1)
-    roots = np.zeros(len(own), dtype=np.int64)
+    numerator_values = np.zeros(len(own), dtype=np.int64)
     for coefficient in numerator[::-1]:
-        roots = (roots * own + coefficient) % _PRIME
-    return own[roots == 0]
+        numerator_values = (numerator_values * own + coefficient) % _PRIME
+    return own[numerator_values == 0]
 
 
 def _processor_ms(function: Callable[[], object]) -> float:
--- a/benchmarks/slope_calls.py
+++ b/benchmarks/slope_calls.py
@@ -23,7 +23,7 @@
 __all__ = ["call_slopes"]
 
 _CALL_COUNTS = (10, 25, 50, 100)
-_ENDPOINTS = (10, 100, 325, 650)
+_ENDPOINT_COUNTS = (10, 100, 325, 650)
 _CALL_INTERVAL_S = 0.005
 _REPEATS = 3
 _MS_PER_S = 1000
@@ -78,7 +78,7 @@
 async def _endpoint_list_slope(http: HttpClient, address: Address) -> Slope:
     client = PlatformClient(address, http, _TIMEOUT_S)
     points = []
-    for count in _ENDPOINTS:
+    for count in _ENDPOINT_COUNTS:
         records = endpoint_records(count)
         await http.request(
             "PUT",
--- a/benchmarks/slope_catch_up.py
+++ b/benchmarks/slope_catch_up.py
@@ -1,7 +1,8 @@
 """Counts configuration fetches of a daemon whose peers have a newer version.
 
 Runs the real peer and configuration controllers with a fake network that counts
-calls. Heartbeats with a higher version arrive 1 ms apart; a fetch takes 50 ms.
+fetches and sent messages. Heartbeats with a higher version arrive 1 ms apart; a
+fetch takes 50 ms.
 """
 
 from collections.abc import Iterator
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -49,14 +49,14 @@
 _GROUP_SIZE = 8
 _GROUPS_PER_PULL = 8
 _CONCURRENCY = 128
-_TOKENS = 32
+_TOKENS_PER_SAMPLE = 32
 _RESPONSE_TOKENS = (100, 400, 1600, 6400)
 _VOCABULARY = 100_000
 _ACCOUNT_COUNTS = (8, 64, 512, 2048)
 _DAEMON_COUNTS = (1, 4, 9, 28)
 _CANDIDATE_COUNT = 2
-_LEASE_S = 600.0
-_EVENT_S = 0.001
+_LEASE_RUN_S = 600.0
+_EVENT_INTERVAL_S = 0.001
 _US_PER_S = 1e6
 
 
@@ -69,14 +69,14 @@
         prompts=tuple(f"prompt {n}" for n in range(slots // _GROUP_SIZE)),
         group_size=_GROUP_SIZE,
         max_staleness=2,
-        max_tokens=_TOKENS,
+        max_tokens=_TOKENS_PER_SAMPLE,
         concurrency=_CONCURRENCY,
     )
 
 
 def _make_response() -> EngineResponse:
-    spans = (Span(version=1, start=0, end=_TOKENS),)
-    return EngineResponse(tokens=tuple(range(_TOKENS)), spans=spans)
+    spans = (Span(version=1, start=0, end=_TOKENS_PER_SAMPLE),)
+    return EngineResponse(tokens=tuple(range(_TOKENS_PER_SAMPLE)), spans=spans)
 
 
 class _LotRun:
@@ -92,7 +92,7 @@
     def feed(self, event: object) -> list[object]:
         self.events += 1
         # The lot server reads the next wake-up time after each event.
-        actions = self.core.handle(event, self.events * _EVENT_S)
+        actions = self.core.handle(event, self.events * _EVENT_INTERVAL_S)
         _ = self.core.next_wakeup_s
         return actions
 
@@ -246,7 +246,7 @@
     candidates = rank_candidates("usage/busan", names)[:_CANDIDATE_COUNT]
     cores = [LeaseCore(name, 6.0, 1.0) for name in names]
     now_s = 0.0
-    while now_s < _LEASE_S:
+    while now_s < _LEASE_RUN_S:
         core = min(cores, key=lambda c: c.next_wakeup_s)
         now_s = max(now_s, core.next_wakeup_s)
         actions = core.handle(LeaseTick(core.holder in candidates), now_s)
@@ -291,7 +291,7 @@
         "daemon",
         "1/s",
         _DAEMON_COUNTS,
-        lambda n: _run_lease(n).reads / _LEASE_S,
+        lambda n: _run_lease(n).reads / _LEASE_RUN_S,
         1,
     )
     yield slope(
@@ -299,6 +299,6 @@
         "daemon",
         "1/s",
         _DAEMON_COUNTS,
-        lambda n: _run_lease(n).writes / _LEASE_S,
+        lambda n: _run_lease(n).writes / _LEASE_RUN_S,
         1,
     )
--- a/benchmarks/slope_daemons.py
+++ b/benchmarks/slope_daemons.py
@@ -24,7 +24,7 @@
 
 __all__ = ["daemon_slopes"]
 
-_DAEMONS = (1, 2, 4, 8, 16, 24)
+_DAEMON_COUNTS = (1, 2, 4, 8, 16, 24)
 _PROPAGATION_REPEATS = 7
 _SETTLE_S = 5.0
 _IDLE_S = 20.0
@@ -100,8 +100,8 @@
             for p in fleet.daemons
         ]
         processor_points.append(Point.from_values(fleet.count, percent))
-        memory = [_memory_mb(p) for p in fleet.daemons]
-        memory_points.append(Point.from_values(fleet.count, memory))
+        memory_mb = [_memory_mb(p) for p in fleet.daemons]
+        memory_points.append(Point.from_values(fleet.count, memory_mb))
     name = "daemon at rest, {}, spread over daemons".format
     return (
         _daemon_slope(name("processor"), "% of a core", processor_points),
@@ -142,8 +142,8 @@
         for _ in range(2):
             before_s = _processor_s(daemon)
             await anyio.sleep(_PROBE_RUN_S / 2)
-            used_s = _processor_s(daemon) - before_s
-            percents.append(used_s / (_PROBE_RUN_S / 2) * _PERCENT)
+            processor_s = _processor_s(daemon) - before_s
+            percents.append(processor_s / (_PROBE_RUN_S / 2) * _PERCENT)
         points.append(Point.from_values(count, percents))
     await caller.aclose()
     return Slope(
@@ -155,7 +155,7 @@
 
 
 async def _measure() -> list[Slope]:
-    fleets = [_Fleet(count) for count in _DAEMONS]
+    fleets = [_Fleet(count) for count in _DAEMON_COUNTS]
     try:
         for fleet in fleets:
             await fleet.start()
--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -24,7 +24,7 @@
 __all__ = ["member_slopes"]
 
 _MEMBER_COUNTS = (4, 9, 18, 28)
-_QUIET_ENDPOINTS = (10, 100, 325, 650)
+_QUIET_ENDPOINT_COUNTS = (10, 100, 325, 650)
 _DOMAIN_COUNT = 17
 _SETTLE_TICKS = 60
 _TICKS = 60
@@ -203,5 +203,5 @@
         name="quiet endpoints asked for their watcher, 28 daemons",
         per="endpoint",
         unit="us",
-        points=points(_QUIET_ENDPOINTS, _assignment_us),
+        points=points(_QUIET_ENDPOINT_COUNTS, _assignment_us),
     )
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -168,9 +168,9 @@
 
 
 def _changed_bytes(size_kb: int) -> float:
-    """Returns the mean size of the parts that change with one key.
+    """Returns the mean size of the parts that change with one key, bytes.
 
-    The mean is over some evenly spaced keys.
+    The mean is over at most `_MAX_CHANGED_KEYS` evenly spaced keys.
     """
     sections = _make_sections(size_kb)
     _, before = split_sections(sections)
@@ -203,7 +203,7 @@
     return processor_us(lambda: table.find("hub", f"/r{count // 2}/a/b", "GET"))
 
 
-def _keys(count: int) -> KeyTable:
+def _make_key_table(count: int) -> KeyTable:
     table = KeyTable(HASH_KEY)
     table.replace_keys(
         {
@@ -217,7 +217,7 @@
 
 
 def _find_key_us(count: int) -> float:
-    table = _keys(count - 1)
+    table = _make_key_table(count - 1)
     key = new_key()
     entry = ClientKey(
         account="yard", secret_hash=hash_secret(key.secret, HASH_KEY)
@@ -320,7 +320,7 @@
         "key",
         "bytes",
         _KEY_COUNTS,
-        lambda n: memory_bytes(lambda: _keys(n)),
+        lambda n: memory_bytes(lambda: _make_key_table(n)),
     )
     yield _slope(
         "histogram memory",
