--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -21,7 +21,7 @@
     LeaseCore,
     LeaseRead,
     LeaseTick,
-    LeaseWriteRefused,
+    LeaseWriteRejected,
     LeaseWritten,
     ReadLease,
     rank_candidates,
@@ -230,7 +230,7 @@
             return LeaseRead(self.record, self.version)
         self.writes += 1
         if action.expected_version != self.version:
-            return LeaseWriteRefused(action.write_id)
+            return LeaseWriteRejected(action.write_id)
         self.version += 1
         self.record = action.record
         return LeaseWritten(action.write_id, self.version)
