--- a/benchmarks/fleet_daemon.py
+++ b/benchmarks/fleet_daemon.py
@@ -45,7 +45,7 @@
     await anyio.sleep(2.0)
     before_s = _processor_s(pid)
     await anyio.sleep(_IDLE_S)
-    idle_s = _processor_s(pid) - before_s
+    idle_processor_s = _processor_s(pid) - before_s
     memory_mb = _resident_mb(pid)
     before_s = _processor_s(pid)
     headers = (
@@ -62,7 +62,7 @@
             headers=headers,
             timeout_s=5.0,
         )
-    requests_s = _processor_s(pid) - before_s
+    request_processor_s = _processor_s(pid) - before_s
     fleet.processes[name].kill()
     fleet.processes[name].wait()
     started_s = time.monotonic()
@@ -70,9 +70,11 @@
     await fleet.wait_until_ready(name)
     return {
         "ready after, s": time.monotonic() - started_s,
-        "at rest, % of a core": 100 * idle_s / _IDLE_S,
+        "at rest, % of a core": 100 * idle_processor_s / _IDLE_S,
         "memory at rest, MB": memory_mb,
-        "processor time a look-up, ms": 1000 * requests_s / _REQUEST_COUNT,
+        "processor time a look-up, ms": 1000
+        * request_processor_s
+        / _REQUEST_COUNT,
     }
 
 
