--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -39,7 +39,11 @@
         timeout_s: float = _TIMEOUT_S,
         fresh: bool = False,
     ) -> HttpResponse:
-        """Sends one request with `value` as JSON; None sends no body."""
+        """Sends one request with `value` as JSON; None sends no body.
+
+        Raises:
+            RequestFailedError: No complete response was received.
+        """
         auth_headers = []
         if self.key:
             auth_headers.append(
@@ -57,7 +61,7 @@
         )
 
     async def json(self, method: str, target: str, value: object = None):
-        """Sends one request and returns the decoded JSON body."""
+        """Sends one request like `send`; returns the decoded JSON body."""
         response = await self.send(method, target, value)
         return msgspec.json.decode(response.body)
 
@@ -183,6 +187,7 @@
     with anyio.fail_after(deadline_s):
         open_request = {"lot_class": lot_class, "prompts": prompts}
         open_response = await call("", lambda: open_request)
+        # Repeats the pulls of the lot that aren't acknowledged yet.
         for pull_id in open_response["open_pulls"]:
             while not await pull(pull_id):
                 pass
--- a/daisyhub/testing/demo.py
+++ b/daisyhub/testing/demo.py
@@ -18,7 +18,7 @@
 
 _LOAD_CALLERS = 8
 _LOAD_S = 3.0
-_MS = 1000
+_MS_PER_S = 1000
 
 
 class DemoError(Exception):
@@ -86,12 +86,16 @@
         version = self._apply(demo_document(self.keys))
         took_s = await self.deployment.wait_for_version(version)
 
+        # Two engines and a service per failure domain.
         def has_endpoints(status: dict) -> bool:
             return len(status["endpoints"]) == 3
 
         await self.deployment.wait_for_status(has_endpoints)
         count = len(self.deployment.processes)
-        return f"{count} processes, version {version} in {took_s * _MS:.0f} ms"
+        return (
+            f"{count} processes, version {version}"
+            f" in {took_s * _MS_PER_S:.0f} ms"
+        )
 
     async def look_up(self) -> str:
         """Sends look-ups on a route that needs a key and on an open route."""
@@ -103,7 +107,10 @@
                 response = await caller.send("GET", f"/records/{number}")
                 times.append(time.monotonic() - started_s)
                 _check(response.status == 200, f"look-up: {response}")
-                _check(b'"account":"yard"' in response.body, f"{response.body}")
+                _check(
+                    b'"account":"yard"' in response.body,
+                    f"look-up without account yard: {response.body}",
+                )
             open_caller = Caller(daemon.address)
             response = await open_caller.send("GET", "/open/page")
             _check(response.status == 200, f"open look-up: {response}")
@@ -112,7 +119,7 @@
             await caller.aclose()
             await open_caller.aclose()
         times.sort()
-        median_ms = times[len(times) // 2] * _MS
+        median_ms = times[len(times) // 2] * _MS_PER_S
         return f"{len(times)} look-ups, median {median_ms:.1f} ms"
 
     async def file_once(self) -> str:
@@ -176,7 +183,7 @@
             await caller.aclose()
         _check(len(result.groups) == 24, f"{len(result.groups)} groups of 24")
         sizes = {len(samples) for samples in result.groups.values()}
-        _check(sizes == {4}, f"group sizes {sizes}")
+        _check(sizes == {4}, f"group sizes {sizes}, expected 4")
         _check(
             not result.duplicate_groups,
             f"{result.duplicate_groups} duplicate groups",
@@ -209,7 +216,10 @@
         await self._wait_for_status(open_callers, "/public/page", 200)
         rows = self._cli("audit")
         versions = [row["version"] for row in rows]
-        _check(versions == list(range(1, version + 1)), f"audit: {versions}")
+        _check(
+            versions == list(range(1, version + 1)),
+            f"audit lists versions {versions}, not 1 to {version}",
+        )
         for caller in callers + open_callers:
             await caller.aclose()
         return (
@@ -226,6 +236,8 @@
     async def report_usage(self) -> str:
         """Waits until every request so far is reported exactly once."""
         caller = Caller(self.deployment.platform.address)
+        # 25 look-ups at each of 4 daemons; 10 filings, whose repeats aren't
+        # counted; 24 groups of 4 samples.
         expected = {"yard": 100, "archive": 10, "trainer": 96}
         sums: dict[str, int] = {}
         with anyio.move_on_after(20):
@@ -274,7 +286,7 @@
             await anyio.sleep(1.0)
             stopping.send_signal(signal.SIGTERM)
         exit_code = await anyio.to_thread.run_sync(stopping.wait)
-        _check(exit_code == 0, f"exit code {exit_code}")
+        _check(exit_code == 0, f"exit code {exit_code} after SIGTERM")
         _check(not counts["cut"], f"{counts['cut']} requests were interrupted")
         return f"{counts['ok']} requests, 0 interrupted, exit code 0"
 
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -1,7 +1,7 @@
 """The base of all fakes: an ASGI app with JSON bodies and injected faults.
 
 `POST /faults` with a `Fault` as JSON makes matching requests fail; `DELETE
-/faults` removes the faults, but connections that were made silent stay silent.
+/faults` removes the faults, but connections that were silenced stay silent.
 """
 
 import abc
@@ -35,8 +35,10 @@
         path: Prefix of the paths to which it applies; `silent` ignores it, as
             it does `method` and `count`.
         method: Method to which it applies; empty for all.
-        count: Number of requests to which it applies.
+        count: Number of requests to which it applies; by default all.
         delay_s: Delay of a late response.
+
+    If several faults apply to a request, the one injected first is used.
     """
 
     kind: Literal["hang", "late", "lose", "truncate", "error", "silent"]
--- a/daisyhub/testing/fake_engine.py
+++ b/daisyhub/testing/fake_engine.py
@@ -36,7 +36,7 @@
 
 
 class FakeEngine(FakeApp):
-    """Generates tokens from a hash of the prompt.
+    """Generates tokens from a hash of the prompt and the sample number.
 
     Each token is labelled with the weight version that is active when it is
     generated. `POST /admin/leave` sets the state to leaving; `GET
@@ -62,8 +62,8 @@
         self.capacity = capacity
         self.checks_fencing = checks_fencing
         self._version = 0
-        self._fencing = 0
-        self._running = 0
+        self._highest_fencing = 0
+        self._running_count = 0
         self._is_leaving = False
         self._orders: list[_Order] = []
 
@@ -88,7 +88,7 @@
     def _respond(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
         endpoint_headers = (
-            (b"endpoint-load", str(self._running).encode()),
+            (b"endpoint-load", str(self._running_count).encode()),
             (b"endpoint-capacity", str(self.capacity).encode()),
             (b"endpoint-weight-version", str(self._version).encode()),
             (b"endpoint-state", state),
@@ -97,18 +97,18 @@
             status=status, value=value, headers=(*endpoint_headers, *headers)
         )
 
-    async def _generate(self, prompt: _GenerateRequest) -> Response:
-        self._running += 1
+    async def _generate(self, request: _GenerateRequest) -> Response:
+        self._running_count += 1
         try:
-            seed = f"{prompt.prompt}/{prompt.sample}".encode()
+            seed = f"{request.prompt}/{request.sample}".encode()
             digest = hashlib.sha256(seed).digest()
-            count = 1 + digest[0] % prompt.max_tokens
+            count = 1 + digest[0] % request.max_tokens
             versions = []
             for _ in range(count):
                 await anyio.sleep(self.token_s)
                 versions.append(self._version)
         finally:
-            self._running -= 1
+            self._running_count -= 1
         tokens = [digest[i % len(digest)] for i in range(count)]
         value = {"tokens": tokens, "spans": _version_spans(versions)}
         return self._respond(
@@ -116,9 +116,9 @@
         )
 
     async def _handle_order(self, order: _Order) -> Response:
-        if self.checks_fencing and order.fencing < self._fencing:
-            return self._respond(409, {"fencing": self._fencing})
-        self._fencing = max(self._fencing, order.fencing)
+        if self.checks_fencing and order.fencing < self._highest_fencing:
+            return self._respond(409, {"fencing": self._highest_fencing})
+        self._highest_fencing = max(self._highest_fencing, order.fencing)
         self._orders.append(order)
         await anyio.sleep(self.swap_s)
         self._version = max(self._version, order.version)
--- a/daisyhub/testing/fake_fleet.py
+++ b/daisyhub/testing/fake_fleet.py
@@ -2,6 +2,8 @@
 
 A process has one role: `--role=platform` is the object store and the usage
 API, `--role=server` an engine and a plain service at one address.
+`daisyhub.platform` is the daemon that uses them; `fake_platform` is the fake of
+the product's own platform API.
 """
 
 import base64
@@ -104,6 +106,11 @@
     async def _handle_write(
         self, request: Request, kind: str, name: str
     ) -> Response:
+        """Writes a status, a new object (POST), or an existing object.
+
+        Without a revision in the metadata, an object is written
+        unconditionally, as by an operator.
+        """
         body = msgspec.json.decode(request.body)
         meta = body["metadata"]
         spec = msgspec.json.encode(body.get("spec"))
@@ -156,7 +163,7 @@
         self.name = name
         self.event_s = event_s
         self._version = 1
-        self._orders = 0
+        self._order_count = 0
         self._is_busy = False
         self._highest_fencing = 0
         self._executed_requests: list[dict] = []
@@ -173,7 +180,7 @@
                 value={
                     "models": [{"name": "m", "version": self._version}],
                     "busy": self._is_busy,
-                    "sequence": self._orders,
+                    "sequence": self._order_count,
                 }
             )
         if request.path == "/v1/order":
@@ -195,11 +202,14 @@
         if order["fencing-token"] < self._highest_fencing:
             return Response(status=412)
         self._highest_fencing = order["fencing-token"]
-        if self._is_busy or order.get("expect", self._orders) != self._orders:
+        if (
+            self._is_busy
+            or order.get("expect", self._order_count) != self._order_count
+        ):
             return Response(status=409)
         if order["version"] == self._version:
             return Response(value={})
-        self._orders += 1
+        self._order_count += 1
         self._is_busy = True
         await anyio.sleep(_WEIGHT_LOAD_S)
         self._version = order["version"]
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -1,4 +1,8 @@
-"""A fake platform: objects, watches, endpoint lists, orders, usage reports."""
+"""A fake of the product's own platform API, for `daisyhub.daemon`.
+
+It serves objects, watches, endpoint lists, orders and usage reports.
+`daisyhub.testing.fake_fleet` fakes the users' platform.
+"""
 
 import anyio
 import msgspec
--- a/daisyhub/testing/fake_service.py
+++ b/daisyhub/testing/fake_service.py
@@ -17,6 +17,8 @@
 class FakeService(FakeApp):
     """Responds to look-ups and records each filing (POST) that it runs.
 
+    Paths below `/stream` get a streamed response with any method.
+
     `GET /admin/filings` returns the bodies of all filings, `GET
     /admin/headers` the names of all headers received; `POST /admin/leave` sets
     the state to leaving.
@@ -32,7 +34,7 @@
         self.name = name
         self._filings: list[str] = []
         self._headers: set[str] = set()
-        self._running = 0
+        self._running_count = 0
         self._is_leaving = False
 
     async def handle(self, request: Request) -> Response:
@@ -51,11 +53,11 @@
         return await self._run_request(request)
 
     async def _run_request(self, request: Request) -> Response:
-        self._running += 1
+        self._running_count += 1
         try:
             await anyio.sleep(self.service_s)
         finally:
-            self._running -= 1
+            self._running_count -= 1
         if request.path.startswith("/stream"):
             chunks = tuple(
                 f"chunk {i}\n".encode() for i in range(_STREAM_CHUNKS)
@@ -74,7 +76,7 @@
     def _respond(self, status: int, value: object, *headers) -> Response:
         state = b"leaving" if self._is_leaving else b"live"
         endpoint_headers = (
-            (b"endpoint-load", str(self._running).encode()),
+            (b"endpoint-load", str(self._running_count).encode()),
             (b"endpoint-state", state),
         )
         return Response(
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -1,4 +1,8 @@
-"""Starts daemons and a fake of the users' platform on loopback."""
+"""Starts `daisyhub.platform` daemons and fakes of the users' platform.
+
+All processes listen on loopback. `daisyhub.testing.processes` does the same for
+`daisyhub.daemon`.
+"""
 
 import base64
 import contextlib
@@ -20,15 +24,18 @@
 
 __all__ = ["KEY", "Fleet"]
 
+# API key of the client account `t`.
 KEY = "key-of-t"
 _LOOPBACK = "127.0.0.1"
-_START_TIMEOUT_S = 20.0
+_WAIT_TIMEOUT_S = 20.0
 _DOMAINS = ("z1", "z2", "z3")
 
 
 class Fleet:
     """Daemons, an object store and servers, each in a process of its own.
 
+    Methods that wait raise `TimeoutError` after 20 seconds.
+
     Args:
         daemons: Number of daemons, distributed over three failure domains.
         servers: Number of servers.
@@ -94,7 +101,7 @@
         self._folder.cleanup()
 
     def start_daemon(self, name: str) -> None:
-        """Starts or restarts a daemon."""
+        """Starts a daemon, for the first time or after it has exited."""
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(self.build_settings(name)), encoding="utf-8")
         with open(self.folder / f"{name}.log", "ab") as log:
@@ -129,7 +136,7 @@
 
     async def holder(self, duty: str = "rollouts") -> str:
         """Waits until a daemon holds a duty; returns the daemon's name."""
-        with anyio.fail_after(_START_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             while True:
                 for name in self.daemon_names:
                     if self.processes[name].poll() is not None:
@@ -288,7 +295,11 @@
         return {"step": 1, "model": "m", "min-version": 1, "items": items}
 
     async def results(self, daemon: str, lot_id: str, after=0) -> dict | None:
-        """Returns a lot's results from a position; None if the read fails."""
+        """Reads a lot's results from a position.
+
+        Returns:
+            The decoded body; None if the read fails.
+        """
         try:
             response = await self.call(
                 daemon,
@@ -305,9 +316,10 @@
 
         Raises:
             AssertionError: A position returned two different results.
+            TimeoutError: The lot wasn't complete after 20 seconds.
         """
         collected: list[dict] = []
-        with anyio.fail_after(_START_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             read_count = 0
             while True:
                 daemon = daemons[read_count % len(daemons)]
@@ -323,7 +335,9 @@
                 listed = response["results"]
                 overlap = len(collected) - after
                 if listed[:overlap] != collected[after : after + len(listed)]:
-                    raise AssertionError(f"a position changed at {daemon}")
+                    raise AssertionError(
+                        f"lot {lot_id}: a position changed at {daemon}"
+                    )
                 collected += listed[overlap:]
                 if len(collected) == response["total"]:
                     return collected
@@ -331,7 +345,7 @@
     async def wait_until_ready(self, name: str) -> None:
         """Waits until a daemon is ready."""
         port = self.ports[f"{name}/ready"]
-        with anyio.fail_after(_START_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             while True:
                 with contextlib.suppress(RequestFailedError):
                     response = await self._get(port, "/v1/readiness")
@@ -397,7 +411,7 @@
             )
 
     async def _wait_until_listening(self, *names: str) -> None:
-        with anyio.fail_after(_START_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             for name in names:
                 while True:
                     with contextlib.suppress(RequestFailedError):
--- a/daisyhub/testing/hostile_server.py
+++ b/daisyhub/testing/hostile_server.py
@@ -28,7 +28,10 @@
 
 
 def expected_body(request_id: str) -> bytes:
-    """Returns the body of the valid response to a request."""
+    """Returns the body of a request's valid response, if it has one.
+
+    The size varies with the length of the id.
+    """
     return f"<{request_id}>".encode() * (1 + len(request_id) * 37 % 400)
 
 
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -44,7 +44,8 @@
     Attributes:
         revision: Revision of the last change.
         objects: The objects, by kind and name.
-        faults: Faults of the next calls, by verb.
+        faults: Faults of the next calls, by verb: the name of a method, or
+            "stale read" for a read that can be stale.
         calls: Number of calls, by verb. A read that can be stale counts as
             "stale read" too, a watch that can be stale as "stale watch" only.
     """
@@ -144,7 +145,9 @@
         def write() -> StoredObject:
             existing = self.objects.get((kind, name))
             if existing is None or existing.revision != revision:
-                raise ObjectConflictError(f"{kind}/{name} differs", existing)
+                raise ObjectConflictError(
+                    f"{kind}/{name} is not at revision {revision}", existing
+                )
             return self._store(kind, name, spec, existing.status)
 
         return self._call_with_fault("replace", write)
--- a/daisyhub/testing/playground.py
+++ b/daisyhub/testing/playground.py
@@ -1,4 +1,4 @@
-"""Starts the demo's processes and keeps them running until Ctrl-C.
+"""Starts the demo's processes; stops them on Ctrl-C or after an hour.
 
 Settings, the configuration document and logs are in `.demo/`, so that the
 commands of the README can be run in a second terminal in the same folder.
--- a/daisyhub/testing/processes.py
+++ b/daisyhub/testing/processes.py
@@ -1,4 +1,7 @@
-"""Starts daemons and fakes as separate processes on loopback."""
+"""Starts `daisyhub.daemon` processes and fakes on loopback.
+
+`daisyhub.testing.fleet` does the same for `daisyhub.platform`.
+"""
 
 import contextlib
 import dataclasses
@@ -24,7 +27,7 @@
 
 HASH_KEY = "5f" * 32
 _LOOPBACK = "127.0.0.1"
-_READY_TIMEOUT_S = 20.0
+_WAIT_TIMEOUT_S = 20.0
 _EXIT_TIMEOUT_S = 10.0
 
 
@@ -49,13 +52,19 @@
         self.popen.send_signal(number)
 
     def wait(self, timeout_s: float = _EXIT_TIMEOUT_S) -> int:
-        """Waits until it exits and returns the exit code."""
+        """Waits until it exits and returns the exit code.
+
+        Raises:
+            subprocess.TimeoutExpired: It still runs after `timeout_s`.
+        """
         return self.popen.wait(timeout_s)
 
 
 class Deployment:
     """A fake platform, and daemons and endpoints in several failure domains.
 
+    Methods that wait raise `TimeoutError` after 20 seconds.
+
     Args:
         domains: Names of the failure domains.
         daemons_per_domain: Number of daemons per failure domain.
@@ -87,7 +96,7 @@
             )
             folder = self._temporary_folder.name
         self.folder = pathlib.Path(folder)
-        self._next_ports: list[int] = []
+        self._candidate_ports: list[int] = []
 
     @property
     def platform(self) -> Process:
@@ -146,7 +155,7 @@
         await caller.aclose()
 
     async def apply(self, document: dict) -> int:
-        """Applies a document and waits until all daemons use its version.
+        """Applies a document and waits until it is active in all daemons.
 
         Returns:
             The configuration version.
@@ -167,7 +176,7 @@
         return head.version
 
     def start_daemon(self, name: str) -> None:
-        """Starts or restarts a daemon of the deployment."""
+        """Starts a daemon, for the first time or after it has exited."""
         settings = self._daemon_settings[name]
         path = self.folder / f"{name}.jsonc"
         path.write_text(json.dumps(settings, indent=2), encoding="utf-8")
@@ -180,7 +189,7 @@
         )
 
     def stop(self) -> None:
-        """Kills all processes that still run."""
+        """Kills all processes and removes a temporary folder."""
         for process in self.processes.values():
             if process.popen.poll() is None:
                 process.send_signal(signal.SIGCONT)
@@ -232,12 +241,16 @@
             )
 
     def _free_port(self) -> int:
-        """Returns an unused port below the range of outgoing connections."""
-        if not self._next_ports:
+        """Returns an unused port below the range of outgoing connections.
+
+        The search begins at an offset by process id, so that deployments of
+        several test processes rarely try the same ports.
+        """
+        if not self._candidate_ports:
             start = 10_000 + (os.getpid() * 97) % 20_000
-            self._next_ports = list(range(start + 2_000, start, -1))
+            self._candidate_ports = list(range(start + 2_000, start, -1))
         while True:
-            port = self._next_ports.pop()
+            port = self._candidate_ports.pop()
             with contextlib.suppress(OSError), socket.socket() as sock:
                 sock.bind((_LOOPBACK, port))
                 return port
@@ -285,7 +298,7 @@
         address = process.operators_address or process.address
         target = "/healthz" if process.operators_address else "/load"
         caller = Caller(address)
-        with anyio.fail_after(_READY_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             while True:
                 with contextlib.suppress(RequestFailedError):
                     await caller.send("GET", target)
@@ -299,7 +312,7 @@
         """Waits until a version is active in every daemon.
 
         Args:
-            version: The configuration version, or a later one.
+            version: The configuration version; a later one counts too.
             skip: Names of daemons to ignore.
 
         Returns:
@@ -324,7 +337,7 @@
             Seconds waited.
         """
         started_s = anyio.current_time()
-        with anyio.fail_after(_READY_TIMEOUT_S):
+        with anyio.fail_after(_WAIT_TIMEOUT_S):
             for process in self.daemons():
                 if process.name in skip:
                     continue
--- a/daisyhub/testing/runner.py
+++ b/daisyhub/testing/runner.py
@@ -1,8 +1,8 @@
 """Runs all tests and prints a line with the number of passes and failures.
 
 Tests listed in KNOWN-RED.txt are known failures: they run and are printed, but
-don't fail the run. A listed test that passes fails the run until its entry is
-removed.
+don't fail the run. With the default pattern, an entry whose test doesn't fail,
+or isn't run, fails the run until it is removed.
 """
 
 import logging
@@ -61,10 +61,10 @@
 
 
 def _report(result, failing: set[str], known_red: dict[str, str]) -> int:
-    run_all = _PATTERN.value == "test_*.py"
+    is_default_pattern = _PATTERN.value == "test_*.py"
     for test_id in sorted(failing & set(known_red)):
         print(f"known red: {test_id}: {known_red[test_id]}")
-    now_passing = set(known_red) - failing if run_all else set()
+    now_passing = set(known_red) - failing if is_default_pattern else set()
     for test_id in sorted(now_passing):
         print(f"passes again, remove it from {_KNOWN_RED_FILE}: {test_id}")
     failed = len(failing - set(known_red)) + len(now_passing)
--- a/daisyhub/testing/soak/_ledger.py
+++ b/daisyhub/testing/soak/_ledger.py
@@ -31,8 +31,10 @@
     - UNASKED: A run without a request, for another account or with an API key.
     - ROUTE: A run of a request without a valid key.
     - TWICE: A non-idempotent request ran more than once.
-    - REFUSED: A request ran although its status guarantees that it didn't.
-    - ONE: Two counts of a usage window, or two holders of a fencing number.
+    - REFUSED: A non-idempotent request ran although its status guarantees that
+      it didn't.
+    - ONE: Two different counts of a usage window, or two holders of a fencing
+      number.
     - RECOVER: A daemon doesn't serve after the disturbances have ended.
     - FAULT: A daemon exited by itself.
     - DRAIN: A daemon didn't exit within the shutdown timeout.
@@ -43,7 +45,8 @@
     Attributes:
         violations: One line per violated guarantee; it begins with the
             guarantee's code.
-        counts: Number of responses by status, lots and disturbances.
+        counts: Numbers of responses by status, of accepted lots, and of
+            disturbances by kind.
     """
 
     def __init__(self, account: str):
@@ -100,6 +103,7 @@
         """Records a lot before it is submitted."""
         for item_id in item_ids:
             self._lot_by_item[item_id] = lot_id
+            # The id of the item's scorer request in `Fleet.build_lot`.
             self._reward_ids.add(f"{item_id}-r")
 
     def record_accepted_lot(self, lot_id: str) -> None:
@@ -111,7 +115,14 @@
     def record_results(
         self, daemon: str, lot_id: str, after: int, results: Sequence[dict]
     ) -> None:
-        """Compares results with earlier listings and records new ones."""
+        """Compares results with earlier listings and records new ones.
+
+        Args:
+            daemon: Name of the daemon that listed them.
+            lot_id: Id of the lot.
+            after: Number of results of the lot before these.
+            results: The results.
+        """
         known = self._results.setdefault(lot_id, [])
         overlap = known[after : after + len(results)]
         if list(results[: len(overlap)]) != overlap:
@@ -130,7 +141,11 @@
         self._add_violation(f"LOST {lot_id}: {daemon} responds {status}")
 
     def check_texts(self, events: int) -> None:
-        """Checks that each lot lists every item once, with its own text."""
+        """Checks that each lot lists every item once, with its own text.
+
+        Args:
+            events: Number of events, which are lines of the text, per item.
+        """
         for lot_id, total in self._item_counts.items():
             results = self._results.get(lot_id, [])
             ids = [result["id"] for result in results]
--- a/daisyhub/testing/soak/_load_generator.py
+++ b/daisyhub/testing/soak/_load_generator.py
@@ -190,7 +190,7 @@
             daemon: Name of the daemon.
             lot_id: Id of the lot.
             after: Position to read from; None for the end or the middle of
-                the results read so far.
+                the results read so far, at random.
 
         Returns:
             Whether the response included the last result of the lot.
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -45,7 +45,8 @@
     Attributes:
         seed: Its seed.
         violations: One line per violated guarantee.
-        counts: Number of responses by status, lots and disturbances.
+        counts: Numbers of responses by status, of accepted lots, and of
+            disturbances by kind.
         logs: Folder with the processes' logs; empty if all guarantees held.
     """
 
--- a/daisyhub/testing/soak/tests/test_links.py
+++ b/daisyhub/testing/soak/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Links forward bytes and inject the fault of each mode."""
+"""Links forward bytes, reset connections or buffer bytes, by their mode."""
 
 import contextlib
 import unittest
--- a/daisyhub/testing/soaked_daemon.py
+++ b/daisyhub/testing/soaked_daemon.py
@@ -24,7 +24,7 @@
     time.time_ns = lambda: real_time_ns() + int(offset_s * 1e9)
 
 
-def _inject_bug(variant: str) -> None:
+def _inject_bug(bug: str) -> None:
     """Injects a bug into the product that violates one of its guarantees."""
     # Imported here because the clock must be shifted first.
     from daisyhub.exceptions import ErrorCode
@@ -32,13 +32,13 @@
     from daisyhub.lots import LotStore
     from daisyhub.objects import ObjectStoreError
 
-    if variant == "repeats":
+    if bug == "repeats":
         # Non-idempotent requests are retried after any failure.
         original_plan = _sender.ForwardPlan
         _sender.ForwardPlan = lambda **kw: original_plan(
             **{**kw, "idempotent": True}
         )
-    elif variant == "lies":
+    elif bug == "lies":
         # A failure at an endpoint gets a status that means "has not run".
         for code in (
             ErrorCode.ENDPOINT_FAILED,
@@ -46,7 +46,7 @@
             ErrorCode.ANSWER_INCOMPLETE,
         ):
             code._value_ = (code.label, 503)
-    elif variant == "forgets":
+    elif bug == "forgets":
         # Results are listed although the store rejected the write.
         original_write = LotStore.write_chunk
 
@@ -58,14 +58,14 @@
 
         LotStore.write_chunk = write_chunk
     else:
-        raise ValueError(f"variant {variant!r} is not one of {BROKEN}")
+        raise ValueError(f"bug {bug!r} is not one of {BROKEN}")
 
 
 def _run() -> int:
     _shift_clock(float(os.environ.get("DAISYHUB_SOAK_CLOCK_S", "0")))
-    variant = os.environ.get("DAISYHUB_SOAK_BROKEN", "")
-    if variant:
-        _inject_bug(variant)
+    bug = os.environ.get("DAISYHUB_SOAK_BROKEN", "")
+    if bug:
+        _inject_bug(bug)
     from daisyhub.platform.__main__ import main
 
     return main()
