--- a/daisyhub/accounting/_counters.py
+++ b/daisyhub/accounting/_counters.py
@@ -142,7 +142,15 @@
     def on_copies_acknowledged(
         self, peer: str, incarnation: int, epoch: int, number: int
     ):
-        """Records that a peer has copies of own parts up to `number`."""
+        """Records that a peer has copies of own parts up to `number`.
+
+        Args:
+            peer: Id of the peer.
+            incarnation: Incarnation of the peer.
+            epoch: Epoch of this daemon whose parts were copied; ignored
+                unless it is the present one.
+            number: Number of the newest copied part.
+        """
         if epoch != self.epoch:
             return
         key = (peer, incarnation)
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -114,6 +114,8 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Loan:
+    """Quanta lent until `until_s`; `stamp_s` is that of the loan request."""
+
     quanta: int
     stamp_s: float
     until_s: float
@@ -150,6 +152,7 @@
         self._peer_count = daemons - 1
         self._confirmed_peers: set[str] = set()
         self._incarnations: dict[str, int] = {}
+        # Loans by account, then by peer.
         self._lent: dict[str, dict[str, list[_Loan]]] = {}
         self._borrowed: dict[str, dict[str, _Loan]] = {}
         self._pending_requests: dict[str, LoanRequested] = {}
--- a/daisyhub/accounting/tests/test_proof_shares.py
+++ b/daisyhub/accounting/tests/test_proof_shares.py
@@ -1,4 +1,4 @@
-"""Stateful test: daemons of a failure domain never exceed a limit together.
+"""Property test: daemons of a failure domain never exceed a limit together.
 
 Faults: lost, late and duplicate messages, restarts, network partitions, and
 daemons that freeze between receiving a grant and using it.
--- a/daisyhub/accounting/tests/test_proof_usage.py
+++ b/daisyhub/accounting/tests/test_proof_usage.py
@@ -1,4 +1,4 @@
-"""Stateful test: usage is reported once, with final figures, and none is lost.
+"""Property test: usage is reported once, with final figures, and none is lost.
 
 Faults: kills, two lease holders at once, actions that are executed long after
 the decision, lost responses, writes that take effect late, platform outages,
@@ -315,6 +315,7 @@
         )
 
     def write_store(self, name, action):
+        # Only broken cores write with None, which matches every version.
         version = self.stores[name][1]
         if action.expected_version not in (version, None):
             return StoreWriteRejected()
--- a/daisyhub/filters/_admission_core.py
+++ b/daisyhub/filters/_admission_core.py
@@ -55,8 +55,9 @@
         request_id: Unique id.
         account: The client account; empty on open routes.
         weight: Fair-queueing weight of the account.
-        rate: Sustained requests per second of the account; 0 for no limit.
-        burst: Size of the account's token bucket.
+        rate: Sustained requests per second that this daemon admits for the
+            account; 0 for no limit.
+        burst: Size of the account's token bucket in this daemon.
         deadline_s: Time at which the caller stops waiting.
     """
 
@@ -415,7 +416,7 @@
         capacity: Total number of requests that the endpoints can serve at one
             time; None if not all endpoints report it.
         daemon_count: Number of live daemons that share the endpoints.
-        max_limit: Upper bound on the limit, set for each daemon.
+        max_limit: Upper bound on the limit of one daemon.
     """
     if capacity is None:
         return max_limit
--- a/daisyhub/filters/_claim_core.py
+++ b/daisyhub/filters/_claim_core.py
@@ -318,7 +318,8 @@
             self._postpone(event.attempt)
             return []
         if event.version == claim.expected_version:
-            # The read is stale: the write has just failed on another version.
+            # The read is stale: the write has just been rejected because the
+            # object has another version.
             self._postpone(event.attempt)
             return []
         record = event.record
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -4,8 +4,8 @@
 that it did not run, or the route is idempotent. Retries and hedged attempts
 share one budget: a tenth of the requests and a small reserve. A repeat goes to
 an endpoint that has not been tried, or, if there is none, to one that has. It
-always uses a new connection, since open connections may no longer respond. So
-does the first attempt of a request that may run only once.
+always uses a new connection, since open connections may no longer respond. The
+first attempt of a request that may run only once uses a new connection, too.
 """
 
 import dataclasses
@@ -100,8 +100,8 @@
         ran: Whether the endpoint executed the request.
         timed_out: Whether the attempt timed out.
         incomplete: Whether the response was incomplete.
-        was_sent: Whether the request reached the endpoint. An attempt that did
-            not counts neither as an attempt nor against the budget.
+        was_sent: Whether the request reached the endpoint. If not, the attempt
+            is not counted, and its repeat is not charged to the budget.
     """
 
     attempt: int
--- a/daisyhub/filters/tests/test_proof_admission.py
+++ b/daisyhub/filters/tests/test_proof_admission.py
@@ -1,4 +1,4 @@
-"""Proof: fair shares, one decision per request, and full use of the limit.
+"""Property test: fair shares, one decision per request, full use of the limit.
 
 The oracle keeps its own counts of waiting and admitted requests, independent of
 the tags, heaps and token buckets of the core.
--- a/daisyhub/filters/tests/test_proof_claims.py
+++ b/daisyhub/filters/tests/test_proof_claims.py
@@ -1,4 +1,4 @@
-"""Proof: a request with an idempotency key runs at most once.
+"""Property test: a request with an idempotency key runs at most once.
 
 A request refused as not run did not run, and a key whose request certainly
 never ran becomes usable again once all faults are gone. Faults: store outages,
--- a/daisyhub/filters/tests/test_proof_forward.py
+++ b/daisyhub/filters/tests/test_proof_forward.py
@@ -1,8 +1,11 @@
-"""Proof: how often a request is sent, and which outcome is reported.
-
-Many requests share one retry budget. Faults: attempts that fail before, during
-and after execution, late responses, timeouts, and missing endpoints. The
-oracle records what the endpoints executed.
+"""Property test: how often a request is sent, and which outcome is reported.
+
+A request that may run only once is neither sent again after it ran nor sent
+twice concurrently. A request refused as not run did not run. Repeats stay
+within the retry budget, which many requests share, and each request ends by its
+deadline. Faults: attempts that fail before, during and after execution, late
+responses, timeouts, and missing endpoints. The oracle records what the
+endpoints executed.
 """
 
 import unittest
@@ -64,7 +67,7 @@
         self.now_s = 0.0
         self.budget = self.budget_class()
         self.endpoints = {"e1", "e2", "e3"}
-        # The number of repeats, and that of requests.
+        # All requests, the number of their repeats, and that of the requests.
         self.requests, self.repeat_count, self.count = [], 0, 0
 
     def choose(self, excluded):
@@ -112,7 +115,7 @@
         outcome=st.sampled_from([None, None, "answer", *FAILURES]),
     )
     def send(self, idempotent, hedge_after_s, time_left_s, burst, outcome):
-        """Callers send requests; all their first attempts may end alike."""
+        """Callers send requests; an `outcome` ends all their first attempts."""
         plan = ForwardPlan(
             idempotent=idempotent,
             deadline_s=self.now_s + time_left_s,
