--- a/daisyhub/base.py
+++ b/daisyhub/base.py
@@ -25,7 +25,7 @@
         Args:
             event: One of the core's typed events.
             now_s: Time of the event, seconds on the clock that the core's
-                documentation names.
+                docstring names.
 
         Returns:
             Typed actions, in the order in which to perform them.
@@ -45,6 +45,9 @@
 
     A filter either raises `Refusal`, or calls the next step and returns its
     response, possibly modified.
+
+    Attributes:
+        name: Unique name of the class.
     """
 
     name: str
@@ -66,7 +69,11 @@
 
 
 class Controller(abc.ABC):
-    """A background task that keeps one part of the daemon's state current."""
+    """A background task that keeps one part of the daemon's state current.
+
+    Attributes:
+        name: Unique name of the class, used in the status and in the logs.
+    """
 
     name: str
 
--- a/daisyhub/checks.py
+++ b/daisyhub/checks.py
@@ -62,11 +62,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _ObjectPairs:
+    """The keys and values of a JSON object, in order of appearance."""
+
     items: list[tuple[str, LocatedValue]]
 
 
 class _LocatingDecoder(json.JSONDecoder):
-    """Decodes every value into a `LocatedValue`."""
+    """Decodes every value into a `LocatedValue`.
+
+    Uses the pure Python scanner, since the C scanner ignores `parse_object` and
+    `parse_array`.
+    """
 
     def __init__(self):
         super().__init__(object_pairs_hook=_ObjectPairs)
@@ -103,11 +109,11 @@
 
 
 def remove_comments(text: str) -> str:
-    """Replaces comments and trailing commas by spaces.
+    """Returns the text with comments and trailing commas replaced by spaces.
 
     All offsets and line breaks are preserved. The `jsonc` package removes line
     breaks inside comments, which would make reported line numbers wrong; a
-    test checks that both give the same values.
+    test checks that this function and `jsonc` give the same values.
     """
     return _STRING_OR_COMMA.sub(
         _replace_with_spaces, _STRING_OR_COMMENT.sub(_replace_with_spaces, text)
@@ -121,6 +127,9 @@
         text: The document.
         file: Its file name, for error messages.
 
+    Returns:
+        The outermost value, which contains all others.
+
     Raises:
         DocumentError: The text is not JSON with comments.
     """
@@ -134,6 +143,11 @@
 def check_document(text: str, kind: type, file: str = "") -> typing.Any:
     """Parses a document and returns it as `kind`, a frozen data class.
 
+    Args:
+        text: The document, JSON with comments.
+        kind: The data class; its type hints define the allowed values.
+        file: File name of the document, for error messages.
+
     Raises:
         DocumentError: The document is invalid; lists all errors.
     """
@@ -151,6 +165,11 @@
     Line numbers of errors refer to the output of `json.dumps` with an
     indentation of 1.
 
+    Args:
+        value: The value to convert.
+        kind: The data class; its type hints define the allowed values.
+        file: Name shown in place of a file name in error messages.
+
     Raises:
         DocumentError: The value is invalid; lists all errors.
     """
@@ -184,8 +203,9 @@
     ) -> typing.Any:
         """Returns the value as the hinted type.
 
-        Returns None if the value is null and the hint allows it, or if a
-        problem was added.
+        Returns None if the value is null and the hint allows it. After adding
+        a problem, returns None or a value to be discarded. The only supported
+        union is `X | None`.
         """
         origin = typing.get_origin(hint)
         if origin is typing.Annotated:
@@ -259,6 +279,7 @@
         )
 
     def _items_by_key(self, located, path) -> dict[str, LocatedValue] | None:
+        """Returns the values of an object by key; None for another type."""
         if not isinstance(located.value, _ObjectPairs):
             self._add_problem(located, path, "must be an object")
             return None
--- a/daisyhub/clocks.py
+++ b/daisyhub/clocks.py
@@ -11,5 +11,5 @@
 
 
 def wall_time_s() -> float:
-    """Returns seconds since 1970."""
+    """Returns seconds since the Unix epoch."""
     return time.time()
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -1,4 +1,7 @@
-"""The daemon: builds its components, runs them and shuts them down."""
+"""The daemon `daisyhubd`: builds its components, runs them, shuts them down.
+
+`daisyhub.platform` has the daemon that runs on the users' platform.
+"""
 
 import signal
 import sys
@@ -70,6 +73,10 @@
 
     Args:
         cfg: Settings of the process.
+
+    Attributes:
+        incarnation: Start time in microseconds since the Unix epoch, so that
+            it is higher after a restart.
     """
 
     def __init__(self, cfg: DaemonSettings):
@@ -376,6 +383,7 @@
 
 def main() -> None:
     """Runs the daemon; exits with 0, or 2 for invalid arguments or settings."""
+    # absl prints the docstring of the main module for `--help`.
     sys.modules["__main__"].__doc__ = _USAGE
     app.run(_run)
 
--- a/daisyhub/duty_bound.py
+++ b/daisyhub/duty_bound.py
@@ -13,7 +13,7 @@
 
 __all__ = ["DutyBoundController"]
 
-# Interval between checks whether this daemon acquired the duty.
+# Seconds after which the duty is checked again if no change was reported.
 _POLL_INTERVAL_S = 0.5
 
 
@@ -40,7 +40,12 @@
                 await self._duty.changed.wait()
 
     async def verify(self, watcher: KindWatcher, interval_s: float) -> None:
-        """Verifies a watcher against the store periodically until cancelled."""
+        """Verifies a watcher against the store periodically until cancelled.
+
+        Args:
+            watcher: The watcher to verify.
+            interval_s: Seconds before each verification.
+        """
         while True:
             await anyio.sleep(interval_s)
             await watcher.verify()
--- a/daisyhub/exceptions.py
+++ b/daisyhub/exceptions.py
@@ -7,10 +7,10 @@
     "DaisyhubError",
     "DocumentError",
     "ErrorCode",
+    "ExecutionStatus",
     "PlatformConflictError",
     "PlatformUnavailableError",
     "Problem",
-    "ExecutionStatus",
     "Refusal",
 ]
 
@@ -171,5 +171,8 @@
     code = "platform_conflict"
 
     def __init__(self, key: str, version: int):
-        super().__init__(f"object {key!r} is at version {version}")
+        super().__init__(
+            f"conditional update of object {key!r} rejected: its current"
+            f" version is {version}"
+        )
         self.version = version
--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -3,9 +3,12 @@
 A request is sent again only if no byte of it was sent, the endpoint reported
 that it did not run, or the route is idempotent. Retries and hedged attempts
 share one budget: a tenth of the requests and a small reserve. A repeat goes to
-an endpoint that has not been tried, or, if there is none, to one that has. It
-always uses a new connection, since open connections may no longer respond. So
-does the first attempt of a request that may run only once.
+an endpoint that has not been tried, or, if there is none, to one that has.
+
+The core requests a new connection for each repeat, since open connections may
+no longer respond, and for the first attempt of a request that may run only
+once. `ForwardFilter` follows that. The gateway's `Sender` may reuse a
+connection for the first attempt at each endpoint if the route is idempotent.
 """
 
 import dataclasses
@@ -125,7 +128,8 @@
     Attributes:
         attempt: Number of the attempt, from 1.
         endpoint_id: Id of the endpoint.
-        fresh: Whether the attempt must use a new connection.
+        fresh: Whether a new connection is requested; see the module's
+            docstring.
     """
 
     attempt: int
--- a/daisyhub/fleet_settings.py
+++ b/daisyhub/fleet_settings.py
@@ -92,7 +92,10 @@
 
     @property
     def metrics_address(self) -> Address:
-        """Address of the listener for metrics and status."""
+        """Address of the listener for metrics and status.
+
+        It has the IP address of the peer listener.
+        """
         return Address(ip=self.peer_address.ip, port=self.metrics_port)
 
 
--- a/daisyhub/idle.py
+++ b/daisyhub/idle.py
@@ -1,4 +1,8 @@
-"""A placeholder process that waits for a termination signal."""
+"""A process without work, for a role that the platform requires.
+
+The platform asks for a process on instances with disks, where daisyhub stores
+nothing.
+"""
 
 import signal
 
--- a/daisyhub/logs.py
+++ b/daisyhub/logs.py
@@ -1,4 +1,4 @@
-"""Text logs, and a structured log of events.
+"""Logs as text or JSON, and a structured log of events.
 
 `DecisionLog` writes one JSON object per event, from which operators
 reconstruct a failure. Its volume is bounded and writing never blocks.
--- a/daisyhub/messages.py
+++ b/daisyhub/messages.py
@@ -24,7 +24,8 @@
         query: Raw query without the question mark.
         host: Host name; `CallersApp` passes it in lower case without the port.
         headers: Headers in order of arrival, names in lower case.
-        read_body: Reads the whole body, at most the given number of bytes.
+        read_body: Returns the whole body; raises `Refusal` if it has more than
+            the given number of bytes or is incomplete.
         started_s: Time of arrival, monotonic seconds.
         deadline_s: Time by which the caller needs the response, monotonic
             seconds.
--- a/daisyhub/metrics.py
+++ b/daisyhub/metrics.py
@@ -24,6 +24,8 @@
 _MIN_REQUESTS = 20
 _P99 = 0.99
 _BUCKET_RATIO = 2**0.25
+# Upper bounds of the buckets, 0.5 ms to 441 s; the last bucket also counts
+# longer latencies.
 _BUCKET_BOUNDS_S = tuple(0.0005 * _BUCKET_RATIO**n for n in range(80))
 
 Labels = tuple[tuple[str, str], ...]
@@ -35,8 +37,8 @@
 
     Attributes:
         slowest_account: The account with the highest 99th percentile latency.
-        p99_s: Its 99th percentile latency; the bucket's upper bound, at most
-            19 % too high.
+        p99_s: Its 99th percentile latency in seconds; the bucket's upper
+            bound, at most 19 % too high between 0.5 ms and 441 s.
         most_refused_account: The account with the highest share of refusals.
         refused_share: Its share of refused requests, 0 to 1.
     """
@@ -91,7 +93,10 @@
         self._get_counts(account, now_s).refused_count += 1
 
     def find_worst(self, now_s: float) -> WorstAccounts:
-        """Returns the worst values among accounts with enough requests."""
+        """Returns the worst values among accounts with enough requests.
+
+        Requests without an account, those of open routes, aren't considered.
+        """
         self._advance_period(now_s)
         slowest = most_refused = (0.0, "")
         for account in sorted({*self._current, *self._previous}):
@@ -160,7 +165,7 @@
         self._gauges[(name, tuple(labels.items()))] = value
 
     def observe_s(self, name: str, value_s: float, **labels: str) -> None:
-        """Records a duration in seconds."""
+        """Records a duration in seconds; one far above an hour is dropped."""
         series = _limit_series(self._histograms, _MAX_HISTOGRAMS, name, labels)
         histogram = self._histograms.get(series)
         if histogram is None:
--- a/daisyhub/process_flags.py
+++ b/daisyhub/process_flags.py
@@ -1,4 +1,4 @@
-"""Command-line flags shared by the daemon and the command line."""
+"""Command-line flags shared by `daisyhubd` and `daisyhub`."""
 
 from absl import flags
 
--- a/daisyhub/settings.py
+++ b/daisyhub/settings.py
@@ -1,4 +1,7 @@
-"""Settings of `daisyhubd`."""
+"""Settings of `daisyhubd`.
+
+`fleet_settings` has those of the daemon that runs on the users' platform.
+"""
 
 import dataclasses
 import pathlib
--- a/daisyhub/tests/test_common_checks.py
+++ b/daisyhub/tests/test_common_checks.py
@@ -78,7 +78,7 @@
             self.assertEqual(len(names), len(set(names)))
 
     def test_constructors_do_not_wait(self):
-        """Checks that constructors contain no waits and no `while` loops."""
+        """Checks that constructors contain no `await`, `while` or `with`."""
         for base in BASES:
             for kind in self.each_implementation(base):
                 if "__init__" not in vars(kind):
--- a/daisyhub/tests/test_metrics.py
+++ b/daisyhub/tests/test_metrics.py
@@ -14,6 +14,7 @@
             statistics.record_served("dispatch", 0.010, 60.0)
         for _ in range(25):
             statistics.record_refused("dispatch", 60.0)
+        # Has too few requests to be compared.
         statistics.record_served("rare", 9.0, 60.0)
         worst = statistics.find_worst(61.0)
         self.assertEqual(worst.slowest_account, "archive")
@@ -25,6 +26,7 @@
         statistics = AccountStatistics()
         for number in range(10_000):
             statistics.record_served(f"a{number}", 0.01, 60.0)
+        # 512 accounts, and one entry for all others.
         self.assertLessEqual(len(statistics._current), 513)
         self.assertEqual(statistics.find_worst(200.0).slowest_account, "")
         self.assertFalse(statistics._current or statistics._previous)
--- a/daisyhub/tests/test_outage_processes.py
+++ b/daisyhub/tests/test_outage_processes.py
@@ -32,7 +32,7 @@
 
         anyio.run(run)
 
-    def test_platform_outage_refuses_only_non_idempotent_requests(self):
+    def test_platform_outage_refuses_only_requests_with_a_claim(self):
         async def scenario(deployment, keys):
             deployment.platform.send_signal(signal.SIGSTOP)
             for daemon in deployment.daemons():
@@ -86,6 +86,7 @@
             response = await caller.send("GET", "/records/1")
             self.assertEqual(response.status, 200)
             service = Caller(deployment.services()[0].address)
+            # The open connections don't respond any more; new ones do.
             await service.send("POST", "/faults", {"kind": "silent"})
             timeout = ((b"daisyhub-timeout-ms", b"500"),)
             with anyio.fail_after(20):
