--- a/daisyhub/filters/_forward_core.py
+++ b/daisyhub/filters/_forward_core.py
@@ -125,7 +125,8 @@
     Attributes:
         attempt: Number of the attempt, from 1.
         endpoint_id: Id of the endpoint.
-        fresh: Whether the attempt must use a new connection.
+        fresh: Whether a new connection is requested; see the module's
+            docstring.
     """
 
     attempt: int
