--- a/Makefile
+++ b/Makefile
@@ -3,9 +3,12 @@
 PYTHON ?= python3
 PY = PYTHONPATH=. $(VENV)/bin/python
 STAMP = $(VENV)/.requirements-stamp
+# Examples per state machine in `prove`; SEED is for `prove` and `soak`.
 EXAMPLES ?= 1000
 SEED ?= 1
 
+# Options of `soak`: number of runs, seconds of disturbances, and the variant
+# of a daemon that is broken on purpose (empty for none).
 RUNS ?= 1
 SECONDS ?= 15
 BROKEN ?=
--- a/benchmarks/fleet_daemon.py
+++ b/benchmarks/fleet_daemon.py
@@ -16,6 +16,7 @@
 
 _IDLE_S = 10.0
 _REQUEST_COUNT = 400
+# Upper bounds, printed next to the measured figures and not enforced.
 _TARGETS = {
     "ready after, s": 1.0,
     "at rest, % of a core": 1.1,
@@ -39,9 +40,10 @@
 
 
 async def _measure(fleet: Fleet) -> dict[str, float]:
+    """Returns the figures of the first daemon, with the keys of `_TARGETS`."""
     name = fleet.daemon_names[0]
     pid = fleet.processes[name].pid
-    await fleet.holder()
+    await fleet.holder()  # Waits until a daemon has the duty `rollouts`.
     await anyio.sleep(2.0)
     before_s = _processor_s(pid)
     await anyio.sleep(_IDLE_S)
--- a/benchmarks/hop.py
+++ b/benchmarks/hop.py
@@ -3,7 +3,8 @@
 Starts one daemon and one fake service on loopback, sends a fixed number of
 requests over 1, 16 and 64 connections, once through the daemon and once
 directly to the service, and reads the processor time of the receiving process
-from /proc. Also reports the processor time and memory of an idle daemon.
+from /proc. Also reports the processor time and memory of an idle daemon. Run
+with `python -m benchmarks.hop`.
 """
 
 import dataclasses
@@ -27,6 +28,7 @@
 
 
 def _processor_s(pid: int) -> float:
+    """Returns the processor time of a process, seconds."""
     fields = (
         pathlib.Path(f"/proc/{pid}/stat").read_text().rsplit(")")[1].split()
     )
@@ -34,6 +36,7 @@
 
 
 def _memory_mb(pid: int) -> float:
+    """Returns the resident memory of a process in MiB, or 0 if unknown."""
     for line in pathlib.Path(f"/proc/{pid}/status").read_text().splitlines():
         if line.startswith("VmRSS"):
             return int(line.split()[1]) / 1024
@@ -62,6 +65,7 @@
 
 
 async def _measure(name, caller, pid, target) -> None:
+    """Prints a line per number of connections for the process `pid`."""
     await _send_load(caller, 4, target)  # Warm-up.
     for connections in _CONNECTION_COUNTS:
         before_s = _processor_s(pid)
--- a/benchmarks/lot_delivery.py
+++ b/benchmarks/lot_delivery.py
@@ -1,5 +1,6 @@
-"""Compares two protocols that deliver each group once, at the target size.
+"""Compares two protocols that deliver each group of a lot exactly once.
 
+The lot has the target size, 2,048 samples in groups of 8.
 `commit`: each pull is stored by a conditional write before its groups are
 delivered. `carry`: each pull lists the groups that the trainer has received;
 nothing is stored. Run with `python -m benchmarks.lot_delivery`.
@@ -93,7 +94,7 @@
         )
         started_s = time.process_time()
         write = _find_action(core.handle(request, 1.0), WriteState)
-        committed_s = time.process_time()
+        handled_s = time.process_time()
         body = msgspec.json.encode(msgspec.to_builtins(write.state))
         encoded_s = time.process_time()
         written = StateWritten(write.write_id, write.expected_version + 1)
@@ -102,16 +103,16 @@
         samples = msgspec.json.encode(given.groups)
         sums["hand_over_us"] += (time.process_time() - delivered_s) * _US_PER_S
         sums["core_us"] += (
-            committed_s - started_s + delivered_s - encoded_s
+            handled_s - started_s + delivered_s - encoded_s
         ) * _US_PER_S
-        sums["encode_us"] += (encoded_s - committed_s) * _US_PER_S
+        sums["encode_us"] += (encoded_s - handled_s) * _US_PER_S
         sums["write_bytes"] += len(body)
         sums["hand_over_bytes"] += len(samples)
     return {name: value / pulls for name, value in sums.items()}
 
 
 def measure_carry(range_count: int) -> dict[str, float]:
-    """Returns bytes and microseconds per pull of the carry protocol.
+    """Returns bytes and mean microseconds per pull of the carry protocol.
 
     Args:
         range_count: Number of contiguous ranges of received groups. Groups
@@ -155,6 +156,7 @@
 
 
 def _find_action(actions: list[object], kind: type) -> object:
+    """Returns the first action of a type; raises StopIteration if none."""
     return next(action for action in actions if isinstance(action, kind))
 
 
--- a/benchmarks/lot_stragglers.py
+++ b/benchmarks/lot_stragglers.py
@@ -1,6 +1,7 @@
-"""Measures step completion with and without spare attempts, on a fake clock.
+"""Measures the duration of a step with and without spare attempts.
 
-One lot of 2,048 samples in groups of 8 runs on 16 engines with 16 slots each.
+One lot of 2,048 samples in groups of 8 runs on a fake clock with 16 engines.
+Its concurrency is 16 attempts per engine; an engine accepts any number.
 Sample lengths are log-normal and drawn once per sample, so a spare attempt
 generates as many tokens as the first one. Run with
 `python -m benchmarks.lot_stragglers`.
@@ -28,10 +29,10 @@
 GROUP_SIZE = 8
 GROUP_COUNT = 256
 ENGINE_COUNT = 16
-SLOTS_PER_ENGINE = 16
-TOKEN_S = 0.02
+ATTEMPTS_PER_ENGINE = 16
+TOKEN_S = 0.02  # Generation time of a token.
 MEDIAN_TOKENS = 300
-SIGMA = 1.0
+SIGMA = 1.0  # Standard deviation of the logarithm of the length.
 MAX_TOKENS = 4000
 TIMEOUT_S = 300.0
 SEEDS = (1, 2, 3, 4, 5)
@@ -139,7 +140,7 @@
         group_size=GROUP_SIZE,
         max_staleness=9,
         max_tokens=MAX_TOKENS,
-        concurrency=ENGINE_COUNT * SLOTS_PER_ENGINE,
+        concurrency=ENGINE_COUNT * ATTEMPTS_PER_ENGINE,
         spare_samples=spare_samples,
     )
 
--- a/benchmarks/measure/__main__.py
+++ b/benchmarks/measure/__main__.py
@@ -23,6 +23,7 @@
 _SEEDS = range(1, 6)
 _FOLDER = "docs/measures"
 
+# "as built" is what the daemon does; the other policies change it as named.
 _LOOKUPS = (
     LookupPolicy(name="512 places", is_limit_adaptive=False),
     LookupPolicy(
--- a/benchmarks/measure/faults.py
+++ b/benchmarks/measure/faults.py
@@ -13,7 +13,7 @@
     Attributes:
         kind: `burst`, `hang`, `refuse`, `slow`, `reclaim`, `kill`, `outage`.
         start_s: Time at which the fault starts.
-        end_s: Time at which the fault ends.
+        end_s: Time at which the fault ends; 0 for `kill`.
         target: Index of the affected server, account, domain or daemon.
     """
 
@@ -51,7 +51,7 @@
 
 
 def usage_faults(seed: int, daemons: int) -> tuple[Fault, ...]:
-    """Returns random kills of daemons and two outages of the platform."""
+    """Returns six random kills of daemons and two outages of the platform."""
     rng = random.Random(seed)
     kills = tuple(
         Fault("kill", rng.uniform(0, 6000), 0, rng.randrange(daemons))
--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -21,7 +21,7 @@
     "prefer_regular",
 ]
 
-MAX_CONCURRENCY_LIMIT = 512
+MAX_CONCURRENCY_LIMIT = 512  # Default of the setting `concurrent_requests`.
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
@@ -41,8 +41,8 @@
         is_site_wide: Whether daemons also use servers of other domains.
         is_regular_first: Whether requests that may run only once prefer
             regular servers to cheap ones.
-        extra: Kind of the additional server in each domain: `none`, `cheap` or
-            `dear`.
+        extra: Kind of the additional server in each domain: `none`, `cheap`
+            (may be reclaimed) or `dear` (regular price, never reclaimed).
     """
 
     name: str
@@ -64,6 +64,17 @@
     account. Both refused shares are of the account's requests and count each
     request without a response, for any reason. Other shares are of all
     requests.
+
+    Attributes:
+        worst_p99_s: 99th percentile of the latency of answered requests.
+        worst_refused: Share of requests without a response.
+        any_refused: Highest share of requests without a response.
+        failed: Share of requests without a response.
+        price: Price of the servers' busy time per answered request, in seconds
+            of a regular server.
+        cheap_share: Share of requests that cheap servers answered.
+        unknown: Share of requests that failed without it being known whether
+            they ran.
     """
 
     worst_p99_s: float
--- a/benchmarks/measure/lookups.py
+++ b/benchmarks/measure/lookups.py
@@ -47,10 +47,10 @@
 _DAEMONS_PER_DOMAIN = 2
 _BURST_FACTOR = 6.0
 _SLOW_FACTOR = 6.0
-_LIST_LAG_S = 5.0
+_LIST_LAG_S = 5.0  # Delay until the platform's list omits reclaimed servers.
 _LIST_POLL_S = 2.0
 _LIMIT_UPDATE_INTERVAL_S = 1.0
-_CHEAP_PRICE = 0.3
+_CHEAP_PRICE = 0.3  # Price of a busy second; 1 on a regular server.
 _POOL = "records"
 
 
@@ -66,6 +66,7 @@
         self._finishes: list[float] = []
 
     def load(self) -> int:
+        """Returns the number of unfinished requests, queued ones included."""
         now_s = self.run.clock.now_s
         self._finishes = [t for t in self._finishes if t > now_s]
         return len(self._finishes)
@@ -293,6 +294,7 @@
         self.policy = policy
         self.rng = random.Random(seed)
         self.clock = Clock()
+        # Account, outcome, latency in seconds, and the server if answered.
         self.outcomes: list[tuple[int, str, float, _Server | None]] = []
         records = list(self._records())
         self.servers = {
@@ -332,6 +334,7 @@
         ]
 
     def hop_s(self, domain: str, server: _Server) -> float:
+        """Returns the one-way latency between a daemon and a server."""
         is_same_domain = server.record.endpoint_id.startswith(domain)
         return 0.0001 if is_same_domain else self.site.hop_s
 
--- a/benchmarks/measure/lots.py
+++ b/benchmarks/measure/lots.py
@@ -33,9 +33,10 @@
 __all__ = ["LotPolicy", "LotResult", "run_lots"]
 
 _CAPACITY = 16
-_SWAP_S = 1.0
+_SWAP_S = 1.0  # Time by which a weight load delays every slot.
 _STORE_LATENCY_S = 0.01
 _PULL_WAIT_S = 10.0
+# Share of samples that take `_LONG_FACTOR` times as long.
 _LONG_SHARE = 0.03
 _LONG_FACTOR = 4.0
 _REFUSAL_DELAY_S = 0.01
@@ -74,7 +75,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LotResult:
-    """Figures of one run over all trainers."""
+    """Figures of one run over all trainers.
+
+    Attributes:
+        idle_share: Share of the trainers' time spent on waiting for groups.
+        staleness: Mean staleness of the delivered samples in versions.
+        wasted: Share of the started attempts without a delivered sample.
+    """
 
     idle_share: float
     staleness: float
@@ -131,7 +138,7 @@
         self._free_at_s = [0.0] * _CAPACITY
 
     def had_fault_since(self, kind: str, start_s: float) -> bool:
-        """Returns whether a fault was active between `start_s` and now."""
+        """Returns whether a fault of this kind was active since `start_s`."""
         return any(
             f.kind == kind
             and f.target == self.number
@@ -156,6 +163,7 @@
             self._free_at_s[attempt.slot] = free_s
 
     def swap(self, trainer: int, version: int) -> None:
+        """Loads a version of a trainer's weights, which delays all slots."""
         self.versions[trainer] = max(version, self.versions[trainer])
         self._free_at_s = [
             max(t, self.run.clock.now_s) + _SWAP_S for t in self._free_at_s
@@ -197,7 +205,7 @@
         self.generated = 0
         self._open_attempts: dict[int, _Attempt] = {}
         self._stored_version = 0
-        self._groups = 0
+        self._groups = 0  # Received in the current step.
         self._calls = 0
         self._pulls = 1
         self._waiting_since_s = 0.0
@@ -376,6 +384,7 @@
         return length_s
 
     def publish(self, trainer: int, version: int) -> None:
+        """Schedules the load of a version on every engine."""
         for engine in self.engines.values():
             delay_s = self.rng.uniform(0.5, 1.5)
             self._schedule_swap(delay_s, engine, trainer, version)
@@ -399,6 +408,7 @@
 
 
 def _make_response(first: int, last: int) -> EngineResponse:
+    """Returns a response with one token per version, `first` and `last`."""
     spans = (Span(version=first, start=0, end=1),)
     if last != first:
         spans += (Span(version=last, start=1, end=2),)
--- a/benchmarks/measure/plots.py
+++ b/benchmarks/measure/plots.py
@@ -32,7 +32,7 @@
     """Writes `<figure>.png` for each plotted figure.
 
     Args:
-        parts: Rows of `__main__` by title of the table.
+        parts: Lists of `Row`, defined in `__main__`, by title of the table.
         folder: Folder of the files.
     """
     for part, figure, title in _PLOTS:
--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -43,6 +43,7 @@
 _WINDOW_S = 60
 _GRACE_S = 5.0
 _RETRY_S = 1.0
+# Requests end 20 windows before the run, which leaves time to seal late parts.
 _SERVED_S = 110 * _WINDOW_S
 _END_S = _SERVED_S + 20 * _WINDOW_S
 _HOLDER_CHANGE_S = 100 * _WINDOW_S
@@ -67,7 +68,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class UsageResult:
-    """Shares of served requests; `late` excludes those billed twice."""
+    """Shares of served requests.
+
+    Attributes:
+        late: Billed in another window than their own, except for those billed
+            twice.
+        never: Not billed.
+        twice: Billed more often than served.
+    """
 
     late: float
     never: float
--- a/benchmarks/reconcile.py
+++ b/benchmarks/reconcile.py
@@ -1,12 +1,12 @@
 """Compares methods of set reconciliation after a network partition.
 
 Run `python -m benchmarks.reconcile`. The methods are polynomial sets, deltas by
-version number, and transfer of all records. The polynomial method represents
-each set of hashes by its characteristic polynomial. Both sides exchange its
-values at as many points as the bound on the differences, interpolate the
-quotient, and test which of their own hashes are roots. Processor times are
-those of one side. Bytes are those of one direction and exclude the differing
-records, which every method sends.
+version number, and transfer of all records (`plain`). The polynomial method
+represents each set of hashes by its characteristic polynomial. Both sides
+exchange its values at as many points as the bound on the differences,
+interpolate the quotient, and test which of their own hashes are roots.
+Processor times are those of one side. Bytes are those of one direction and
+exclude the differing records, which every method sends.
 """
 
 import random
@@ -41,6 +41,7 @@
 
 
 def _inverse(value: int) -> int:
+    """Returns the inverse modulo the prime, by Fermat's little theorem."""
     return pow(int(value), _PRIME - 2, _PRIME)
 
 
@@ -67,6 +68,7 @@
 
 
 def _powers(points: np.ndarray, count: int) -> np.ndarray:
+    """Returns a row per point with its powers from 0 to `count`."""
     powers = np.ones((len(points), count + 1), dtype=np.int64)
     for degree in range(count):
         powers[:, degree + 1] = powers[:, degree] * points % _PRIME
@@ -110,6 +112,7 @@
 
 
 def _processor_ms(function: Callable[[], object]) -> float:
+    """Returns the median processor time of one call, milliseconds."""
     times_ms = []
     for _ in range(_REPEATS):
         started_s = time.process_time()
@@ -124,6 +127,7 @@
     Both sides have `count` records, of which `changed_count` differ.
     """
     rng = random.Random(count + changed_count)
+    # All hashes are below the points, so no polynomial is 0 at a point.
     hashes = rng.sample(range(1, 1 << 30), count + changed_count)
     own = np.array(hashes[:count], dtype=np.int64)
     other = np.array(hashes[changed_count:], dtype=np.int64)
@@ -137,7 +141,10 @@
 
 
 def _delta_ms(count: int, changed_count: int) -> float:
-    """Returns the time to encode all records above the other side's version."""
+    """Returns the time to find and encode the differing records, milliseconds.
+
+    These are all records above the other side's version.
+    """
     records = [(n, "x" * _RECORD_BYTES) for n in range(count)]
     version = count - changed_count - 1
     return _processor_ms(
@@ -146,6 +153,7 @@
 
 
 def _plain_ms(count: int) -> float:
+    """Returns the time to encode and decode all records, milliseconds."""
     records = [(n, "x" * _RECORD_BYTES) for n in range(count)]
     return _processor_ms(
         lambda: msgspec.msgpack.decode(msgspec.msgpack.encode(records))
@@ -156,15 +164,15 @@
     """Prints the figures as a Markdown table."""
     print("| case | records | changed | polynomial | deltas | plain |")
     print("| --- | --- | --- | --- | --- | --- |")
-    for name, count, origins, sizes in _CASES:
-        for changed_count in sizes:
+    for name, count, writers, changed_counts in _CASES:
+        for changed_count in changed_counts:
             polynomial_ms = _polynomial_ms(count, changed_count)
             delta_ms = _delta_ms(count, changed_count)
             print(
                 f"| {name} | {count} | {changed_count} "
                 f"| {2 * changed_count * _VALUE_BYTES} B,"
                 f" {polynomial_ms:.1f} ms "
-                f"| {origins * _VERSION_BYTES} B, {delta_ms:.2f} ms "
+                f"| {writers * _VERSION_BYTES} B, {delta_ms:.2f} ms "
                 f"| {(count - changed_count) * _RECORD_BYTES} B more,"
                 f" {_plain_ms(count):.2f} ms |",
                 flush=True,
--- a/benchmarks/slope_calls.py
+++ b/benchmarks/slope_calls.py
@@ -36,6 +36,7 @@
 
 
 def _start_fake(module: str, *args: str) -> tuple[subprocess.Popen, Address]:
+    """Starts a module of `daisyhub.testing` as a server on a free port."""
     port = free_ports(1)[0]
     command = ["-m", f"daisyhub.testing.{module}", f"--port={port}", *args]
     process = subprocess.Popen(
@@ -47,6 +48,7 @@
 
 
 async def _wait_until_listening(http: HttpClient, address: Address) -> None:
+    """Waits for a response; raises TimeoutError after 20 s."""
     with anyio.fail_after(20):
         while True:
             try:
@@ -58,7 +60,10 @@
 
 
 async def _cost_ms(call: Call, count: int) -> float:
-    """Returns the processor time of `count` calls with pauses, milliseconds."""
+    """Returns the processor time of `count` calls with pauses, milliseconds.
+
+    An additional first call, which may open a connection, isn't measured.
+    """
     await call()
     started_s = time.process_time()
     for _ in range(count):
--- a/benchmarks/slope_catch_up.py
+++ b/benchmarks/slope_catch_up.py
@@ -60,6 +60,7 @@
 
 
 async def _run(count: int) -> _CountingNetwork:
+    """Returns the network after `count` peers have sent one heartbeat each."""
     peer_ports = {f"peer-{n}": _FIRST_PORT + n for n in range(count)}
     cfg = daemon_settings("behind", _FIRST_PORT - 1, peer_ports)
     network = _CountingNetwork()
@@ -88,7 +89,10 @@
         await anyio.sleep(_SETTLE_S)
         tasks.cancel_scope.cancel()
     if config.version != heartbeat.config_version:
-        raise SystemExit(f"version {config.version} is active")
+        raise SystemExit(
+            f"version {config.version} is active,"
+            f" expected {heartbeat.config_version}"
+        )
     return network
 
 
--- a/benchmarks/slope_cores.py
+++ b/benchmarks/slope_cores.py
@@ -133,6 +133,7 @@
 
 
 def _lot_us(slots: int) -> float:
+    """Returns the processor time of a lot per sample, microseconds."""
     run = _LotRun(slots)
     started_s = time.process_time()
     run.run()
@@ -193,7 +194,7 @@
 
 
 def _admission_us(accounts: int) -> float:
-    """Returns the cost of one request while requests wait for admission.
+    """Returns the microseconds per request while requests wait for admission.
 
     The slots fill up first. Once more than 100 requests wait, each arrival is
     followed by one departure, which admits one waiting request.
--- a/benchmarks/slope_daemons.py
+++ b/benchmarks/slope_daemons.py
@@ -38,6 +38,7 @@
 
 
 def _processor_s(process: Process) -> float:
+    """Returns the processor time of a process, seconds."""
     text = pathlib.Path(f"/proc/{process.popen.pid}/stat").read_text()
     fields = text.rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
@@ -114,6 +115,7 @@
 
 
 async def _measure_propagation(fleets: list[_Fleet]) -> Slope:
+    """Measures all fleets but the first, whose single daemon has no peers."""
     points = []
     for fleet in fleets[1:]:
         times_ms = [
--- a/benchmarks/slope_members.py
+++ b/benchmarks/slope_members.py
@@ -27,7 +27,7 @@
 _QUIET_ENDPOINT_COUNTS = (10, 100, 325, 650)
 _DOMAIN_COUNT = 17
 _SETTLE_TICKS = 60
-_TICKS = 60
+_TICKS = 60  # Ticks are one second apart.
 _OWN_DOMAIN = "domain-00"
 _INCARNATION = 1 << 50
 _ADDRESS = Address(ip="127.0.0.1", port=10_000)
@@ -36,6 +36,8 @@
 
 @dataclasses.dataclass(slots=True)
 class _Traffic:
+    """Heartbeats of one daemon; only `received` counts incoming ones."""
+
     messages: int = 0
     size_bytes: int = 0
     largest_bytes: int = 0
@@ -144,7 +146,10 @@
 
 
 def _assignment_us(endpoints: int) -> float:
-    """Returns the cost of checking which endpoints to probe, without probes."""
+    """Returns the microseconds to check which endpoints to probe.
+
+    No endpoint is probed. All are quiet: they haven't responded recently.
+    """
     domain = _Domain(_MEMBER_COUNTS[-1])
     domain.run(0, _SETTLE_TICKS)
     core = domain.cores[_daemon_id(_OWN_DOMAIN, 0)]
--- a/benchmarks/slope_peers.py
+++ b/benchmarks/slope_peers.py
@@ -135,7 +135,11 @@
 
 
 def _measure_once() -> list[float]:
-    """Returns the cost of a tick at every size, measured concurrently."""
+    """Returns the milliseconds per tick at every size, measured concurrently.
+
+    Raises:
+        SystemExit: Less than 0.9 of the heartbeats were received.
+    """
     tested_processes, peer_processes = [], []
     try:
         for count in _PEER_COUNTS:
@@ -152,7 +156,8 @@
         cost_ms, received_share = json.loads(output)
         if received_share < 0.9:
             raise SystemExit(
-                f"only {received_share:.2f} of the heartbeats were received"
+                f"only {received_share:.2f} of the heartbeats were received,"
+                " expected at least 0.90"
             )
         costs.append(cost_ms)
     return costs
--- a/benchmarks/slope_ports.py
+++ b/benchmarks/slope_ports.py
@@ -7,6 +7,7 @@
 
 __all__ = ["free_ports"]
 
+# The range ends below 32,768, the first ephemeral port of Linux by default.
 _FIRST_PORT = 30_000
 _PORT_COUNT = 2_500
 _LOOPBACK = "127.0.0.1"
--- a/benchmarks/slope_tables.py
+++ b/benchmarks/slope_tables.py
@@ -47,8 +47,8 @@
 _SERIES_COUNTS = (1, 4, 16, 64)
 _BATCH_SIZES = (1, 4, 16, 64)
 _MAX_CHANGED_KEYS = 20
-_SUSPECT_FAILURES = 3
-_KEY_ENTRY_BYTES = 130
+_SUSPECT_FAILURES = 3  # Consecutive failures that make an endpoint suspect.
+_KEY_ENTRY_BYTES = 130  # Approximate size of a key entry as JSON.
 _POOL = "model"
 
 
@@ -80,7 +80,7 @@
 
 
 def _choose_suspect_us(count: int) -> float:
-    """Returns the cost of choosing while one endpoint is suspect."""
+    """Returns the microseconds to choose while one endpoint is suspect."""
     table = _make_endpoint_table(count)
     balancer = LeastLoaded(1)
     suspect = endpoint_records(count)[0].endpoint_id
@@ -188,7 +188,7 @@
 
 
 def _config_request_bytes(size_kb: int) -> float:
-    """Returns the size of a request to a peer for missing parts."""
+    """Returns the size of a request to a peer for missing parts, bytes."""
     head, _ = _make_document(size_kb)
     request = ConfigRequest(known_digests=tuple(sorted(head.digests)))
     return _envelope_bytes(Call(call_id=1, content=request))
--- a/benchmarks/slope_usage.py
+++ b/benchmarks/slope_usage.py
@@ -37,6 +37,8 @@
 
 __all__ = ["usage_slopes"]
 
+# Flushes use only the first two: 60 parts of 256 accounts exceed the 10,000
+# counts that one store write may contain.
 _ACCOUNT_COUNTS = (8, 64, 256)
 _DAEMON_COUNTS = (1, 4, 9, 28)
 _SEALED_ACCOUNTS = 64
@@ -44,7 +46,7 @@
 _TICKS = 60
 _PEER_COUNT = 27
 _GRACE_S = 5.0
-_SEAL_AT_S = 70.0
+_SEAL_AT_S = 70.0  # After the end and the grace time of the first window.
 _EPOCH = 1 << 50
 _US_PER_S = 1e6
 
@@ -83,7 +85,7 @@
 
 
 def _tick_us(accounts: int) -> float:
-    """Returns the cost of a tick, microseconds.
+    """Returns the processor time of a tick, microseconds.
 
     Both peers that keep copies acknowledge each part.
     """
--- a/benchmarks/weight_orders.py
+++ b/benchmarks/weight_orders.py
@@ -30,7 +30,11 @@
 
 
 def measure_core_us(max_concurrent_loads: int) -> float:
-    """Returns the microseconds of the core per order of one roll-out."""
+    """Returns the processor time of the core per order, microseconds.
+
+    Args:
+        max_concurrent_loads: Bound on the engines that load weights at once.
+    """
     core = WeightCore(2.0)
     engines = tuple(
         EngineView(f"engine-{number:04}", "model", 1, 0)
@@ -51,7 +55,11 @@
 
 
 async def measure_http_us(*, fresh: bool) -> float:
-    """Returns the microseconds of this process per sent order."""
+    """Returns the processor time of this process per order, microseconds.
+
+    Args:
+        fresh: Whether each order opens a new connection.
+    """
     deployment = Deployment(("x",), 0, 1, 0)
     http = HttpClient(connect_timeout_s=1.0, idle_s=15.0)
     try:
