--- a/daisyhub/balancing/_balancers.py
+++ b/daisyhub/balancing/_balancers.py
@@ -14,7 +14,7 @@
     """Chooses candidates in turn; the baseline of the benchmarks.
 
     Args:
-        random_state: Where in the list of candidates it starts.
+        random_state: Determines at which candidate in the list it starts.
     """
 
     def __init__(self, random_state: int = 0):
--- a/daisyhub/balancing/_directory.py
+++ b/daisyhub/balancing/_directory.py
@@ -5,8 +5,8 @@
 responses and reports give the load from other daemons. Since latencies differ
 between routes, an endpoint is rated by its latency ratio: its latency divided
 by the median latency of the route. The ratio decays towards 1, so that a slow
-endpoint is tried again after a few seconds. An endpoint that sends nothing
-while requests are open is avoided at once.
+endpoint is tried again after a few seconds. An endpoint that sends nothing for
+a few median latencies while a request is open is avoided.
 
 Keeps the latency of single requests low while an endpoint becomes slow, stops
 responding or fails.
--- a/daisyhub/balancing/tests/test_directory.py
+++ b/daisyhub/balancing/tests/test_directory.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoint directory."""
+"""Tests that slow, silent, failed and unreachable endpoints are avoided."""
 
 import unittest
 
--- a/daisyhub/billing/_usage_aggregator.py
+++ b/daisyhub/billing/_usage_aggregator.py
@@ -6,7 +6,7 @@
 
 __all__ = ["UsageAggregator"]
 
-# Windows stored per incarnation of a daemon.
+# Windows stored per incarnation of a daemon: as many as its `UsageMeter` sends.
 _MAX_WINDOWS = 8
 
 
--- a/daisyhub/billing/tests/test_proof_windows.py
+++ b/daisyhub/billing/tests/test_proof_windows.py
@@ -132,7 +132,7 @@
 
 
 class ReportsUnsealedCounts(WindowCore):
-    """Reports its own counts after a failure, without a seal."""
+    """Broken: reports its own counts after a failure, without a seal."""
 
     def _schedule_retry(self, number, now_s):
         super()._schedule_retry(number, now_s)
@@ -140,7 +140,7 @@
 
 
 class NeverRetries(WindowCore):
-    """Never seals a window again after a failure."""
+    """Broken: never seals or reports a window again after a failure."""
 
     def _schedule_retry(self, number, now_s):
         self._open.pop(number, None)
@@ -163,7 +163,7 @@
     def test_wait_for_a_silent_daemon_ends_before_the_report_is_due(self):
         core = WindowCore(WINDOW_S, REPORT_DEADLINE_S)
         core.handle(WindowTick(0), 1000.0)
-        # Only the three windows before the first tick are sealed.
+        # At most the three windows before the first tick are sealed.
         self.assertFalse(core.handle(WindowTick(200), 1005.5)[3:])
         actions = core.handle(WindowTick(200), 1009.0)
         self.assertNotIn(SealWindow(200), actions)
--- a/daisyhub/config/_parts.py
+++ b/daisyhub/config/_parts.py
@@ -2,9 +2,9 @@
 
 A section is a JSON object of entries. Its entries, sorted by name, are split
 into parts by content-defined chunking: a part ends after an entry whose
-hashed name has the remainder 0, so that a changed entry usually changes one
-part only. A limit in characters keeps each part below the largest value that
-the platform stores. Equal sections have equal parts.
+name's hash is a multiple of `_MEAN_ENTRIES_PER_PART`, so that a changed entry
+usually changes one part only. A limit in characters keeps each part below the
+largest value that the platform stores. Equal sections have equal parts.
 """
 
 import hashlib
--- a/daisyhub/config/_store.py
+++ b/daisyhub/config/_store.py
@@ -1,6 +1,6 @@
 """Stores the configuration on the platform: one head and immutable parts.
 
-The head holds a version and, for each section, the digests of its parts.
+The head contains a version and, for each section, the digests of its parts.
 Parts are immutable, so a daemon fetches only parts whose digests it lacks.
 Only the head is updated, conditionally. `AcceptanceCore` decides; this module
 performs its actions.
@@ -250,7 +250,7 @@
             await anyio.sleep(_RETRY_DELAY_S)
         raise PlatformUnavailableError(
             f"key {key_id}: {_MAX_WITHDRAW_ATTEMPTS} attempts to withdraw it"
-            " met concurrent writes"
+            " conflicted with concurrent writes"
         )
 
     async def _try_withdraw(self, key_id: str) -> bool:
@@ -271,7 +271,10 @@
         return True
 
     async def read_withdrawn(self) -> tuple[tuple[str, ...], int]:
-        """Returns the withdrawn key ids and their object's version, or 0."""
+        """Returns the withdrawn key ids and their object's version.
+
+        The version is 0 if the object is absent.
+        """
         found = await self._client.get(WITHDRAWN_KEY)
         if found is None:
             return (), 0
--- a/daisyhub/duties/_controller.py
+++ b/daisyhub/duties/_controller.py
@@ -145,7 +145,7 @@
         )
 
     def _is_preferred_candidate(self, live) -> bool:
-        """Whether this daemon ranks first among the daemons that stay up.
+        """Whether this daemon ranks first among those not shutting down.
 
         A daemon for which less than half of the known daemons are live, itself
         included, is no candidate: the holder's pings may still reach the
--- a/daisyhub/duties/tests/test_proof_duties.py
+++ b/daisyhub/duties/tests/test_proof_duties.py
@@ -178,7 +178,7 @@
 
 
 class ReusesFencingNumber(DutyCore):
-    """Takes over without incrementing the fencing number."""
+    """Broken: takes over without incrementing the fencing number."""
 
     def _acquire(self, now_s):
         actions = super()._acquire(now_s)
@@ -193,7 +193,7 @@
 
 
 class ReacquiresImmediately(DutyCore):
-    """Acquires the duty again without a cooldown after losing it."""
+    """Broken: acquires the duty again without a cooldown after losing it."""
 
     def _on_lost(self, now_s):
         super()._on_lost(now_s)
@@ -201,7 +201,7 @@
 
 
 class SkipsPreviousTerm(DutyCore):
-    """Acts without waiting for the previous holder's term to end."""
+    """Broken: acts without waiting for the previous holder's term to end."""
 
     def _on_record(self, found, now_s):
         super()._on_record(found, now_s)
--- a/daisyhub/hosting/__init__.py
+++ b/daisyhub/hosting/__init__.py
@@ -1,4 +1,4 @@
-"""Client of the product's own platform API: objects, leases, orders, usage.
+"""The product's own platform: API client, leases, orders and pool sizing.
 
 `daisyhub.platform` contains the adapters to the users' platform.
 """
--- a/daisyhub/hosting/_client.py
+++ b/daisyhub/hosting/_client.py
@@ -62,7 +62,7 @@
         ip: IP address.
         port: TCP port.
         state: `live`, or `leaving` before it stops.
-        incarnation: Increases when the instance restarts.
+        incarnation: Increases when the endpoint restarts.
         cheap: Whether the platform may reclaim it at a few seconds' notice.
     """
 
--- a/daisyhub/identity/_keys.py
+++ b/daisyhub/identity/_keys.py
@@ -1,8 +1,8 @@
 """Client keys: parsing, hashing and verification.
 
 A key has the format `dh_<key id>_<secret>`. The key id selects the entry, and
-the secret is compared with its keyed hash in constant time. A withdrawn key
-id never becomes valid again.
+the HMAC of the secret is compared with the stored one in constant time. A
+withdrawn key id never becomes valid again.
 """
 
 import dataclasses
@@ -79,7 +79,7 @@
 
 
 class KeyTable:
-    """Holds the active keys and the withdrawn key ids.
+    """The active keys and the withdrawn key ids.
 
     Args:
         hash_key: Key of the HMAC, in hex.
@@ -101,7 +101,7 @@
         self._listeners.append(listener)
 
     def replace_keys(self, keys: dict[str, ClientKey]) -> None:
-        """Replaces the keys by those of a new configuration, by key id."""
+        """Replaces all keys; `keys` maps key ids to the new ones."""
         removed = [key_id for key_id in self._keys if key_id not in keys]
         self._keys = keys
         for key_id in removed:
--- a/daisyhub/weights/_controller.py
+++ b/daisyhub/weights/_controller.py
@@ -35,8 +35,8 @@
 
 # Interval between observations of the engines.
 _TICK_INTERVAL_S = 0.1
-# Interval between lists that verify the watch of the versions. A version that
-# is received late delays the trainer's next step.
+# Interval between list calls that verify the watch of the versions. A version
+# that is received late delays the trainer's next step.
 _VERIFY_INTERVAL_S = 1.5
 
 
--- a/daisyhub/weights/tests/test_load_core.py
+++ b/daisyhub/weights/tests/test_load_core.py
@@ -1,4 +1,8 @@
-"""Tests of weight loads, orders in doubt and engine assignment."""
+"""Tests of weight loads and of the assignment of engines to models.
+
+They guard against too many concurrent loads, orders that are repeated while
+in doubt, and assignments that move engines endlessly.
+"""
 
 import unittest
 
