--- a/daisyhub/cluster/_messages.py
+++ b/daisyhub/cluster/_messages.py
@@ -134,7 +134,11 @@
 
 
 class LotAcceptedNotification(msgspec.Struct, frozen=True, tag="lt"):
-    """Notifies the holder of a lot that was accepted; `head` is JSON."""
+    """Notifies the holder of a lot that was accepted.
+
+    Attributes:
+        head: The lot without its items, JSON.
+    """
 
     head: bytes
 
--- a/daisyhub/controllers/_usage.py
+++ b/daisyhub/controllers/_usage.py
@@ -234,6 +234,11 @@
         return LedgerWriteRejected()
 
     def _count_sealed(self, ledger: Ledger) -> None:
+        """Counts the requests of each sealed window once in this process.
+
+        A report may be in several successive ledgers, until one is written
+        after the platform accepted the report.
+        """
         for report in ledger.unreported:
             if report.window <= self._last_counted_window:
                 continue
--- a/daisyhub/controllers/tests/test_watch_core.py
+++ b/daisyhub/controllers/tests/test_watch_core.py
@@ -43,6 +43,10 @@
         self.assertEqual(keys, ["news/keys", "news/config", "news/keys"])
 
     def test_repeated_failures_back_off_to_the_full_wait(self):
+        """Guards against a listener that always fails and shortens all watches.
+
+        A watch request ends when the first retry is due.
+        """
         found = make_object("news/config", 1)
         self.core.handle(WatchResponseReceived(1, (found,)), 0.0)
         now_s, waits = 0.0, []
--- a/daisyhub/objects/_watcher.py
+++ b/daisyhub/objects/_watcher.py
@@ -116,7 +116,7 @@
             self._restart_with_list(revision)
 
     async def verify(self) -> None:
-        """Lists the kind during the waiting watch, and applies what it missed.
+        """Lists the kind while a watch waits; applies what the watch missed.
 
         While the store drops its history, a watch may miss a change and return
         only at the end of its wait.
--- a/daisyhub/peers/_membership.py
+++ b/daisyhub/peers/_membership.py
@@ -8,7 +8,7 @@
 failure domains.
 
 A beat is the incarnation plus the number of ticks since the start, so that one
-number orders both.
+number orders a daemon's incarnations and the ticks of each.
 """
 
 import dataclasses
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -86,13 +86,23 @@
 
 
 class ConfigRequest(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
-    """Requests a peer's head and the sections whose digests aren't listed."""
+    """Requests a peer's head, withdrawn keys, and the parts not yet known.
+
+    Attributes:
+        known_digests: Digests of the parts that the response may omit.
+    """
 
     known_digests: tuple[str, ...]
 
 
 class ConfigResponse(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
-    """A head, the requested section texts by digest, and the withdrawn keys."""
+    """The response to a `ConfigRequest`.
+
+    Attributes:
+        head: Head of the peer's active configuration.
+        contents: Texts of the requested parts, by digest.
+        withdrawn: Ids of the withdrawn API keys, sorted.
+    """
 
     head: ConfigHead
     contents: dict[str, str]
--- a/daisyhub/peers/_network.py
+++ b/daisyhub/peers/_network.py
@@ -26,8 +26,9 @@
 
 log = get_logger("peers")
 
-# Milliseconds between ZeroMQ heartbeats on a connection, and without a response
-# after which it is reopened: a dead connection may not fail by itself.
+# Milliseconds between ZeroMQ heartbeats on a connection, and the time without a
+# response after which the connection is reopened. A dead connection may not
+# fail by itself.
 _HEARTBEAT_INTERVAL_MS = 500
 _HEARTBEAT_TIMEOUT_MS = 1500
 # Milliseconds for one attempt to connect, and the maximum interval between two.
