--- a/daisyhub/cli/_base.py
+++ b/daisyhub/cli/_base.py
@@ -34,7 +34,11 @@
 
 
 class ExitCode(enum.IntEnum):
-    """Exit codes of the command line."""
+    """Exit codes of the command line.
+
+    INVALID also covers errors that have no exit code of their own, and USAGE
+    files that can't be read.
+    """
 
     OK = 0
     INVALID = 1
--- a/daisyhub/cli/_usage.py
+++ b/daisyhub/cli/_usage.py
@@ -1,4 +1,4 @@
-"""The command that shows sealed usage that may not be reported yet."""
+"""The command that shows sealed usage that is possibly unreported."""
 
 import msgspec
 
@@ -11,12 +11,15 @@
 
 
 class UsageCommand(Command):
-    """Shows sealed usage windows that may not be reported yet."""
+    """Shows sealed usage windows that are possibly unreported.
+
+    The ledger may still contain windows whose report was already accepted.
+    """
 
     name = "usage"
     usage = "usage show [FAILURE_DOMAIN]"
     summary = (
-        "Shows sealed usage that may not be reported yet; the platform keeps"
+        "Shows sealed usage that is possibly unreported; the platform keeps"
         " reported usage."
     )
 
--- a/daisyhub/gateway/_sender.py
+++ b/daisyhub/gateway/_sender.py
@@ -302,7 +302,7 @@
 
 
 def _choose_pools(route: Route) -> tuple[str, ...]:
-    """Returns one pool of the route, chosen at random by weight."""
+    """Returns a tuple of one pool of the route, chosen randomly by weight."""
     if len(route.shares) == 1:
         return (route.shares[0].pool,)
     weights = [share.weight for share in route.shares]
@@ -327,6 +327,7 @@
 
     An endpoint that reaches its deadline sends an error response. If that
     response arrives before the caller's deadline, the connection is reusable.
+    The margin is at most a quarter of the remaining time.
     """
     return remaining_s - min(_ENDPOINT_MARGIN_S, remaining_s / 4)
 
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -186,6 +186,8 @@
             ),
         )
         self.cluster.set_watchers(self.watchers)
+        # The holder of the first duty runs lots and weight loads; the holder of
+        # the second reports usage, completes retirements and verifies watches.
         self.rollouts = self._build_duty("rollouts")
         self.accounts = self._build_duty("accounts")
         self.sender = Sender(
@@ -301,6 +303,7 @@
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
+        """Calls `weights.is_loading`; `weights` is built after the holder."""
         return self.weights.is_loading(endpoint_id)
 
     def _build_servers(self) -> None:
--- a/daisyhub/platform/tests/test_fleet_processes.py
+++ b/daisyhub/platform/tests/test_fleet_processes.py
@@ -49,7 +49,10 @@
 
 class FleetProcessesTest(unittest.IsolatedAsyncioTestCase):
     def check_lot(self, results, lot_id, groups=3):
-        """Checks that every item is listed once, complete and scored."""
+        """Checks that every item is listed once, complete and scored.
+
+        A group has four items; a fake engine sends six events for each.
+        """
         ids = {f"{lot_id}-{g}-{n}" for g in range(groups) for n in range(4)}
         self.assertEqual({r["id"] for r in results}, ids)
         self.assertEqual(len(results), len(ids))
--- a/daisyhub/serving/_callers_app.py
+++ b/daisyhub/serving/_callers_app.py
@@ -166,6 +166,8 @@
         async with anyio.create_task_group() as tasks:
             self._streams.add(key_id, tasks.cancel_scope)
             try:
+                # `OpenStreams` can't cancel this stream for a key that became
+                # invalid before the stream was added.
                 if key_id and not self._keys.is_valid(key_id):
                     tasks.cancel_scope.cancel()
                 tasks.start_soon(_cancel_on_disconnect, receive, tasks)
--- a/daisyhub/serving/tests/test_process_drain.py
+++ b/daisyhub/serving/tests/test_process_drain.py
@@ -93,6 +93,7 @@
         await withdrawn.aclose()
         content = b"".join([chunk async for chunk in valid.chunks()])
         await valid.aclose()
+        # The fake service sends 40 chunks in each stream.
         self.assertEqual(content.count(b"chunk"), 40)
 
     async def check_shutdown_of_all_daemons(self):
