--- a/daisyhub/base.py
+++ b/daisyhub/base.py
@@ -29,6 +29,9 @@
 
         Returns:
             Typed actions, in the order in which to perform them.
+
+        Raises:
+            TypeError: The core has no such event.
         """
 
     @property
--- a/daisyhub/config/_document.py
+++ b/daisyhub/config/_document.py
@@ -194,7 +194,7 @@
 
 
 def _semantic_problems(doc: Document):
-    """Yields (path, message) for each error not of a type or range."""
+    """Yields (path, message) for invalid owners, references and prefixes."""
     for name in doc.owners:
         if name not in SECTION_NAMES:
             yield f"$.owners.{name}", "is not a section"
--- a/daisyhub/exceptions.py
+++ b/daisyhub/exceptions.py
@@ -72,7 +72,7 @@
 
 
 class DaisyhubError(Exception):
-    """Base class of all exceptions of this package.
+    """Base class of the exceptions that have a stable code.
 
     Attributes:
         code: Stable code of the error.
--- a/daisyhub/fleet_settings.py
+++ b/daisyhub/fleet_settings.py
@@ -34,9 +34,11 @@
             filled in by the platform, but not used.
         fencing_checked: Whether receivers of orders reject stale fencing
             numbers.
-        lease_ms: Term of a duty: how long a read of its record is valid if
-            fencing numbers aren't checked, and how long a daemon that lost
-            the duty doesn't acquire it again.
+        lease_ms: Term of a duty. A daemon that lost the duty doesn't acquire it
+            again for one term. If fencing numbers aren't checked, a holder also
+            stops acting before one term has passed since its last successful
+            read of the duty's record, and a daemon that takes over from
+            another waits one term before it acts.
         grace_s: Time between SIGTERM and SIGKILL at a shutdown.
         usage_window_s: Length of a usage window.
         usage_late_s: Time between the end of a usage window and the deadline of
--- a/daisyhub/logs.py
+++ b/daisyhub/logs.py
@@ -46,7 +46,7 @@
 
 
 # Burst size and sustained rate of the log's token bucket, which keep the cost
-# of logging at some percent of a core under any load.
+# of logging at a few percent of a core under any load.
 _MAX_BURST_LINES = 400
 _MAX_LINES_PER_S = 200.0
 _STDOUT = 1
@@ -119,5 +119,6 @@
         level="INFO",
         format="{message}",
         diagnose=False,
+        # Lets a `BlockingIOError` reach `_write_line`.
         catch=False,
     )
--- a/daisyhub/metrics.py
+++ b/daisyhub/metrics.py
@@ -69,9 +69,10 @@
 class AccountStatistics:
     """Latencies and refusals by account over the last one to two periods.
 
-    The bounds of histogram buckets grow by a factor of 2**0.25, which limits
-    the error of a percentile to 19 %. A period counts at most 512 accounts
-    separately and all further ones together.
+    A period lasts 60 s; all times are monotonic seconds. The bounds of
+    histogram buckets grow by a factor of 2**0.25, which limits the error of a
+    percentile to 19 %. A period counts at most 512 accounts separately and all
+    further ones together.
     """
 
     def __init__(self):
@@ -165,7 +166,11 @@
         self._gauges[(name, tuple(labels.items()))] = value
 
     def observe_s(self, name: str, value_s: float, **labels: str) -> None:
-        """Records a duration in seconds; one far above an hour is dropped."""
+        """Records a duration in seconds.
+
+        Drops durations above 4294 s, the value to which the histogram rounds
+        its maximum of one hour up.
+        """
         series = _limit_series(self._histograms, _MAX_HISTOGRAMS, name, labels)
         histogram = self._histograms.get(series)
         if histogram is None:
