--- a/daisyhub/fleet_settings.py
+++ b/daisyhub/fleet_settings.py
@@ -36,9 +36,9 @@
             numbers.
         lease_ms: Term of a duty. A daemon that lost the duty doesn't acquire it
             again for one term. If fencing numbers aren't checked, a holder also
-            stops acting before one term has passed since its last successful
-            read of the duty's record, and a daemon that takes over from
-            another waits one term before it acts.
+            stops acting before one term has passed since it sent the last
+            successful read or write of the duty's record, and a daemon that
+            takes over from another waits one term before it acts.
         grace_s: Time between SIGTERM and SIGKILL at a shutdown.
         usage_window_s: Length of a usage window.
         usage_late_s: Time between the end of a usage window and the deadline of
