--- a/daisyhub/testing/caller.py
+++ b/daisyhub/testing/caller.py
@@ -41,6 +41,8 @@
     ) -> HttpResponse:
         """Sends one request with `value` as JSON; None sends no body.
 
+        It is sent on a new connection if `fresh` is true.
+
         Raises:
             RequestFailedError: No complete response was received.
         """
--- a/daisyhub/testing/fake_app.py
+++ b/daisyhub/testing/fake_app.py
@@ -176,6 +176,7 @@
         await send(
             {"type": "http.response.body", "body": part, "more_body": True}
         )
+        # Makes the server close the connection before the end of the body.
         raise ConnectionAbortedError
     for chunk in response.chunks:
         await send(
--- a/daisyhub/testing/fake_platform.py
+++ b/daisyhub/testing/fake_platform.py
@@ -20,6 +20,7 @@
 
 __all__ = ["FakePlatform"]
 
+# The size limit of a value at the platform.
 _MAX_VALUE_BYTES = 1_000_000
 
 
--- a/daisyhub/testing/fleet.py
+++ b/daisyhub/testing/fleet.py
@@ -41,6 +41,11 @@
         servers: Number of servers.
         event_s: Seconds per event or look-up at a server.
         module: The module that a daemon process runs.
+
+    Attributes:
+        daemon_env: Additional environment variables by daemon.
+        ports: Port of each fake by name, and of each daemon's listener by
+            `name/listener`: front (client requests), ready, peer, metrics.
     """
 
     def __init__(
@@ -245,7 +250,11 @@
         headers: tuple = (),
         timeout_s: float = 5.0,
     ) -> HttpResponse:
-        """Sends a request to a daemon on a new connection."""
+        """Sends a request to a daemon on a new connection.
+
+        Raises:
+            RequestFailedError: No complete response was received.
+        """
         return await self.http.request(
             method,
             self.address(f"{daemon}/front"),
@@ -411,6 +420,7 @@
             )
 
     async def _wait_until_listening(self, *names: str) -> None:
+        """Waits until each fake responds, with any status."""
         with anyio.fail_after(_WAIT_TIMEOUT_S):
             for name in names:
                 while True:
@@ -421,8 +431,8 @@
 
 
 # Candidate ports: below the range that the system assigns to outgoing
-# connections, and at an offset by process id, so that no other fleet binds one
-# before its listener does.
+# connections, and at an offset by process id, so that fleets of other
+# processes rarely bind one before its listener does.
 _candidate_ports = itertools.count(10_000 + os.getpid() * 97 % 20_000)
 
 
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -73,11 +73,11 @@
                 continue
 
     def put(self, kind: str, name: str, spec: bytes, status=b"null"):
-        """Writes an object as an operator would."""
+        """Writes an object unconditionally and without faults; returns it."""
         return self._store(kind, name, spec, status)
 
     def drop(self, kind: str, name: str) -> None:
-        """Deletes an object as an operator would."""
+        """Deletes an object, if it exists, without faults."""
         existing = self.objects.pop((kind, name), None)
         if existing is not None:
             self._append_change(
--- a/daisyhub/testing/soak/_ledger.py
+++ b/daisyhub/testing/soak/_ledger.py
@@ -71,11 +71,11 @@
         path: str,
         *,
         is_idempotent: bool,
-        has_key: bool = True,
+        has_valid_key: bool = True,
     ) -> None:
         """Records a request before it is sent."""
         self._requests[request_id] = _SentRequest(path, is_idempotent)
-        if not has_key:
+        if not has_valid_key:
             self._unauthorized_ids.add(request_id)
 
     def record_response(
@@ -141,7 +141,9 @@
         self._add_violation(f"LOST {lot_id}: {daemon} responds {status}")
 
     def check_texts(self, events: int) -> None:
-        """Checks that each lot lists every item once, with its own text.
+        """Checks that each lot lists every item once.
+
+        A completed item must have its own text.
 
         Args:
             events: Number of events, which are lines of the text, per item.
@@ -190,8 +192,9 @@
                 self._add_violation(
                     f"UNASKED {run_id}: an API key was forwarded"
                 )
-            is_public = run_id in self._reward_ids
-            if run["account"] != self._account and not is_public:
+            # A daemon sends reward calls without an account.
+            is_reward_call = run_id in self._reward_ids
+            if run["account"] != self._account and not is_reward_call:
                 self._add_violation(
                     f"UNASKED {run_id}: ran for {run['account']!r}"
                 )
--- a/daisyhub/testing/soak/_load_generator.py
+++ b/daisyhub/testing/soak/_load_generator.py
@@ -82,9 +82,13 @@
         async with anyio.create_task_group() as tasks:
             while self._is_running:
                 request_id = self.next_id("r")
-                has_key = self._rng.random() > 0.1
+                has_valid_key = self._rng.random() > 0.1
                 tasks.start_soon(
-                    self._send_request, request_id, "/records/", True, has_key
+                    self._send_request,
+                    request_id,
+                    "/records/",
+                    True,
+                    has_valid_key,
                 )
                 await anyio.sleep(_LOOK_UP_INTERVAL_S)
 
@@ -98,13 +102,20 @@
                 await anyio.sleep(_WRITE_INTERVAL_S)
 
     async def _send_request(
-        self, request_id: str, prefix: str, is_idempotent: bool, has_key: bool
+        self,
+        request_id: str,
+        prefix: str,
+        is_idempotent: bool,
+        has_valid_key: bool,
     ) -> None:
         path = f"{prefix}{request_id}"
         self._ledger.record_sent(
-            request_id, path, is_idempotent=is_idempotent, has_key=has_key
+            request_id,
+            path,
+            is_idempotent=is_idempotent,
+            has_valid_key=has_valid_key,
         )
-        key = KEY if has_key else "key-that-nobody-holds"
+        key = KEY if has_valid_key else "key-that-nobody-holds"
         status, body, is_stamped = await self.call(
             self._pick_daemon(), "POST", path, request_id, key
         )
--- a/daisyhub/testing/soak/_soak.py
+++ b/daisyhub/testing/soak/_soak.py
@@ -22,7 +22,7 @@
 _ACCOUNT = "t"
 _EXTRA_KEY = "key-of-u"
 _MODULE = "daisyhub.testing.soaked_daemon"
-# Events that a fake server streams per item.
+# Events that a fake server streams per item: `fake_fleet._EVENT_COUNT`.
 _EVENTS_PER_ITEM = 6
 # Seconds after the last disturbance within which every daemon must serve.
 _RECOVERY_TIMEOUT_S = 12.0
--- a/daisyhub/testing/soak/tests/test_ledger.py
+++ b/daisyhub/testing/soak/tests/test_ledger.py
@@ -67,7 +67,9 @@
         self.assertEqual(self.violated_codes(), ["REFUSED"])
 
     def test_runs_without_a_valid_request_are_reported(self):
-        self.ledger.record_sent("r2", "/r", is_idempotent=True, has_key=False)
+        self.ledger.record_sent(
+            "r2", "/r", is_idempotent=True, has_valid_key=False
+        )
         self.ledger.check_runs(
             [
                 make_run("x"),
