--- a/benchmarks/lot_stragglers.py
+++ b/benchmarks/lot_stragglers.py
@@ -36,6 +36,8 @@
 MAX_TOKENS = 4000
 TIMEOUT_S = 300.0
 SEEDS = (1, 2, 3, 4, 5)
+# A group that misses at most this many samples gets second, spare attempts for
+# them.
 SPARE_SAMPLES = (0, 1, 2, 4)
 # Slowdown of the first engine; a hung engine never responds in time.
 SLOWDOWNS = {"even": 1.0, "slow": 5.0, "hung": 1e9}
--- a/benchmarks/measure/faults.py
+++ b/benchmarks/measure/faults.py
@@ -41,7 +41,11 @@
 
 
 def engine_faults(seed: int, engines: int) -> tuple[Fault, ...]:
-    """Returns a refusing engine and, later, an engine that hangs."""
+    """Returns the faults of a lot simulation.
+
+    These are an engine that crashes, so that it refuses attempts and loses
+    those in progress, and later an engine that hangs.
+    """
     rng = random.Random(seed)
     start_s = rng.uniform(15, 30)
     return (
--- a/benchmarks/measure/usage.py
+++ b/benchmarks/measure/usage.py
@@ -43,7 +43,8 @@
 _WINDOW_S = 60
 _GRACE_S = 5.0
 _RETRY_S = 1.0
-# Requests end 20 windows before the run, which leaves time to seal late parts.
+# No requests arrive in the last 20 windows of the run, which leaves time to
+# seal late parts.
 _SERVED_S = 110 * _WINDOW_S
 _END_S = _SERVED_S + 20 * _WINDOW_S
 _HOLDER_CHANGE_S = 100 * _WINDOW_S
--- a/benchmarks/reconcile.py
+++ b/benchmarks/reconcile.py
@@ -131,6 +131,7 @@
     hashes = rng.sample(range(1, 1 << 30), count + changed_count)
     own = np.array(hashes[:count], dtype=np.int64)
     other = np.array(hashes[changed_count:], dtype=np.int64)
+    # A changed record has a different hash on each side.
     bound = 2 * changed_count
     points = _PRIME - 1 - np.arange(bound, dtype=np.int64)
     values = evaluate(other, points)
--- a/daisyhub/accounting/_ledger.py
+++ b/daisyhub/accounting/_ledger.py
@@ -79,8 +79,9 @@
 
     Attributes:
         window: Start of the newest sealed window; -1 for none.
-        unreported: Reports of sealed windows that may not have been sent yet,
-            oldest first.
+        unreported: Reports of sealed windows, oldest first. An accepted report
+            remains until the next write that seals a window, so some of these
+            may have been sent already.
         marks: Sealed parts of recent epochs.
         retired: By daemon, the newest epoch whose marks were dropped. All
             parts of this and older epochs count as sealed.
@@ -115,7 +116,7 @@
         self._ranges[key] = _merge(ranges)
 
     def drop_old_epochs(self, max_epochs: int = _MAX_EPOCHS_PER_DAEMON) -> None:
-        """Drops the ranges of all but the newest epochs of each daemon."""
+        """Keeps only the ranges of each daemon's `max_epochs` newest epochs."""
         epochs: dict[str, list[int]] = {}
         for daemon_id, epoch in self._ranges:
             epochs.setdefault(daemon_id, []).append(epoch)
@@ -159,8 +160,8 @@
         domain: The failure domain.
         ledger: The ledger as stored.
         parts: All known parts, in any order; duplicates are ignored.
-        ended_window: Start of the newest window that may be sealed by the
-            caller's clock.
+        ended_window: Start of the newest window whose end and grace time have
+            passed on the caller's clock.
         length_s: Length of a window in seconds.
         reported: Windows whose reports were accepted; they are removed from
             the unreported ones.
--- a/daisyhub/duties/_core.py
+++ b/daisyhub/duties/_core.py
@@ -5,8 +5,9 @@
 to a receiver, such as an engine or the platform. Where every receiver rejects
 stale fencing numbers, the holder needs no renewal: it remains the holder until
 another daemon that no longer receives its pings writes a higher number. Where
-receivers don't check, the holder acts only within a term after it last read
-its own record, and its successor waits for one term before it acts.
+receivers don't check, the holder acts only within a term after it last read or
+wrote its own record, and a daemon that takes over without a release waits for
+one term before it acts.
 
 Times are seconds on CLOCK_BOOTTIME, which counts suspended time.
 """
@@ -29,8 +30,8 @@
     "WriteDuty",
 ]
 
-# Checks of the record per term. With three, two in a row may fail before the
-# term ends.
+# Checks of the own record per term. With three, two in a row may fail before
+# the term ends.
 _CHECKS_PER_TERM = 3
 # Delay after a failed call: a few round trips to the store.
 _RETRY_DELAY_S = 0.3
@@ -111,9 +112,11 @@
     Args:
         process: Id of this process, `daemon id/incarnation`; differs after a
             restart.
-        term_s: Validity of a read of the own record where receivers don't
-            check fencing numbers, and the time for which a daemon that lost
-            the duty doesn't acquire it again.
+        term_s: Term in seconds. A daemon that lost the duty doesn't acquire it
+            again for one term. Where receivers don't check fencing numbers,
+            the holder also acts only within one term after it last read or
+            wrote its own record, and a daemon that takes over without a
+            release waits for one term before it acts.
         is_fencing_checked: Whether every receiver rejects stale fencing
             numbers.
     """
@@ -144,7 +147,7 @@
 
     @property
     def record(self) -> DutyRecord | None:
-        """The last record read; None if there is none or it is unknown."""
+        """The last record received; None if there is none or it is unknown."""
         return self._record
 
     def fencing_if_held(self, now_s: float) -> int:
@@ -215,7 +218,7 @@
         return []
 
     def _check_holder(self, now_s: float) -> list[object]:
-        """Reads the record of a live holder once per check interval."""
+        """Reads a live holder's record every `_HOLDER_CHECK_INTERVAL_S`."""
         if now_s - self._last_read_at_s < _HOLDER_CHECK_INTERVAL_S:
             return []
         return self._read(now_s)
