--- a/benchmarks/measure/lookup_policies.py
+++ b/benchmarks/measure/lookup_policies.py
@@ -1,4 +1,4 @@
-"""Policies of look-ups, their figures, and the plain admission."""
+"""Policies and figures of look-ups, and a baseline for admission."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -6,41 +6,50 @@
 
 from daisyhub.balancing import EndpointState
 from daisyhub.exceptions import ErrorCode
-from daisyhub.filters import Admit, Arrive, PlacesChanged, Shed
+from daisyhub.filters import (
+    AdmitRequest,
+    ConcurrencyLimitChanged,
+    RequestArrived,
+    ShedRequest,
+)
 
 __all__ = [
-    "MOST_PLACES",
+    "MAX_CONCURRENCY_LIMIT",
     "FirstComeFirstServed",
     "LookupPolicy",
     "LookupResult",
     "prefer_regular",
 ]
 
-MOST_PLACES = 512
+MAX_CONCURRENCY_LIMIT = 512  # Default of the setting `concurrent_requests`.
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LookupPolicy:
-    """What decides.
+    """Options of a look-up simulation.
 
     Attributes:
-        name: For the table.
-        follows_capacity: Whether a daemon's places follow what the live
-            endpoints tell, or are `MOST_PLACES`.
-        is_fair: Fair queueing, or first come first served.
-        is_least_loaded: Less loaded of two, or round robin.
-        hedges: Whether hedging is on.
-        is_site_wide: Whether daemons use other domains' servers too.
-        is_regular_first: Whether requests that may run only once go to
-            regular servers while there are any.
-        extra: One more server in each domain: `none`, `cheap` or `dear`.
+        name: Name in the table.
+        is_limit_adaptive: Whether a daemon's concurrency limit follows the
+            capacity that endpoints report, instead of being constantly
+            `MAX_CONCURRENCY_LIMIT`.
+        is_fair: Whether admission uses fair queueing instead of first come
+            first served.
+        is_least_loaded: Whether balancing chooses the less loaded of two
+            endpoints instead of round robin.
+        is_hedged: Whether idempotent requests are hedged.
+        is_site_wide: Whether daemons also use servers of other domains.
+        is_regular_first: Whether requests that may run only once prefer
+            regular servers to cheap ones.
+        extra: Kind of the additional server in each domain: `none`, `cheap`
+            (may be reclaimed) or `dear` (regular price, never reclaimed).
     """
 
     name: str
-    follows_capacity: bool = True
+    is_limit_adaptive: bool = True
     is_fair: bool = True
     is_least_loaded: bool = True
-    hedges: bool = True
+    is_hedged: bool = True
     is_site_wide: bool = False
     is_regular_first: bool = False
     extra: Literal["none", "cheap", "dear"] = "none"
@@ -48,11 +57,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
 class LookupResult:
-    """Figures of one run; shares are of all requests.
+    """Figures of one run.
 
-    `worst_` figures are of the worst-served account among those that stay
-    within their share; `any_refused` includes the one that bursts. A request
-    is refused if it got no answer for whatever reason.
+    `worst_` figures are those of the worst-served account, except for the
+    account that bursts and so exceeds its share; `any_refused` includes that
+    account. Both refused shares are of the account's requests and count each
+    request without a response, for any reason. Other shares are of all
+    requests.
+
+    Attributes:
+        worst_p99_s: 99th percentile of the latency of answered requests.
+        worst_refused: Share of requests without a response.
+        any_refused: Highest share of requests without a response.
+        failed: Share of requests without a response.
+        price: Price of the servers' busy time per answered request, in seconds
+            of a regular server.
+        cheap_share: Share of requests that cheap servers answered.
+        unknown: Share of requests that failed without it being known whether
+            they ran.
     """
 
     worst_p99_s: float
@@ -65,42 +87,46 @@
 
 
 class FirstComeFirstServed:
-    """One queue with the same bound; the plain baseline of admission."""
+    """Admission baseline: one queue with the same bound as `AdmissionCore`."""
 
-    def __init__(self, places: int):
-        self.places = places
+    def __init__(self, concurrency_limit: int):
+        self.concurrency_limit = concurrency_limit
         self._in_service: set[str] = set()
-        self._queue: list[Arrive] = []
+        self._queue: list[RequestArrived] = []
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes the events of `AdmissionCore`."""
-        if isinstance(event, PlacesChanged):
-            self.places = event.places
-        elif isinstance(event, Arrive):
-            if len(self._queue) >= 2 * self.places:
-                return [Shed(event.request_id, ErrorCode.OVERLOADED, 1.0)]
+        """Handles the events of `AdmissionCore` except its ticks."""
+        if isinstance(event, ConcurrencyLimitChanged):
+            self.concurrency_limit = event.concurrency_limit
+        elif isinstance(event, RequestArrived):
+            if len(self._queue) >= 2 * self.concurrency_limit:
+                return [
+                    ShedRequest(event.request_id, ErrorCode.OVERLOADED, 1.0)
+                ]
             self._queue.append(event)
         else:
             self._in_service.discard(event.request_id)
         actions = []
-        while self._queue and len(self._in_service) < self.places:
-            waiting = self._queue.pop(0)
-            if waiting.deadline_s <= now_s:
-                shed = Shed(waiting.request_id, ErrorCode.OVERLOADED, 1.0)
+        while self._queue and len(self._in_service) < self.concurrency_limit:
+            request = self._queue.pop(0)
+            if request.deadline_s <= now_s:
+                shed = ShedRequest(
+                    request.request_id, ErrorCode.OVERLOADED, 1.0
+                )
                 actions.append(shed)
                 continue
-            self._in_service.add(waiting.request_id)
-            actions.append(Admit(waiting.request_id))
+            self._in_service.add(request.request_id)
+            actions.append(AdmitRequest(request.request_id))
         return actions
 
 
 def prefer_regular(
     candidates: Sequence[EndpointState],
 ) -> Sequence[EndpointState]:
-    """Returns the candidates that can't be reclaimed, if there are any.
+    """Returns the candidates that can't be reclaimed, or all if there are none.
 
-    A request that may run only once is lost with a reclaimed endpoint; with
-    cheap endpoints alone it is still served, since they tell before they go.
+    A request that may run only once fails if its endpoint is reclaimed. Cheap
+    endpoints alone still serve it, since they announce that they will leave.
     """
     if not any(state.cheap for state in candidates):
         return candidates
--- a/daisyhub/accounting/__init__.py
+++ b/daisyhub/accounting/__init__.py
@@ -1,4 +1,9 @@
-"""Usage: counts of each daemon, windows sealed once, reports."""
+"""Usage accounting and rate limits of client accounts.
+
+Each daemon counts the requests it serves, copies the counts to peers and
+flushes them to the platform. One daemon of a failure domain seals the windows
+and reports them. Daemons also share the accounts' rate limits.
+"""
 
 from daisyhub.accounting._counters import PeerUsage, UsageCounters
 from daisyhub.accounting._flush_core import (
@@ -6,14 +11,14 @@
     FlushTick,
     ReadStore,
     StoreRead,
-    StoreRefused,
+    StoreWriteRejected,
     StoreWritten,
     WriteStore,
 )
 from daisyhub.accounting._ledger import (
-    EpochMark,
     Ledger,
-    Marks,
+    SealedParts,
+    SealedRanges,
     SealedWindow,
     StoredReport,
     seal,
@@ -24,19 +29,19 @@
     PartStore,
     UsageCount,
     UsagePart,
-    window_of,
+    window_start,
 )
 from daisyhub.accounting._rate_shares import RateShares
 from daisyhub.accounting._seal_core import (
     CallFailed,
     EmptyStore,
     LedgerRead,
-    LedgerRefused,
+    LedgerWriteRejected,
     LedgerWritten,
     ListParts,
     PartsListed,
     ReadLedger,
-    ReportDone,
+    ReportAccepted,
     SealCore,
     SealTick,
     SendReport,
@@ -44,29 +49,27 @@
     WriteLedger,
 )
 from daisyhub.accounting._share_core import (
-    AskHeard,
-    GrantHeard,
-    SendAsk,
-    SendGrant,
+    LoanGranted,
+    LoanRequested,
+    SendLoanGrant,
+    SendLoanRequest,
     ShareCore,
     ShareTick,
 )
 
 __all__ = [
-    "AskHeard",
     "CallFailed",
     "EmptyStore",
-    "EpochMark",
     "FlushCore",
     "FlushTick",
-    "GrantHeard",
     "Ledger",
     "LedgerRead",
-    "LedgerRefused",
+    "LedgerWriteRejected",
     "LedgerWritten",
     "ListParts",
     "ListedStore",
-    "Marks",
+    "LoanGranted",
+    "LoanRequested",
     "PartCount",
     "PartStore",
     "PartsListed",
@@ -74,18 +77,20 @@
     "RateShares",
     "ReadLedger",
     "ReadStore",
-    "ReportDone",
+    "ReportAccepted",
     "SealCore",
     "SealTick",
+    "SealedParts",
+    "SealedRanges",
     "SealedWindow",
-    "SendAsk",
-    "SendGrant",
+    "SendLoanGrant",
+    "SendLoanRequest",
     "SendReport",
     "ShareCore",
     "ShareTick",
     "StoreEmptied",
     "StoreRead",
-    "StoreRefused",
+    "StoreWriteRejected",
     "StoreWritten",
     "StoredReport",
     "UsageCount",
@@ -94,5 +99,5 @@
     "WriteLedger",
     "WriteStore",
     "seal",
-    "window_of",
+    "window_start",
 ]
--- a/daisyhub/accounting/_share_core.py
+++ b/daisyhub/accounting/_share_core.py
@@ -1,13 +1,18 @@
-"""Shares of the accounts' limits, lent between the daemons of a domain.
-
-Each daemon owns an even share of every account's limit. One that needs more
-asks its peers, and those that need less lend for a term. A loan counts at
-the borrower from the moment before it asked, and at the lender from its
-answer, so that no part of a limit is used at two daemons at one time. Cut off
-from its peers, a daemon has its own share again after a term. A restarted
-one uses little until all peers have told that they use nothing lent by its
-earlier incarnation, or until every such loan has ended. Shares are whole
-quanta; times are seconds on CLOCK_BOOTTIME.
+"""Lends shares of the accounts' rate limits between daemons of a domain.
+
+Each daemon owns an equal share of every account's limit. A daemon that needs
+more requests a loan from its peers; those that need less lend for a term. The
+borrower counts the term from the time of its request. The lender counts it
+from its later response and adds a margin, so that no part of a limit is used
+at two daemons at once. A daemon that is cut off from its peers has its own
+share back after a term and the margin.
+
+A peer drops loans from a daemon's earlier incarnation before it responds to
+the new one. Until all peers have responded, or all such loans have ended, a
+restarted daemon uses only the part of its share that is never lent.
+
+Shares are counted in quanta: an account's whole limit is `QUANTA_PER_DAEMON`
+quanta for each configured daemon. Times are seconds on CLOCK_BOOTTIME.
 """
 
 import dataclasses
@@ -16,21 +21,25 @@
 from daisyhub.base import Core
 
 __all__ = [
-    "AskHeard",
-    "GrantHeard",
-    "SendAsk",
-    "SendGrant",
+    "AccountQuanta",
+    "LoanGranted",
+    "LoanRequested",
+    "SendLoanGrant",
+    "SendLoanRequest",
     "ShareCore",
     "ShareTick",
-    "Wants",
 ]
 
-BASE_QUANTA = 16
-_FLOOR_QUANTA = 2
-_HEADROOM = 1.25
-_ASKS_PER_TERM = 3
+QUANTA_PER_DAEMON = 16
+# Never lent, so that a restarted daemon can use them at once.
+_MIN_QUANTA = 2
+# A lender keeps this multiple of its own demand.
+_HEADROOM_FACTOR = 1.25
+# More than one request per term renews loans before they end.
+_REQUESTS_PER_TERM = 3
 
-Wants = tuple[tuple[str, int], ...]
+# Pairs of account and quanta.
+AccountQuanta = tuple[tuple[str, int], ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -38,9 +47,9 @@
     """Time has passed.
 
     Attributes:
-        wanted: Quanta that each account could use here; only for accounts
-            that were seen lately.
-        live: Peers of the domain.
+        wanted: Demand at this daemon in quanta, for each account with recent
+            requests.
+        live: Ids of the live peers in the failure domain.
     """
 
     wanted: Mapping[str, int]
@@ -48,70 +57,83 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AskHeard:
-    """A peer asks for quanta; `stamp_s` and `incarnation` are its own."""
+class LoanRequested:
+    """A peer requested quanta.
+
+    Attributes:
+        peer: The borrower.
+        incarnation: Incarnation of the borrower.
+        stamp_s: Time of the request on the borrower's clock.
+        wants: Accounts and the quanta that the borrower's own share lacks.
+    """
 
     peer: str
     incarnation: int
     stamp_s: float
-    wants: Wants
+    wants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GrantHeard:
-    """A peer lends quanta in answer to the ask of `stamp_s`.
+class LoanGranted:
+    """A peer responded to a loan request of this daemon.
 
     Attributes:
         peer: The lender.
-        lender_incarnation: Start of the lender.
-        incarnation: Of the asker, as in the ask.
-        stamp_s: As in the ask.
-        grants: Accounts and quanta.
+        lender_incarnation: Incarnation of the lender.
+        incarnation: Incarnation of the borrower, copied from the request.
+        stamp_s: Time of the request, copied from it.
+        grants: Accounts and lent quanta, which may be 0.
     """
 
     peer: str
     lender_incarnation: int
     incarnation: int
     stamp_s: float
-    grants: Wants
+    grants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendAsk:
-    """Action: ask a peer."""
+class SendLoanRequest:
+    """Action: send a loan request to a peer."""
 
     peer: str
     incarnation: int
     stamp_s: float
-    wants: Wants
+    wants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendGrant:
-    """Action: answer a peer's ask; `incarnation` is that of the ask."""
+class SendLoanGrant:
+    """Action: respond to a loan request, with its incarnation and stamp."""
 
     peer: str
     incarnation: int
     stamp_s: float
-    grants: Wants
+    grants: AccountQuanta
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Loan:
+    """Quanta lent until `until_s`; `stamp_s` is that of the loan request."""
+
     quanta: int
     stamp_s: float
     until_s: float
 
 
 class ShareCore(Core):
-    """Decides what to ask for and what to lend.
+    """Decides which quanta to borrow and which to lend.
 
     Args:
-        incarnation: Start of this process.
-        daemons: Configured daemons of the domain, this one included.
-        term_s: Term of a loan.
-        margin_s: How much longer the lender waits.
-        started_s: When this process started.
+        incarnation: Incarnation of this daemon.
+        daemons: Number of configured daemons of the failure domain, this one
+            included.
+        term_s: Term of a loan in seconds.
+        margin_s: Seconds that the lender waits beyond the term.
+        started_s: When this process started, on the core's clock.
+
+    Attributes:
+        total: Quanta that make up an account's whole limit.
     """
 
     def __init__(
@@ -122,151 +144,190 @@
         margin_s: float,
         started_s: float,
     ):
-        self.total = BASE_QUANTA * daemons
+        self.total = QUANTA_PER_DAEMON * daemons
         self._incarnation = incarnation
         self._term_s = term_s
         self._margin_s = margin_s
-        self._held_until_s = started_s + term_s + margin_s
-        self._neighbours = daemons - 1
-        self._confirmed: set[str] = set()
+        self._restricted_until_s = started_s + term_s + margin_s
+        self._peer_count = daemons - 1
+        self._confirmed_peers: set[str] = set()
         self._incarnations: dict[str, int] = {}
+        # Loans by account, then by peer.
         self._lent: dict[str, dict[str, list[_Loan]]] = {}
         self._borrowed: dict[str, dict[str, _Loan]] = {}
-        self._asks: dict[str, AskHeard] = {}
-        self._next_ask_s = started_s
+        self._pending_requests: dict[str, LoanRequested] = {}
+        self._next_request_s = started_s
 
     @property
     def next_wakeup_s(self) -> float | None:
-        """None: the peers' tick drives the core."""
+        """None: the tick of the peer controller drives the core."""
         return None
 
     def quanta(self, account: str, now_s: float) -> int:
-        """Returns how much of an account's limit may be used here now."""
-        return self._own(account, now_s) + self._borrowed_quanta(account, now_s)
+        """Returns the quanta of an account's limit that are usable here now."""
+        return self._own_quanta(account, now_s) + self._borrowed_quanta(
+            account, now_s
+        )
 
     def share(self, account: str, now_s: float) -> float:
-        """Returns the same as a share of the limit, 0 to 1."""
+        """Returns the usable share of an account's limit, 0 to 1."""
         return self.quanta(account, now_s) / self.total
 
     def handle(self, event: object, now_s: float) -> list[object]:
-        """Takes one event; returns `SendAsk` and `SendGrant` actions."""
+        """Handles one event and returns the messages to send to peers."""
         match event:
             case ShareTick():
                 return self._on_tick(event, now_s)
-            case AskHeard():
-                self._note_incarnation(event.peer, event.incarnation)
-                self._asks[event.peer] = event
+            case LoanRequested():
+                self._record_incarnation(event.peer, event.incarnation)
+                self._pending_requests[event.peer] = event
                 return []
-            case GrantHeard():
+            case LoanGranted():
                 self._on_grant(event)
                 return []
         raise TypeError(f"not a share event: {event!r}")
 
     def _on_tick(self, event: ShareTick, now_s: float) -> list[object]:
-        self._forget_ended(now_s)
-        actions = self._answer_asks(event, now_s)
-        if now_s < self._next_ask_s:
+        """Responds to loan requests and sends requests if they are due.
+
+        A restricted daemon sends requests at every tick, also without demand,
+        since the responses end the restriction.
+        """
+        self._drop_ended_loans(now_s)
+        actions = self._respond_to_requests(event, now_s)
+        if now_s < self._next_request_s:
             return actions
-        wants = self._missing(event, now_s)
-        if not wants and not self._is_held_back(now_s):
+        wants = self._missing_quanta(event, now_s)
+        if not wants and not self._is_restricted(now_s):
             return actions
-        if not self._is_held_back(now_s):
-            self._next_ask_s = now_s + self._term_s / _ASKS_PER_TERM
+        if not self._is_restricted(now_s):
+            self._next_request_s = now_s + self._term_s / _REQUESTS_PER_TERM
         for peer in event.live:
-            actions.append(SendAsk(peer, self._incarnation, now_s, wants))
+            actions.append(
+                SendLoanRequest(peer, self._incarnation, now_s, wants)
+            )
         return actions
 
-    def _missing(self, event: ShareTick, now_s: float) -> Wants:
+    def _missing_quanta(self, event: ShareTick, now_s: float) -> AccountQuanta:
+        """Returns the quanta that this daemon's own share lacks.
+
+        Borrowed quanta aren't deducted, since a request also renews loans.
+        """
         missing = []
         for account, wanted in sorted(event.wanted.items()):
             usable = min(wanted, self.total)
-            lacking = usable - self._own(account, now_s)
+            lacking = usable - self._own_quanta(account, now_s)
             if lacking > 0:
                 missing.append((account, lacking))
         return tuple(missing)
 
-    def _answer_asks(self, event: ShareTick, now_s: float) -> list[object]:
-        asks, self._asks = self._asks, {}
-        asked: dict[str, int] = {}
-        for ask in asks.values():
-            for account, quanta in ask.wants:
-                asked[account] = asked.get(account, 0) + quanta
+    def _respond_to_requests(
+        self, event: ShareTick, now_s: float
+    ) -> list[object]:
+        requests, self._pending_requests = self._pending_requests, {}
+        requested: dict[str, int] = {}
+        for request in requests.values():
+            for account, quanta in request.wants:
+                requested[account] = requested.get(account, 0) + quanta
         spare = {
-            account: self._spare(event.wanted.get(account, 0), now_s)
-            for account in asked
+            account: self._spare_quanta(event.wanted.get(account, 0), now_s)
+            for account in requested
         }
         return [
-            self._grant(ask, asked, spare, now_s)
-            for _, ask in sorted(asks.items())
+            self._grant_loan(request, requested, spare, now_s)
+            for _, request in sorted(requests.items())
         ]
 
-    def _spare(self, wanted: int, now_s: float) -> int:
-        if self._is_held_back(now_s):
+    def _spare_quanta(self, wanted: int, now_s: float) -> int:
+        if self._is_restricted(now_s):
             return 0
-        kept = max(_FLOOR_QUANTA, int(wanted * _HEADROOM))
-        return max(0, BASE_QUANTA - kept)
+        kept = max(_MIN_QUANTA, int(wanted * _HEADROOM_FACTOR))
+        return max(0, QUANTA_PER_DAEMON - kept)
+
+    def _grant_loan(
+        self, request: LoanRequested, requested, spare, now_s: float
+    ) -> SendLoanGrant:
+        """Lends spare quanta in proportion to the requested quanta.
 
-    def _grant(self, ask: AskHeard, asked, spare, now_s: float) -> SendGrant:
-        """Lends a part of the spare quanta in proportion to the asks."""
+        Earlier loans to the same peer don't reduce the new loan, which
+        replaces them at the peer.
+        """
         grants = []
-        for account, wanted in ask.wants:
-            part = spare[account] * wanted // asked[account]
-            room = BASE_QUANTA - _FLOOR_QUANTA
-            room -= self._lent_quanta(account, now_s, other_than=ask.peer)
-            quanta = max(0, min(wanted, part, room))
+        for account, wanted in request.wants:
+            portion = spare[account] * wanted // requested[account]
+            max_loan = QUANTA_PER_DAEMON - _MIN_QUANTA
+            max_loan -= self._lent_quanta(
+                account, now_s, except_peer=request.peer
+            )
+            quanta = max(0, min(wanted, portion, max_loan))
             grants.append((account, quanta))
-            self._note_lent(account, ask, quanta, now_s)
-        return SendGrant(ask.peer, ask.incarnation, ask.stamp_s, tuple(grants))
+            self._record_loan(account, request, quanta, now_s)
+        return SendLoanGrant(
+            request.peer, request.incarnation, request.stamp_s, tuple(grants)
+        )
+
+    def _record_loan(
+        self, account, request: LoanRequested, quanta, now_s
+    ) -> None:
+        """Records a loan and keeps earlier ones.
 
-    def _note_lent(self, account, ask: AskHeard, quanta, now_s) -> None:
-        """Notes a loan beside earlier ones, which may still be used."""
+        The borrower uses an earlier loan until the new grant arrives.
+        """
         if not quanta:
             return
         until_s = now_s + self._term_s + self._margin_s
-        loans = self._lent.setdefault(account, {}).setdefault(ask.peer, [])
-        loans.append(_Loan(quanta, ask.stamp_s, until_s))
+        loans = self._lent.setdefault(account, {}).setdefault(request.peer, [])
+        loans.append(_Loan(quanta, request.stamp_s, until_s))
 
-    def _on_grant(self, event: GrantHeard) -> None:
-        self._note_incarnation(event.peer, event.lender_incarnation)
+    def _on_grant(self, event: LoanGranted) -> None:
+        self._record_incarnation(event.peer, event.lender_incarnation)
         is_current = (
             event.incarnation == self._incarnation
             and event.lender_incarnation == self._incarnations[event.peer]
         )
         if not is_current:
             return
-        self._confirmed.add(event.peer)
+        self._confirmed_peers.add(event.peer)
         for account, quanta in event.grants:
             loans = self._borrowed.setdefault(account, {})
-            known = loans.get(event.peer)
-            if known is not None and known.stamp_s >= event.stamp_s:
+            previous = loans.get(event.peer)
+            if previous is not None and previous.stamp_s >= event.stamp_s:
                 continue
             until_s = event.stamp_s + self._term_s
             loans[event.peer] = _Loan(quanta, event.stamp_s, until_s)
 
-    def _note_incarnation(self, peer: str, incarnation: int) -> None:
-        """Stops using what an earlier incarnation of a peer lent."""
+    def _record_incarnation(self, peer: str, incarnation: int) -> None:
+        """Records a peer's incarnation and drops loans from earlier ones."""
         if incarnation <= self._incarnations.get(peer, 0):
             return
         self._incarnations[peer] = incarnation
         for loans in self._borrowed.values():
             loans.pop(peer, None)
 
-    def _is_held_back(self, now_s: float) -> bool:
-        """Tells whether peers may use what an earlier incarnation lent."""
-        is_confirmed = len(self._confirmed) >= self._neighbours
-        return now_s < self._held_until_s and not is_confirmed
+    def _is_restricted(self, now_s: float) -> bool:
+        """Returns whether peers may use loans of an earlier incarnation.
+
+        The loans are those that this daemon lent before it restarted. Peers
+        whose responses have arrived use none.
+        """
+        is_confirmed = len(self._confirmed_peers) >= self._peer_count
+        return now_s < self._restricted_until_s and not is_confirmed
+
+    def _own_quanta(self, account: str, now_s: float) -> int:
+        if self._is_restricted(now_s):
+            return _MIN_QUANTA
+        return QUANTA_PER_DAEMON - self._lent_quanta(account, now_s)
 
-    def _own(self, account: str, now_s: float) -> int:
-        if self._is_held_back(now_s):
-            return _FLOOR_QUANTA
-        return BASE_QUANTA - self._lent_quanta(account, now_s)
+    def _lent_quanta(self, account, now_s: float, except_peer: str = "") -> int:
+        """Returns the quanta of this daemon's share that peers may use.
 
-    def _lent_quanta(self, account, now_s: float, other_than: str = "") -> int:
-        """Returns the most that peers may use of this daemon's share."""
+        Of several loans to one peer the largest counts, since the peer uses
+        one of them at a time.
+        """
         return sum(
             max((x.quanta for x in loans if now_s < x.until_s), default=0)
             for peer, loans in self._lent.get(account, {}).items()
-            if peer != other_than
+            if peer != except_peer
         )
 
     def _borrowed_quanta(self, account: str, now_s: float) -> int:
@@ -275,7 +336,7 @@
             return 0
         return sum(x.quanta for x in loans.values() if now_s < x.until_s)
 
-    def _forget_ended(self, now_s: float) -> None:
+    def _drop_ended_loans(self, now_s: float) -> None:
         for account, peers in list(self._lent.items()):
             for peer, loans in list(peers.items()):
                 peers[peer] = [x for x in loans if now_s < x.until_s]
--- a/daisyhub/balancing/__init__.py
+++ b/daisyhub/balancing/__init__.py
@@ -1,4 +1,9 @@
-"""Endpoints: what is known of them, and which one gets a request."""
+"""Endpoint state and load balancing.
+
+`EndpointTable` and a balancer serve `daisyhub.daemon`, whose daemons send to
+endpoints of their own failure domain. `EndpointDirectory` serves
+`daisyhub.platform`, whose daemons send to endpoints of all failure domains.
+"""
 
 from daisyhub.balancing._balancers import (
     LeastLoaded,
@@ -12,20 +17,20 @@
 from daisyhub.balancing._endpoint_table import (
     DRAIN_PREFIX,
     DrainOrder,
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 
 __all__ = [
+    "DRAIN_PREFIX",
+    "DrainOrder",
     "Endpoint",
     "EndpointDirectory",
     "EndpointEntry",
-    "DRAIN_PREFIX",
-    "DrainOrder",
-    "EndpointNews",
     "EndpointState",
     "EndpointTable",
+    "EndpointUpdate",
     "LeastLoaded",
     "RoundRobin",
 ]
--- a/daisyhub/config/__init__.py
+++ b/daisyhub/config/__init__.py
@@ -1,20 +1,20 @@
-"""The shared configuration document: its sections, checks and versions."""
+"""The shared configuration document: schema, validation and versions."""
 
 from daisyhub.config._acceptance import AcceptanceCore
 from daisyhub.config._acceptance_types import ChangeRequest
 from daisyhub.config._adoption import (
+    ActivateSnapshot,
     AdoptionCore,
     AdoptionTick,
     FetchFailed,
     FetchFromPeer,
     FetchParts,
-    HeadHeard,
+    HeadReceived,
     PartsFetched,
-    PeerFetched,
-    PeerHeard,
-    PutInForce,
+    PeerStateFetched,
+    PeerSummaryReceived,
     WithdrawKeys,
-    WithdrawnHeard,
+    WithdrawnKeysReceived,
 )
 from daisyhub.config._document import (
     SECTION_NAMES,
@@ -64,21 +64,21 @@
     "FetchFailed",
     "FetchFromPeer",
     "FetchParts",
-    "HeadHeard",
+    "HeadReceived",
     "LotClass",
     "MergeResult",
     "PartsError",
     "PartsFetched",
-    "PeerFetched",
-    "PeerHeard",
-    "PutInForce",
+    "PeerStateFetched",
+    "PeerSummaryReceived",
+    "ActivateSnapshot",
     "RefusedChange",
     "Route",
     "SectionRef",
     "Sections",
     "Snapshot",
     "WithdrawKeys",
-    "WithdrawnHeard",
+    "WithdrawnKeysReceived",
     "WithdrawnKey",
     "WithdrawnKeys",
     "build_snapshot",
--- a/daisyhub/controllers/_lot_specs.py
+++ b/daisyhub/controllers/_lot_specs.py
@@ -1,9 +1,10 @@
-"""Keeps what lots consist of in the platform's store.
+"""Stores the specs of lots in the platform's store.
 
-The store takes values up to a megabyte, so the prompts of a large lot are
-split over several objects. They are named after the digest of all prompts
-and written first; the spec's own object, created last, decides which of two
-openers came first.
+The store accepts values up to a megabyte, so the prompts of a large lot are
+split over several objects. They are written first. Their keys contain the
+spec's digest, so that two callers who open the same lot with different specs
+write different objects. The spec's own object is created last; the caller that
+creates it wins.
 """
 
 import contextlib
@@ -21,12 +22,13 @@
 
 __all__ = ["LotSpecStore", "split_prompts"]
 
-_PART_BYTES = 800_000
+# Leaves room below the store's limit of a megabyte.
+_MAX_PART_BYTES = 800_000
 _DIGEST_CHARACTERS = 32
 
 
 class _SpecRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """A spec as it is stored; with parts, its own prompts are empty."""
+    """A stored spec; if `parts` isn't 0, `spec.prompts` is empty."""
 
     spec: LotSpec
     digest: str
@@ -34,17 +36,17 @@
 
 
 class LotSpecStore:
-    """Creates and finds specs; specs never change.
+    """Creates and reads specs, which are immutable.
 
     Args:
-        client: The platform.
+        client: Client of the platform.
     """
 
     def __init__(self, client: PlatformClient):
         self._client = client
 
     async def find(self, lot_id: str) -> LotSpec | None:
-        """Returns a lot's spec, or None if the lot was never opened."""
+        """Returns a lot's spec; None if the lot was never opened."""
         found = await self._client.get(_spec_key(lot_id))
         if found is None:
             return None
@@ -59,7 +61,7 @@
         return msgspec.structs.replace(record.spec, prompts=tuple(prompts))
 
     async def create(self, spec: LotSpec) -> LotSpec:
-        """Stores a spec unless there is one; returns the one stored.
+        """Stores a spec unless the lot has one; returns the stored spec.
 
         Raises:
             Refusal: One prompt is too large to be stored.
@@ -71,13 +73,16 @@
             for number, part in enumerate(parts):
                 key = _part_key(spec.lot_id, digest, number)
                 await self._create(key, part, digest)
-            bare = msgspec.structs.replace(spec, prompts=())
-            record = _SpecRecord(spec=bare, digest=digest, parts=len(parts))
+            spec_without_prompts = msgspec.structs.replace(spec, prompts=())
+            record = _SpecRecord(
+                spec=spec_without_prompts, digest=digest, parts=len(parts)
+            )
         key = _spec_key(spec.lot_id)
         await self._create(key, msgspec.to_builtins(record), digest)
         return await self.find(spec.lot_id)
 
     async def _create(self, key: str, value: object, digest: str) -> None:
+        """Creates an object; does nothing if there is one."""
         with contextlib.suppress(PlatformConflictError):
             await self._client.put(
                 key, value, expected_version=0, write_id=digest
@@ -85,7 +90,7 @@
 
 
 def split_prompts(prompts: tuple[str, ...]) -> list[list[str]]:
-    """Splits prompts so that each part fits an object of the store.
+    """Splits prompts into parts that each fit into one stored object.
 
     Raises:
         Refusal: One prompt is too large to be stored.
@@ -93,13 +98,14 @@
     parts: list[list[str]] = [[]]
     size = 0
     for prompt in prompts:
+        # The comma that separates prompts is included.
         length = len(msgspec.json.encode(prompt)) + 1
-        if length > _PART_BYTES:
+        if length > _MAX_PART_BYTES:
             raise Refusal(
                 ErrorCode.BODY_TOO_LARGE,
-                f"a prompt has {length} bytes, {_PART_BYTES} are allowed",
+                f"a prompt has {length} bytes, the limit is {_MAX_PART_BYTES}",
             )
-        if size + length > _PART_BYTES:
+        if size + length > _MAX_PART_BYTES:
             parts.append([])
             size = 0
         parts[-1].append(prompt)
--- a/daisyhub/controllers/tests/test_orders_processes.py
+++ b/daisyhub/controllers/tests/test_orders_processes.py
@@ -1,4 +1,8 @@
-"""Endpoint orders on real processes: take-over, freeze, platform outage."""
+"""Tests of endpoint orders on real processes.
+
+Each test guards against endpoints that are ordered twice: by a holder that is
+frozen or replaced, or after a response of the platform was lost.
+"""
 
 import signal
 import unittest
@@ -13,6 +17,7 @@
 
 
 def ordering_document():
+    """Returns a configuration that needs one more engine than there are."""
     document = demo_document(DemoKeys.make())
     document["endpoint_pools"]["model"] |= {
         "orders": "automatic",
@@ -37,7 +42,7 @@
             for process in deployment.daemons():
                 if process.popen.poll() is not None:
                     continue
-                caller = Caller(process.operators)
+                caller = Caller(process.operators_address)
                 status = await caller.json("GET", "/status")
                 await caller.aclose()
                 if status["orders"]["fencing"]:
@@ -54,6 +59,7 @@
 
 class OrderProcessTest(unittest.TestCase):
     def run_with_deployment(self, scenario):
+        # Two daemons, two engines and one service.
         deployment = Deployment(("busan",), 2, 2, 1)
         self.addCleanup(deployment.stop)
 
@@ -63,7 +69,7 @@
 
         anyio.run(run)
 
-    def test_a_frozen_holder_never_makes_the_pool_exceed_its_need(self):
+    def test_a_frozen_holder_causes_no_excess_order(self):
         async def scenario(deployment):
             await deployment.apply(ordering_document())
             frozen = await holder_of(deployment)
@@ -73,6 +79,7 @@
             await deployment.wait_for_status(
                 lambda status: status["orders"]["holder"]
             )
+            # Longer than the tick interval of `OrderController`, 2 s.
             await anyio.sleep(3.0)
             after = await orders_of(deployment)
             self.assertEqual(len(after), 1, after)
@@ -88,12 +95,13 @@
             holder.send_signal(signal.SIGKILL)
             holder.wait()
             await holder_of(deployment)
+            # Longer than the tick interval of `OrderController`, 2 s.
             await anyio.sleep(3.0)
             self.assertEqual(len(await orders_of(deployment)), 1)
 
         self.run_with_deployment(scenario)
 
-    def test_lost_answers_of_the_platform_lead_to_no_second_endpoint(self):
+    def test_lost_platform_responses_cause_no_second_order(self):
         async def scenario(deployment):
             caller = Caller(deployment.platform.address)
             for path in ("/objects/orders", "/domains/busan/orders"):
@@ -102,6 +110,7 @@
                 await caller.send("POST", "/faults", {**fault, "count": 2})
             await deployment.apply(ordering_document())
             await wait_for_orders(deployment, 1)
+            # Longer than two tick intervals of `OrderController`, 2 s each.
             await anyio.sleep(5.0)
             self.assertEqual(len(await orders_of(deployment)), 1)
             await caller.aclose()
--- a/daisyhub/daemon.py
+++ b/daisyhub/daemon.py
@@ -1,4 +1,7 @@
-"""The daemon: builds the parts, runs them, and shuts down gracefully."""
+"""The daemon `daisyhubd`: builds its components, runs them, shuts them down.
+
+`daisyhub.platform` has the daemon that runs on the users' platform.
+"""
 
 import signal
 import sys
@@ -16,13 +19,13 @@
     ConfigController,
     EndpointController,
     LotController,
-    NewsController,
     OrderController,
     PeerController,
     UsageController,
+    WatchController,
     WeightController,
 )
-from daisyhub.controllers._lot_seat import SeatTools
+from daisyhub.controllers._lot_server import LotServerDependencies
 from daisyhub.exceptions import DocumentError
 from daisyhub.filters import (
     AccountFilter,
@@ -37,16 +40,16 @@
     RouteFilter,
     ValidateFilter,
     build_chain,
-    places_for,
+    compute_concurrency_limit,
 )
-from daisyhub.hosting import LeaseKeeper, PlatformClient, rank_candidates
+from daisyhub.hosting import LeaseFactory, PlatformClient, rank_candidates
 from daisyhub.identity import KeyTable
 from daisyhub.logs import get_logger, set_up_logs
 from daisyhub.metrics import Metrics
 from daisyhub.peers import (
-    ConfigFetch,
-    EndpointFetch,
-    LotCall,
+    ConfigRequest,
+    EndpointsRequest,
+    LotCallRequest,
     PeerNetwork,
 )
 from daisyhub.process_flags import SETTINGS
@@ -55,9 +58,10 @@
 
 __all__ = ["Daemon", "main"]
 
-_US_PER_NS = 1000
-_CONTROLLER_PAUSE_S = 1.0
-_CANDIDATES = 2
+_NS_PER_US = 1000
+_CONTROLLER_RESTART_DELAY_S = 1.0
+# Number of live daemons of a failure domain that try to acquire a duty.
+_CANDIDATE_COUNT = 2
 EXIT_OK = 0
 EXIT_SETTINGS = 2
 
@@ -65,15 +69,19 @@
 
 
 class Daemon:
-    """One `daisyhubd`.
+    """One daemon process.
 
     Args:
-        cfg: Its settings.
+        cfg: Settings of the process.
+
+    Attributes:
+        incarnation: Start time in microseconds since the Unix epoch, so that
+            it is higher after a restart.
     """
 
     def __init__(self, cfg: DaemonSettings):
         self.cfg = cfg
-        self.incarnation = time.time_ns() // _US_PER_NS
+        self.incarnation = time.time_ns() // _NS_PER_US
         self.metrics = Metrics()
         self.keys = KeyTable(cfg.key_hash_secret)
         self.table = EndpointTable()
@@ -84,7 +92,7 @@
 
     @property
     def process_id(self) -> str:
-        """Unique for this start of this daemon."""
+        """Id of this process, `daemon id/incarnation`; unique per start."""
         return f"{self.cfg.daemon_id}/{self.incarnation}"
 
     def _build_clients(self) -> None:
@@ -96,7 +104,9 @@
         self.platform = PlatformClient(
             self.cfg.platform_address, self.http, timing.platform_timeout_s
         )
-        self.keeper = LeaseKeeper(self.platform, self.process_id, timing)
+        self.lease_factory = LeaseFactory(
+            self.platform, self.process_id, timing
+        )
         self.network = PeerNetwork(self.cfg, self.incarnation)
         self.counters = UsageCounters(
             self.cfg.daemon_id, self.incarnation, timing.usage_window_s
@@ -123,8 +133,8 @@
             self.counters,
             self.shares,
         )
-        self.table.add_listener(self.peers.add_news)
-        self.keeper.set_candidate_rule(self._is_candidate)
+        self.table.add_listener(self.peers.add_update)
+        self.lease_factory.set_candidate_rule(self._is_candidate)
         self.endpoints = EndpointController(
             cfg,
             self.platform,
@@ -134,44 +144,50 @@
             self.network,
         )
         self.weights = WeightController(
-            cfg, self.keeper, self.http, self.table, self.config
+            cfg, self.lease_factory, self.http, self.table, self.config
         )
         self.orders = OrderController(
-            cfg, self.platform, self.keeper, self.table, self.config
+            cfg, self.platform, self.lease_factory, self.table, self.config
         )
         self.usage = UsageController(
             cfg,
             self.platform,
-            self.keeper,
+            self.lease_factory,
             self.counters,
             self.peers,
             self.metrics,
         )
-        self.lots = LotController(self._seat_tools(), self.network)
+        self.lots = LotController(self._lot_server_dependencies(), self.network)
         self.claims = ClaimController(self.platform)
-        self.news = NewsController(self.platform, cfg.timing)
-        self.news.add_listener("news/keys", self.config.on_withdrawn)
-        self.news.add_listener("news/config", self.config.on_head)
-        self.news.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
-        self.news.add_listener("news/weights/", self.weights.on_weights)
+        self.watch = WatchController(self.platform, cfg.timing)
+        self.watch.add_listener("news/keys", self.config.on_withdrawn)
+        self.watch.add_listener("news/config", self.config.on_head)
+        self.watch.add_listener(DRAIN_PREFIX, self.endpoints.on_drain)
+        self.watch.add_listener("news/weights/", self.weights.on_weights)
         self.config.add_listener(self.peers.wake)
         self.network.add_receiver(self.peers.receive)
-        self.network.add_callee(ConfigFetch, self.config.answer_fetch)
-        self.network.add_callee(EndpointFetch, self.endpoints.answer_fetch)
-        self.network.add_callee(LotCall, self.lots.answer_call)
+        self.network.add_request_handler(
+            ConfigRequest, self.config.handle_fetch_request
+        )
+        self.network.add_request_handler(
+            EndpointsRequest, self.endpoints.handle_fetch_request
+        )
+        self.network.add_request_handler(
+            LotCallRequest, self.lots.handle_forwarded_call
+        )
 
     def _is_candidate(self, duty: str) -> bool:
-        """Whether this daemon is among the first for a duty of its domain."""
-        domain = {peer.daemon_id for peer in self.cfg.domain_peers}
-        live = domain.intersection(self.peers.live_peers())
-        ranked = rank_candidates(duty, [self.cfg.daemon_id, *live])
-        return self.cfg.daemon_id in ranked[:_CANDIDATES]
-
-    def _seat_tools(self) -> SeatTools:
-        return SeatTools(
+        """Whether this daemon should try to acquire a duty of its domain."""
+        domain_ids = {peer.daemon_id for peer in self.cfg.domain_peers}
+        live_ids = domain_ids.intersection(self.peers.live_peers())
+        ranked = rank_candidates(duty, [self.cfg.daemon_id, *live_ids])
+        return self.cfg.daemon_id in ranked[:_CANDIDATE_COUNT]
+
+    def _lot_server_dependencies(self) -> LotServerDependencies:
+        return LotServerDependencies(
             cfg=self.cfg,
             client=self.platform,
-            keeper=self.keeper,
+            lease_factory=self.lease_factory,
             http=self.http,
             table=self.table,
             balancer=LeastLoaded(self.incarnation),
@@ -182,9 +198,9 @@
 
     @property
     def controllers(self) -> tuple[Controller, ...]:
-        """All controllers."""
+        """All controllers, in the order in which they are started."""
         return (
-            self.news,
+            self.watch,
             self.config,
             self.peers,
             self.endpoints,
@@ -205,7 +221,7 @@
                 AdmissionCore(self.cfg.limits.concurrent_requests),
                 lambda: self.config.document,
                 self.shares,
-                self._places,
+                self._get_concurrency_limit,
             ),
             LotsFilter(self.lots.serve),
             IdempotencyFilter(self.claims),
@@ -219,11 +235,11 @@
             ),
         )
 
-    def _places(self) -> int:
-        """Returns how many requests to have in service, by capacity."""
+    def _get_concurrency_limit(self) -> int:
+        """Returns the maximum number of requests in service."""
         routes = self.config.document.routes.values()
-        return places_for(
-            self.table.told_capacity({route.pool for route in routes}),
+        return compute_concurrency_limit(
+            self.table.reported_capacity({route.pool for route in routes}),
             1 + len(self.peers.live_peers()),
             self.cfg.limits.concurrent_requests,
         )
@@ -245,19 +261,22 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether new requests should come here."""
+        """Whether callers should send new requests to this daemon."""
         return self.config.version > 0 and not self._is_draining
 
     def status(self) -> dict[str, object]:
-        """Returns the state of every part in plain JSON values."""
-        parts = {part.name: part.status() for part in self.controllers}
+        """Returns the state of the daemon and its controllers for operators."""
+        status_by_controller = {
+            controller.name: controller.status()
+            for controller in self.controllers
+        }
         return {
             "daemon_id": self.cfg.daemon_id,
             "failure_domain": self.cfg.failure_domain,
             "incarnation": self.incarnation,
             "is_ready": self.is_ready(),
             "open_requests": self.callers_app.open_requests,
-            **parts,
+            **status_by_controller,
         }
 
     async def run(self) -> None:
@@ -265,11 +284,12 @@
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.network.run)
             for controller in self.controllers:
-                tasks.start_soon(self._keep_running, controller)
+                tasks.start_soon(self._run_controller, controller)
             tasks.start_soon(self.callers_server.run_until_stopped)
             tasks.start_soon(self.operators_server.run_until_stopped)
             log.info("{} listens on {}", self.process_id, self._address)
-            # Open until the end: without it, a further signal would kill.
+            # Stays open during the shutdown, so that a further signal doesn't
+            # terminate the process.
             with anyio.open_signal_receiver(
                 signal.SIGTERM, signal.SIGINT
             ) as signals:
@@ -280,28 +300,39 @@
         await self.http.aclose()
         self.network.close()
 
-    async def _keep_running(self, controller: Controller) -> None:
-        """Runs a controller; one that fails is started anew.
+    async def _run_controller(self, controller: Controller) -> None:
+        """Runs a controller and restarts it after a failure.
 
-        A fault in one part must not end the serving of requests.
+        An error in one controller must not stop the daemon from serving
+        requests.
         """
         while True:
             try:
                 await controller.run()
             except Exception:
-                log.exception("the controller {} failed", controller.name)
+                log.exception(
+                    "controller {} failed, restarting it", controller.name
+                )
                 self.metrics.count("controller_failures", part=controller.name)
             else:
                 return
-            await anyio.sleep(_CONTROLLER_PAUSE_S)
+            await anyio.sleep(_CONTROLLER_RESTART_DELAY_S)
 
     @property
     def _address(self) -> str:
         return str(self.cfg.callers_address)
 
     async def _shut_down(self) -> None:
-        """Drains: not ready, no new connections, hand over, flush."""
-        log.info("shutting down, {} open", self.callers_app.open_requests)
+        """Shuts down gracefully.
+
+        Reports the daemon as not ready, waits for callers to notice, releases
+        the lots, closes the callers' listener, waits for open requests and
+        connections, then writes the remaining state and releases the duties.
+        """
+        log.info(
+            "shutting down, {} requests are open",
+            self.callers_app.open_requests,
+        )
         self._is_draining = True
         self.callers_app.is_draining = True
         self.peers.set_leaving()
@@ -323,7 +354,7 @@
 
 _USAGE = """usage: daisyhubd --settings=FILE
 
-Serves callers and trainers until SIGTERM or SIGINT, then drains and ends.
+Serves callers and trainers until SIGTERM or SIGINT, then drains and exits.
 
 flags:
   --settings=FILE  settings of this process, JSON with comments; every field
@@ -331,7 +362,8 @@
 
 exit codes:
   0  ended after a graceful shutdown
-  2  wrong words or wrong settings; every fault is printed with its line
+  2  invalid arguments or settings; all errors in the settings are printed
+     with their lines
 """
 
 
@@ -350,7 +382,8 @@
 
 
 def main() -> None:
-    """Runs the daemon; exits with 0, or 2 if the settings are wrong."""
+    """Runs the daemon; exits with 0, or 2 for invalid arguments or settings."""
+    # absl prints the docstring of the main module for `--help`.
     sys.modules["__main__"].__doc__ = _USAGE
     app.run(_run)
 
--- a/daisyhub/duties/__init__.py
+++ b/daisyhub/duties/__init__.py
@@ -1,13 +1,17 @@
-"""Duties that one daemon at a time has, with a number that rises."""
+"""Duties: tasks that one daemon at a time holds, with fencing numbers.
+
+Used by the daemons of `daisyhub.platform`; those of `daisyhub.daemon` use the
+leases of `daisyhub.hosting` for this.
+"""
 
 from daisyhub.duties._controller import DutyController, choose_candidate
 from daisyhub.duties._core import (
     DutyCallFailed,
     DutyCore,
-    DutyDeposed,
-    DutyFound,
     DutyRecord,
+    DutyRecordReceived,
     DutyTick,
+    FencingRejected,
     ReadDuty,
     WriteDuty,
 )
@@ -16,10 +20,10 @@
     "DutyCallFailed",
     "DutyController",
     "DutyCore",
-    "DutyDeposed",
-    "DutyFound",
     "DutyRecord",
+    "DutyRecordReceived",
     "DutyTick",
+    "FencingRejected",
     "ReadDuty",
     "WriteDuty",
     "choose_candidate",
--- a/daisyhub/filters/_attempts.py
+++ b/daisyhub/filters/_attempts.py
@@ -1,4 +1,4 @@
-"""Carries out what the forward core decides, side by side if it hedges."""
+"""Executes the attempts of the forward core, concurrently if it hedges."""
 
 import dataclasses
 import time
@@ -6,65 +6,78 @@
 
 import anyio
 
-from daisyhub.connections import HttpAnswer, StreamedAnswer
+from daisyhub.connections import HttpResponse, StreamedResponse
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
-    Begin,
-    Deliver,
+    DeliverResponse,
+    FailRequest,
     ForwardCore,
+    ForwardStarted,
     ForwardTick,
-    GiveUp,
     StartAttempt,
 )
 
-__all__ = ["Outcome", "run_attempts"]
+__all__ = ["AttemptOutcome", "run_attempts"]
 
-_MOST_WAITING = 4
+# Outcomes of concurrent attempts that are buffered until the core handles them.
+_OUTCOME_BUFFER_SIZE = 4
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Outcome:
-    """What an attempt brought: an event for the core, and the answer."""
+class AttemptOutcome:
+    """The result of one attempt.
 
-    event: AttemptAnswered | AttemptFailed
-    answer: HttpAnswer | StreamedAnswer | None = None
+    Attributes:
+        event: The event for the core.
+        response: The response of the endpoint; None if the attempt failed.
+    """
+
+    event: AttemptCompleted | AttemptFailed
+    response: HttpResponse | StreamedResponse | None = None
 
 
-Attempt = Callable[[StartAttempt], Awaitable[Outcome]]
+AttemptSender = Callable[[StartAttempt], Awaitable[AttemptOutcome]]
 
 
-async def run_attempts(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
-    """Runs attempts until one is delivered or the core gives up.
+async def run_attempts(
+    core: ForwardCore, send_attempt: AttemptSender
+) -> AttemptOutcome | FailRequest:
+    """Runs attempts until the core delivers a response or fails the request.
 
     Args:
-        core: Decides about one request.
-        attempt: Sends the request to one endpoint.
+        core: The forward core of one request.
+        send_attempt: Sends the request to one endpoint. It must return by the
+            plan's deadline, since the core gets ticks only if it hedges.
 
     Returns:
-        The outcome whose answer is to be delivered, or the refusal.
+        The outcome with the response to deliver, or the core's `FailRequest`.
     """
     if core.plan.hedge_after_s > 0:
-        return await _run_hedged(core, attempt)
+        return await _run_hedged(core, send_attempt)
     outcome = None
-    actions = core.handle(Begin(), time.monotonic())
+    actions = core.handle(ForwardStarted(), time.monotonic())
     while isinstance(actions[0], StartAttempt):
-        outcome = await attempt(actions[0])
+        outcome = await send_attempt(actions[0])
         actions = core.handle(outcome.event, time.monotonic())
-    return actions[0] if isinstance(actions[0], GiveUp) else outcome
+    return actions[0] if isinstance(actions[0], FailRequest) else outcome
 
 
-async def _run_hedged(core: ForwardCore, attempt: Attempt) -> Outcome | GiveUp:
-    """Runs attempts side by side; the first whole answer wins."""
-    outcomes: dict[int, Outcome] = {}
-    send, receive = anyio.create_memory_object_stream[Outcome](_MOST_WAITING)
+async def _run_hedged(
+    core: ForwardCore, send_attempt: AttemptSender
+) -> AttemptOutcome | FailRequest:
+    """Runs attempts concurrently; delivers the first complete response."""
+    outcomes: dict[int, AttemptOutcome] = {}
+    send, receive = anyio.create_memory_object_stream[AttemptOutcome](
+        _OUTCOME_BUFFER_SIZE
+    )
     final = None
 
     async def run(action: StartAttempt) -> None:
-        await send.send(await attempt(action))
+        await send.send(await send_attempt(action))
 
     async with anyio.create_task_group() as tasks:
-        actions = core.handle(Begin(), time.monotonic())
+        actions = core.handle(ForwardStarted(), time.monotonic())
         while final is None:
             for action in actions:
                 if isinstance(action, StartAttempt):
@@ -73,15 +86,18 @@
                     final = action
             if final is not None:
                 break
-            event = await _next_event(core, receive, outcomes)
+            event = await _wait_for_event(core, receive, outcomes)
             actions = core.handle(event, time.monotonic())
         tasks.cancel_scope.cancel()
     send.close()
     receive.close()
-    return outcomes[final.attempt] if isinstance(final, Deliver) else final
+    return (
+        outcomes[final.attempt] if isinstance(final, DeliverResponse) else final
+    )
 
 
-async def _next_event(core, receive, outcomes) -> object:
+async def _wait_for_event(core, receive, outcomes) -> object:
+    """Returns the next outcome's event, or a tick at the core's wake-up."""
     wakeup_s = core.next_wakeup_s
     wait_s = None
     if wakeup_s is not None:
--- a/daisyhub/filters/_forward.py
+++ b/daisyhub/filters/_forward.py
@@ -1,59 +1,65 @@
-"""Sends a request to an endpoint as the forward core decides."""
+"""Sends requests to endpoints by decision of the forward core."""
 
 import time
 
 import anyio
 
 from daisyhub.balancing import (
-    EndpointNews,
     EndpointState,
     EndpointTable,
+    EndpointUpdate,
 )
 from daisyhub.base import Balancer, Filter, Handler
 from daisyhub.config import Route
 from daisyhub.connections import (
-    AnswerStream,
-    HttpAnswer,
     HttpClient,
+    HttpResponse,
     RequestFailedError,
-    StreamedAnswer,
+    ResponseStream,
+    StreamedResponse,
 )
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
-from daisyhub.filters._attempts import Outcome, run_attempts
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
+from daisyhub.filters._attempts import AttemptOutcome, run_attempts
 from daisyhub.filters._forward_core import (
-    AttemptAnswered,
+    AttemptCompleted,
     AttemptFailed,
+    FailRequest,
     ForwardCore,
     ForwardPlan,
-    GiveUp,
     RetryBudget,
     StartAttempt,
 )
-from daisyhub.filters._passed_headers import ANSWER_HEADERS, REQUEST_HEADERS
+from daisyhub.filters._forwarded_headers import (
+    REQUEST_HEADERS,
+    RESPONSE_HEADERS,
+)
 from daisyhub.messages import Header, Request, Response
 from daisyhub.metrics import Metrics
 from daisyhub.settings import LimitSettings
 
-__all__ = ["ForwardFilter", "news_from_headers"]
+__all__ = ["ForwardFilter", "parse_endpoint_headers"]
 
+# Header of an endpoint's response to a request that it did not run.
 _NOT_RUN_HEADER = (b"endpoint-ran", b"no")
 _DETAILS = {
-    ErrorCode.DEADLINE_EXCEEDED: "the deadline passed before it was sent",
+    ErrorCode.DEADLINE_EXCEEDED: (
+        "the deadline passed before the request was sent"
+    ),
     ErrorCode.NO_ENDPOINT: "no endpoint is live",
     ErrorCode.ENDPOINT_FAILED: "the endpoint failed",
-    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not answer in time",
-    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's answer was not whole",
+    ErrorCode.ENDPOINT_TIMEOUT: "the endpoint did not respond in time",
+    ErrorCode.ANSWER_INCOMPLETE: "the endpoint's response was incomplete",
 }
 
 
 class ForwardFilter(Filter):
-    """The end of the chain.
+    """Forwards requests with a route; the last filter of the chain.
 
     Args:
         table: Endpoints of this failure domain.
-        balancer: Chooses among them.
-        client: Sends requests.
-        limits: Bounds on answers.
+        balancer: Chooses an endpoint among the candidates.
+        client: Sends requests to endpoints.
+        limits: Maximum sizes of responses.
         metrics: Counts attempts.
     """
 
@@ -75,7 +81,11 @@
         self._budget = RetryBudget()
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Sends the request; `call_next` serves requests without a route."""
+        """Forwards the request; passes requests without a route on.
+
+        Raises:
+            Refusal: No endpoint returned a complete response in time.
+        """
         if req.route is None:
             return await call_next(req)
         plan = ForwardPlan(
@@ -83,15 +93,15 @@
             deadline_s=req.deadline_s,
             hedge_after_s=_hedge_after_s(req),
         )
-        core = ForwardCore(plan, self._chooser(req.route), self._budget)
+        core = ForwardCore(plan, self._make_chooser(req.route), self._budget)
         outcome = await run_attempts(
             core, lambda action: self._attempt(req, action)
         )
-        if isinstance(outcome, GiveUp):
-            raise _refusal(outcome)
-        return _response(outcome.answer)
+        if isinstance(outcome, FailRequest):
+            raise _make_refusal(outcome)
+        return _make_response(outcome.response)
 
-    def _chooser(self, route: Route):
+    def _make_chooser(self, route: Route):
         def choose(excluded: frozenset[str]) -> str | None:
             now_s = time.monotonic()
             states = self._table.candidates(route.pool, now_s, excluded)
@@ -99,42 +109,48 @@
 
         return choose
 
-    async def _attempt(self, req: Request, action: StartAttempt) -> Outcome:
-        """Sends the request to one endpoint and takes its news."""
+    async def _attempt(
+        self, req: Request, action: StartAttempt
+    ) -> AttemptOutcome:
+        """Sends the request to one endpoint and applies its reported state."""
         state = self._table.get(action.endpoint_id)
         if state is None:
-            return _failed(action, Ran.NOT_RUN)
-        self._table.note_sent(state.endpoint_id)
+            return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
+        self._table.record_sent(state.endpoint_id)
         self._metrics.count("attempts", pool=state.pool)
         failed = True
         try:
-            answer = await self._send(req, state, fresh=action.fresh)
+            response = await self._send(req, state, fresh=action.fresh)
             failed = False
         except RequestFailedError as exc:
-            self._client.forget(state.address)
-            return _failed(
+            self._client.drop_idle_connections(state.address)
+            return _make_failed_outcome(
                 action,
                 exc.ran,
                 timed_out=exc.timed_out,
-                incomplete=exc.ran is Ran.RAN,
+                # RAN means that the head of the response was received.
+                incomplete=exc.ran is ExecutionStatus.RAN,
             )
         except anyio.get_cancelled_exc_class():
+            # A cancellation does not count as a failure of the endpoint.
             failed = False
             raise
         finally:
-            self._table.note_done(
+            self._table.record_done(
                 state.endpoint_id, failed=failed, now_s=time.monotonic()
             )
-        self._table.adopt_news(news_from_headers(state, answer.headers))
-        if _NOT_RUN_HEADER in answer.headers:
-            if isinstance(answer, StreamedAnswer):
-                await answer.aclose()
-            return _failed(action, Ran.NOT_RUN)
-        return Outcome(AttemptAnswered(action.attempt), answer)
+        self._table.apply_update(
+            parse_endpoint_headers(state, response.headers)
+        )
+        if _NOT_RUN_HEADER in response.headers:
+            if isinstance(response, StreamedResponse):
+                await response.aclose()
+            return _make_failed_outcome(action, ExecutionStatus.NOT_RUN)
+        return AttemptOutcome(AttemptCompleted(action.attempt), response)
 
     async def _send(
         self, req: Request, state: EndpointState, *, fresh: bool
-    ) -> HttpAnswer | StreamedAnswer:
+    ) -> HttpResponse | StreamedResponse:
         target = f"{req.path}?{req.query}" if req.query else req.path
         timeout_s = max(0.0, req.deadline_s - time.monotonic())
         if req.route.answer == "stream":
@@ -154,26 +170,29 @@
             headers=_endpoint_headers(req),
             body=req.body,
             timeout_s=timeout_s,
-            answer_bytes=self._limits.answer_bytes,
+            max_body_bytes=self._limits.answer_bytes,
             fresh=fresh,
         )
 
 
 def _hedge_after_s(req: Request) -> float:
-    """Only whole answers to idempotent requests are hedged."""
+    """Returns the hedging delay in seconds; 0 for no hedging.
+
+    Only idempotent requests whose response is not streamed are hedged.
+    """
     if not req.route.idempotent or req.route.answer == "stream":
         return 0.0
     return req.route.hedge_after_s
 
 
-def _failed(
+def _make_failed_outcome(
     action: StartAttempt,
-    ran: Ran,
+    ran: ExecutionStatus,
     *,
     timed_out: bool = False,
     incomplete: bool = False,
-) -> Outcome:
-    return Outcome(
+) -> AttemptOutcome:
+    return AttemptOutcome(
         AttemptFailed(
             attempt=action.attempt,
             ran=ran,
@@ -183,7 +202,7 @@
     )
 
 
-def _refusal(action: GiveUp) -> Refusal:
+def _make_refusal(action: FailRequest) -> Refusal:
     return Refusal(
         action.error,
         _DETAILS[action.error],
@@ -193,7 +212,7 @@
 
 
 def _endpoint_headers(req: Request) -> tuple[Header, ...]:
-    """Returns the allowed headers; a caller's key is never among them."""
+    """Returns the headers to send; the caller's key is never among them."""
     headers = [item for item in req.headers if item[0] in REQUEST_HEADERS]
     headers.append((b"daisyhub-request-id", req.request_id.encode()))
     if req.account:
@@ -201,39 +220,50 @@
     return tuple(headers)
 
 
-def _response(answer: HttpAnswer | StreamedAnswer) -> Response:
+def _make_response(response: HttpResponse | StreamedResponse) -> Response:
     headers = tuple(
-        item for item in answer.headers if item[0] in ANSWER_HEADERS
+        item for item in response.headers if item[0] in RESPONSE_HEADERS
     )
-    tokens = _int_header(answer.headers, b"endpoint-tokens", 0)
-    if isinstance(answer, StreamedAnswer):
+    tokens = _parse_int_header(response.headers, b"endpoint-tokens", 0)
+    if isinstance(response, StreamedResponse):
         return Response(
-            status=answer.status,
+            status=response.status,
             headers=headers,
-            stream=AnswerStream(answer),
+            stream=ResponseStream(response),
             tokens=tokens,
         )
     return Response(
-        status=answer.status, headers=headers, body=answer.body, tokens=tokens
+        status=response.status,
+        headers=headers,
+        body=response.body,
+        tokens=tokens,
     )
 
 
-def _int_header(headers: tuple[Header, ...], name: bytes, default: int) -> int:
+def _parse_int_header(
+    headers: tuple[Header, ...], name: bytes, default: int
+) -> int:
+    """Returns the value of a header; `default` if absent or not a number."""
     for key, value in headers:
         if key == name and value.isdigit():
             return int(value)
     return default
 
 
-def news_from_headers(
+def parse_endpoint_headers(
     state: EndpointState, headers: tuple[Header, ...]
-) -> EndpointNews:
-    """Reads the news that an endpoint's answer carries in its headers."""
-    return EndpointNews(
+) -> EndpointUpdate:
+    """Returns the state that an endpoint reports in response headers.
+
+    Values that are absent or not a number count as not reported.
+    """
+    return EndpointUpdate(
         endpoint_id=state.endpoint_id,
         incarnation=state.incarnation,
         is_leaving=(b"endpoint-state", b"leaving") in headers,
-        load=_int_header(headers, b"endpoint-load", -1),
-        weight_version=_int_header(headers, b"endpoint-weight-version", -1),
-        capacity=_int_header(headers, b"endpoint-capacity", 0),
+        load=_parse_int_header(headers, b"endpoint-load", -1),
+        weight_version=_parse_int_header(
+            headers, b"endpoint-weight-version", -1
+        ),
+        capacity=_parse_int_header(headers, b"endpoint-capacity", 0),
     )
--- a/daisyhub/filters/_lots.py
+++ b/daisyhub/filters/_lots.py
@@ -1,4 +1,4 @@
-"""Serves trainers' calls about lots."""
+"""Serves trainer calls on lots."""
 
 import math
 import re
@@ -7,7 +7,7 @@
 from daisyhub.base import Filter, Handler
 from daisyhub.exceptions import ErrorCode, Refusal
 from daisyhub.messages import Request, Response
-from daisyhub.peers import LotAnswer, LotCall
+from daisyhub.peers import LotCallRequest, LotCallResponse
 
 __all__ = ["LotsFilter"]
 
@@ -18,37 +18,48 @@
 
 
 class LotsFilter(Filter):
-    """Turns `POST /v1/lots/...` into a `LotCall`.
+    """Converts `POST /v1/lots/...` requests to lot calls and serves them.
 
     Args:
-        serve: Serves the call here or at the daemon that holds the lot.
+        serve: Serves the call locally or at the daemon that holds the lot.
     """
 
     name = "lots"
 
-    def __init__(self, serve: Callable[[LotCall], Awaitable[LotAnswer]]):
+    def __init__(
+        self, serve: Callable[[LotCallRequest], Awaitable[LotCallResponse]]
+    ):
         self._serve = serve
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Serves lot calls; passes all else on."""
+        """Serves a lot call; passes requests that have a route on.
+
+        Raises:
+            Refusal: The path is not that of a lot call, or the method is not
+                POST.
+        """
         if req.route is not None:
             return await call_next(req)
         match = _LOT_PATH.fullmatch(req.path)
         if match is None:
-            raise Refusal(ErrorCode.ROUTE_UNKNOWN, "not a path of a lot")
+            raise Refusal(
+                ErrorCode.ROUTE_UNKNOWN, "the path is not that of a lot call"
+            )
         if req.method != "POST":
-            raise Refusal(ErrorCode.METHOD_NOT_ALLOWED, "lots take POST only")
-        call = LotCall(
+            raise Refusal(
+                ErrorCode.METHOD_NOT_ALLOWED, "lot calls allow only POST"
+            )
+        call = LotCallRequest(
             lot_id=match.group(1),
             verb=match.group(2) or "open",
             account=req.account,
             body=req.body,
         )
-        answer = await self._serve(call)
+        response = await self._serve(call)
         headers = [_JSON]
-        if answer.retry_after_s is not None:
-            seconds = max(1, math.ceil(answer.retry_after_s))
+        if response.retry_after_s is not None:
+            seconds = max(1, math.ceil(response.retry_after_s))
             headers.append((b"retry-after", str(seconds).encode()))
         return Response(
-            status=answer.status, headers=tuple(headers), body=answer.body
+            status=response.status, headers=tuple(headers), body=response.body
         )
--- a/daisyhub/filters/tests/test_admit.py
+++ b/daisyhub/filters/tests/test_admit.py
@@ -1,4 +1,4 @@
-"""The shells around admission and counting: deadlines and streams."""
+"""Admission and usage filters: deadlines and streams."""
 
 import time
 import unittest
@@ -34,6 +34,8 @@
 
 
 class AdmitTest(unittest.TestCase):
+    """Requests of one account, of which one at a time is in service."""
+
     def setUp(self):
         self.core = AdmissionCore(1)
         shares = RateShares(ShareCore(1, 1, 6.0, 1.0, 0.0), 0.0)
@@ -50,33 +52,39 @@
 
         return await self.admit.handle(req, count)
 
-    def test_a_deadline_that_passes_in_the_queue_is_answered_then(self):
+    def test_a_queued_request_is_refused_at_its_deadline(self):
         async def scenario():
-            held = await self.serve(request(1))
+            first = await self.serve(request(1))
             with self.assertRaises(Refusal) as caught:
                 await self.serve(request(2, patience_s=0.2))
             self.assertEqual(caught.exception.error, ErrorCode.OVERLOADED)
             self.assertGreater(caught.exception.retry_after_s, 0)
-            self.assertEqual(self.core.waiting, 0)
-            await held.stream.aclose()
+            self.assertEqual(self.core.waiting_count, 0)
+            await first.stream.aclose()
 
         anyio.run(scenario)
 
-    def test_a_stream_holds_its_place_and_counts_at_its_end(self):
+    def test_a_stream_is_in_service_and_uncounted_until_its_end(self):
         async def scenario():
             first = await self.serve(request(1))
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(self.serve, request(2))
-                while not self.core.waiting:
+                while not self.core.waiting_count:
                     await anyio.sleep(0)
                 self.assertEqual(self.counters.unkept_requests, 0)
                 self.assertEqual([c async for c in first.stream][-1], b"two")
-            self.assertEqual(self.core.waiting, 0)
+            self.assertEqual(self.core.waiting_count, 0)
             self.assertEqual(self.counters.unkept_requests, 1)
 
         anyio.run(scenario)
 
-    def test_a_stream_that_is_never_read_or_cut_gives_its_place_back(self):
+    def test_a_stream_closed_before_its_end_departs(self):
+        """A stream closed unread or half read must free its slot.
+
+        The limit is one request, so that the next request would wait for the
+        slot until its deadline.
+        """
+
         async def scenario():
             for number in range(3):
                 resp = await self.serve(request(number))
--- a/daisyhub/gateway/__init__.py
+++ b/daisyhub/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The way of a caller's request on the users' platform."""
+"""Request flow from callers to endpoints on the users' platform."""
 
 from daisyhub.gateway._app import GatewayApp
 from daisyhub.gateway._body_filter import BodyFilter
@@ -8,15 +8,15 @@
 from daisyhub.gateway._sender import Sender, SendTask
 from daisyhub.gateway._wire import (
     CallerWire,
-    EndpointAnswer,
+    EndpointRequest,
+    EndpointResponseHead,
     EndpointWire,
-    SentRequest,
 )
 
 __all__ = [
     "BodyFilter",
     "CallerWire",
-    "EndpointAnswer",
+    "EndpointResponseHead",
     "EndpointWire",
     "FindRouteFilter",
     "GatewayApp",
@@ -24,5 +24,5 @@
     "SendFilter",
     "SendTask",
     "Sender",
-    "SentRequest",
+    "EndpointRequest",
 ]
--- a/daisyhub/idle.py
+++ b/daisyhub/idle.py
@@ -1,4 +1,8 @@
-"""A process that does nothing until it is told to stop."""
+"""A process without work, for a role that the platform requires.
+
+The platform asks for a process on instances with disks, where daisyhub stores
+nothing.
+"""
 
 import signal
 
@@ -6,7 +10,7 @@
 
 
 def main() -> None:
-    """Waits for SIGTERM or SIGINT; other settings don't concern it."""
+    """Waits for SIGTERM or SIGINT and ignores SIGHUP."""
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     signal.sigwait({signal.SIGTERM, signal.SIGINT})
 
--- a/daisyhub/lots/_filter.py
+++ b/daisyhub/lots/_filter.py
@@ -1,9 +1,9 @@
-"""Serves callers' calls about lots; other requests go on."""
+"""Filter that accepts lots and serves calls to them."""
 
 from daisyhub.base import Filter, Handler
 from daisyhub.catalog import RouteKind
-from daisyhub.cluster import TrueClock
-from daisyhub.exceptions import ErrorCode, Ran, Refusal
+from daisyhub.cluster import ClusterClock
+from daisyhub.exceptions import ErrorCode, ExecutionStatus, Refusal
 from daisyhub.logs import DecisionLog
 from daisyhub.lots._calls import EndLot, ReadItemBody, ReadResults
 from daisyhub.lots._lot_store import LotStore
@@ -13,26 +13,27 @@
 from daisyhub.messages import Request, Response
 from daisyhub.objects import ObjectStoreError
 
-__all__ = ["HandedInLotsFilter"]
+__all__ = ["SubmittedLotsFilter"]
 
 _ACCEPTED = 202
 _OK = 200
-# Bytes of text in one answer; the platform allows a megabyte of results.
-_ANSWER_BYTES = 700_000
-# Seconds after which a lot that couldn't be stored may be handed in again.
+# Maximum text length of a response with several results. The platform allows a
+# megabyte of results.
+_MAX_RESPONSE_CHARACTERS = 700_000
+# Seconds after which a lot that couldn't be stored may be submitted again.
 _RETRY_AFTER_S = 0.3
 _JSON = (b"content-type", b"application/json")
 
 
-class HandedInLotsFilter(Filter):
+class SubmittedLotsFilter(Filter):
     """Accepts lots and serves their results.
 
     Args:
         lots: Lots in the store.
-        reader: Serves reads.
-        wire: How lots are spelled.
-        clock: The true time.
-        log: Where decisions are noted.
+        reader: Serves reads of lots.
+        wire: Wire format of lots.
+        clock: Clock that all daemons agree on.
+        log: Log of decisions.
     """
 
     name = "handed_in_lots"
@@ -42,7 +43,7 @@
         lots: LotStore,
         reader: LotReader,
         wire: LotWire,
-        clock: TrueClock,
+        clock: ClusterClock,
         log: DecisionLog,
     ):
         self._lots = lots
@@ -52,14 +53,14 @@
         self._log = log
 
     async def handle(self, req: Request, call_next: Handler) -> Response:
-        """Serves the call, or passes a request that is about no lot."""
+        """Accepts lots, serves calls to lots, passes other requests on."""
         match req.lot_call:
             case ReadResults(lot_id, after, wait_s):
                 total, results = await self._reader.results(
                     lot_id, req.account, after, wait_s
                 )
-                shown = _bounded(results)
-                body = self._wire.write_results(total, after, shown)
+                page = _first_page(results)
+                body = self._wire.write_results(total, after, page)
                 return Response(status=_OK, headers=(_JSON,), body=body)
             case ReadItemBody(lot_id, item_id):
                 body = await self._reader.body(lot_id, req.account, item_id)
@@ -72,7 +73,13 @@
         return await call_next(req)
 
     async def _accept(self, req: Request) -> Response:
-        """Stores a lot; only what surely isn't stored is refused."""
+        """Stores a submitted lot.
+
+        Raises:
+            Refusal: The body isn't a valid lot, the lot isn't stored, it is
+                unknown whether it is, or another account has a lot with this
+                id.
+        """
         spec = self._wire.read_lot(req, self._clock.now_s())
         try:
             head = await self._lots.accept(spec)
@@ -81,16 +88,18 @@
                 ErrorCode.DEADLINE_EXCEEDED
                 if exc.may_be_done
                 else ErrorCode.PLATFORM_UNAVAILABLE,
-                f"the lot isn't known to be stored: {exc}",
-                ran=Ran.UNKNOWN if exc.may_be_done else Ran.NOT_RUN,
+                f"the lot is not known to be stored: {exc}",
+                ran=ExecutionStatus.UNKNOWN
+                if exc.may_be_done
+                else ExecutionStatus.NOT_RUN,
                 retry_after_s=_RETRY_AFTER_S,
             ) from exc
         if head.account != req.account:
             raise Refusal(
-                ErrorCode.LOT_CONFLICT, "another account has a lot of this id"
+                ErrorCode.LOT_CONFLICT, "another account has a lot with this id"
             )
-        self._reader.note_accepted(head)
-        self._log.note(
+        self._reader.record_accepted(head)
+        self._log.record(
             "lot_accepted",
             id=req.request_id,
             account=req.account,
@@ -102,11 +111,11 @@
         return Response(status=_ACCEPTED)
 
 
-def _bounded(results: list[ItemResult]) -> list[ItemResult]:
-    """Returns as many results as one answer may hold, one at least."""
+def _first_page(results: list[ItemResult]) -> list[ItemResult]:
+    """Returns the results that fit into one response, at least one if any."""
     size = 0
     for count, result in enumerate(results):
         size += len(result.text)
-        if count and size > _ANSWER_BYTES:
+        if count and size > _MAX_RESPONSE_CHARACTERS:
             return results[:count]
     return results
--- a/daisyhub/peers/_messages.py
+++ b/daisyhub/peers/_messages.py
@@ -3,38 +3,38 @@
 import msgspec
 
 from daisyhub.accounting import UsagePart
-from daisyhub.balancing import EndpointNews
+from daisyhub.balancing import EndpointUpdate
 from daisyhub.config import ConfigHead
 from daisyhub.hosting import EndpointRecord
 
 __all__ = [
     "Call",
-    "CallAnswer",
-    "ConfigFetch",
-    "ConfigParts",
-    "EndpointFetch",
-    "EndpointNewsBatch",
-    "EndpointParts",
+    "CallResponse",
+    "ConfigRequest",
+    "ConfigResponse",
+    "EndpointsRequest",
+    "EndpointUpdateBatch",
+    "EndpointsResponse",
     "Envelope",
     "Heartbeat",
-    "LotAnswer",
-    "LotCall",
-    "RateAsk",
-    "RateGrant",
+    "LotCallResponse",
+    "LotCallRequest",
+    "RateLoanRequest",
+    "RateLoanGrant",
     "MemberBeat",
     "UsageCopy",
-    "UsageHeld",
+    "UsageCopyAck",
     "decode_envelope",
     "encode_envelope",
 ]
 
 
 class MemberBeat(msgspec.Struct, frozen=True, array_like=True):
-    """The highest beat that the sender knows of one daemon.
+    """The highest beat of one daemon that the sender knows.
 
     Attributes:
         name_hash: Short hash of the daemon's id.
-        beat: Its incarnation plus its ticks since.
+        beat: Its incarnation plus the number of ticks since its start.
         is_leaving: Whether it is shutting down.
     """
 
@@ -44,16 +44,17 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True, kw_only=True, tag="hb"):
-    """Sent at each tick to a few daemons.
+    """The state of a daemon, sent at each tick to a few others.
 
     Attributes:
         incarnation: Start of the process, microseconds since the epoch.
-        config_version: The version in force there.
-        withdrawn_keys: How many key ids it knows to be withdrawn.
+        config_version: Its active configuration version.
+        withdrawn_keys: Number of key ids that it knows to be withdrawn.
         is_leaving: Whether it is shutting down.
         withdrawn_digest: Digest of these key ids.
-        beat: The incarnation plus the ticks since.
-        members: What the sender knows of its failure domain.
+        beat: The incarnation plus the number of ticks since the start.
+        members: Known beats of the members of the sender's failure domain;
+            empty in heartbeats to other domains and in responses.
     """
 
     incarnation: int
@@ -65,57 +66,67 @@
     members: tuple[MemberBeat, ...] = ()
 
 
-class EndpointNewsBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
-    """News of endpoints since the last tick."""
+class EndpointUpdateBatch(msgspec.Struct, frozen=True, kw_only=True, tag="en"):
+    """Endpoint updates since the last batch, or those of leaving endpoints."""
 
-    news: tuple[EndpointNews, ...]
+    news: tuple[EndpointUpdate, ...]
 
 
 class UsageCopy(msgspec.Struct, frozen=True, kw_only=True, tag="uc"):
-    """Usage parts, kept by peers in case their daemon dies unflushed."""
+    """Copies of usage parts, kept in case their daemon dies before a flush."""
 
     parts: tuple[UsagePart, ...]
 
 
-class UsageHeld(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
-    """Tells a peer that its parts up to `number` of `epoch` are kept."""
+class UsageCopyAck(msgspec.Struct, frozen=True, kw_only=True, tag="uh"):
+    """Acknowledges that copies of parts up to `number` of `epoch` are kept."""
 
     epoch: int
     number: int
 
 
-class ConfigFetch(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
-    """Asks a peer for its head and for sections that aren't known here."""
+class ConfigRequest(msgspec.Struct, frozen=True, kw_only=True, tag="cf"):
+    """Requests a peer's head, withdrawn keys, and the parts not yet known.
+
+    Attributes:
+        known_digests: Digests of the parts that the response may omit.
+    """
 
     known_digests: tuple[str, ...]
 
 
-class ConfigParts(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
-    """A head, the section texts asked for, and the withdrawn keys."""
+class ConfigResponse(msgspec.Struct, frozen=True, kw_only=True, tag="cp"):
+    """The response to a `ConfigRequest`.
+
+    Attributes:
+        head: Head of the peer's active configuration.
+        contents: Texts of the requested parts, by digest.
+        withdrawn: Ids of the withdrawn API keys, sorted.
+    """
 
     head: ConfigHead
     contents: dict[str, str]
     withdrawn: tuple[str, ...]
 
 
-class EndpointFetch(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
-    """Asks a peer of the same failure domain for its endpoints."""
+class EndpointsRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ef"):
+    """Requests the endpoints of a peer of the same failure domain."""
 
 
-class EndpointParts(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
-    """The endpoints that a daemon knows, as the platform would list them."""
+class EndpointsResponse(msgspec.Struct, frozen=True, kw_only=True, tag="ep"):
+    """The endpoints that a daemon knows, in the form of the platform's list."""
 
     records: tuple[EndpointRecord, ...]
 
 
-class LotCall(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
-    """A trainer's call, passed on to the daemon that holds the lot.
+class LotCallRequest(msgspec.Struct, frozen=True, kw_only=True, tag="lc"):
+    """A trainer's call, forwarded to the daemon that holds the lot.
 
     Attributes:
         lot_id: The lot.
         verb: `open`, `pull`, `ack` or `close`.
         account: Client account of the trainer's key.
-        body: The call's JSON.
+        body: The call's body, JSON.
     """
 
     lot_id: str
@@ -124,14 +135,14 @@
     body: bytes
 
 
-class LotAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
-    """The holder's answer to a `LotCall`.
+class LotCallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="la"):
+    """The holder's response to a `LotCallRequest`.
 
     Attributes:
         status: HTTP status.
         body: JSON.
-        retry_after_s: When to ask again, if the call was refused.
-        is_elsewhere: Whether the daemon doesn't hold the lot.
+        retry_after_s: Seconds after which to retry a refused call, or None.
+        is_elsewhere: Whether the responding daemon doesn't hold the lot.
     """
 
     status: int
@@ -141,26 +152,26 @@
 
 
 class Call(msgspec.Struct, frozen=True, kw_only=True, tag="call"):
-    """Asks for one answer; `call_id` is unique for the sender."""
+    """A request that expects one response; `call_id` is unique per sender."""
 
     call_id: int
-    content: ConfigFetch | EndpointFetch | LotCall
+    content: ConfigRequest | EndpointsRequest | LotCallRequest
 
 
-class CallAnswer(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
-    """Answers a call; without content the callee could not serve it."""
+class CallResponse(msgspec.Struct, frozen=True, kw_only=True, tag="answer"):
+    """The response to a call; `content` is None if the call failed."""
 
     call_id: int
-    content: ConfigParts | EndpointParts | LotAnswer | None
+    content: ConfigResponse | EndpointsResponse | LotCallResponse | None
 
 
-class RateAsk(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
-    """Asks to borrow parts of accounts' limits.
+class RateLoanRequest(msgspec.Struct, frozen=True, kw_only=True, tag="ra"):
+    """Requests a loan of parts of accounts' rate limits.
 
     Attributes:
-        incarnation: Of the asker.
-        stamp_s: The asker's clock; the grant repeats both.
-        wants: Accounts and quanta.
+        incarnation: Incarnation of the requester, repeated in the grant.
+        stamp_s: Time on the requester's clock, repeated in the grant.
+        wants: Accounts and the number of quanta requested of each.
     """
 
     incarnation: int
@@ -168,8 +179,8 @@
     wants: tuple[tuple[str, int], ...]
 
 
-class RateGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
-    """Lends parts of accounts' limits, in answer to a `RateAsk`."""
+class RateLoanGrant(msgspec.Struct, frozen=True, kw_only=True, tag="rg"):
+    """The response to a `RateLoanRequest`: the accounts and quanta lent."""
 
     incarnation: int
     stamp_s: float
@@ -178,18 +189,18 @@
 
 Message = (
     Heartbeat
-    | EndpointNewsBatch
+    | EndpointUpdateBatch
     | UsageCopy
-    | UsageHeld
-    | RateAsk
-    | RateGrant
+    | UsageCopyAck
+    | RateLoanRequest
+    | RateLoanGrant
     | Call
-    | CallAnswer
+    | CallResponse
 )
 
 
 class Envelope(msgspec.Struct, frozen=True, kw_only=True):
-    """All messages of one sender to one receiver at one time."""
+    """Messages that one daemon sends to another in one transmission."""
 
     sender: str
     incarnation: int
@@ -201,14 +212,14 @@
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Returns the MessagePack form."""
+    """Returns an envelope as MessagePack."""
     return _encoder.encode(envelope)
 
 
 def decode_envelope(data: bytes) -> Envelope:
-    """Reads the MessagePack form.
+    """Decodes an envelope from MessagePack.
 
     Raises:
-        msgspec.DecodeError: The bytes are no envelope.
+        msgspec.DecodeError: The bytes are not a valid envelope.
     """
     return _decoder.decode(data)
--- a/daisyhub/platform/__init__.py
+++ b/daisyhub/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Runs the product on the users' platform; translates, and nothing else."""
+"""Runs a daemon on the users' platform; the adapters only translate formats."""
--- a/daisyhub/platform/_daemon.py
+++ b/daisyhub/platform/_daemon.py
@@ -1,4 +1,4 @@
-"""Builds one daemon out of the product's parts and the platform's wires."""
+"""Assembles a daemon from the product's components and platform adapters."""
 
 import random
 import signal
@@ -9,21 +9,21 @@
 
 from daisyhub.balancing import EndpointDirectory
 from daisyhub.base import Controller
-from daisyhub.billing import UsageBook, UsageMeter, UsageReporter
+from daisyhub.billing import UsageAggregator, UsageMeter, UsageReporter
 from daisyhub.catalog import ManifestController
 from daisyhub.cluster import (
     CLUSTER_PROTOCOL,
+    ClusterClock,
     ClusterController,
-    LotBodyAsked,
-    LotHeadAsked,
-    LotResultsAsked,
-    ManifestAsked,
-    PeerCarrier,
+    LotHeadRequest,
+    LotItemBodyRequest,
+    LotResultsRequest,
+    ManifestRequest,
+    PeerRelayProvider,
     PeerTable,
     Ping,
-    StoreAsked,
-    StoreCallee,
-    TrueClock,
+    StoreRequest,
+    StoreRequestHandler,
     WatchVerifier,
 )
 from daisyhub.connections import HttpClient
@@ -32,8 +32,8 @@
 from daisyhub.filters import build_chain
 from daisyhub.fleet_settings import (
     FleetSettings,
-    address_of,
     load_fleet_settings,
+    parse_address,
 )
 from daisyhub.gateway import (
     BodyFilter,
@@ -45,20 +45,20 @@
 )
 from daisyhub.logs import DecisionLog
 from daisyhub.lots import (
-    HandedInLotsFilter,
-    HolderTools,
     ItemRunner,
     LotHolder,
+    LotHolderDependencies,
     LotReader,
     LotStore,
     RewardCaller,
+    SubmittedLotsFilter,
 )
 from daisyhub.metrics import Metrics
 from daisyhub.objects import KindWatcher, RelayedStore, StoredObject
 from daisyhub.peers import PeerNetwork
-from daisyhub.platform._desk import PlatformDesk
+from daisyhub.platform._desk import PlatformOrderDeskClient
 from daisyhub.platform._engines import (
-    PlatformEnginePort,
+    PlatformEngineClient,
     PlatformVersionReader,
 )
 from daisyhub.platform._lots_json import PlatformLotWire
@@ -67,32 +67,33 @@
     CONFIG_NAME,
     PlatformManifestReader,
 )
-from daisyhub.platform._retirements import Retirements
+from daisyhub.platform._retirements import RetirementController
 from daisyhub.platform._servers import SERVERS_KIND, read_server
 from daisyhub.platform._store import PlatformStore
 from daisyhub.platform._wire import PlatformCallerWire, PlatformEndpointWire
 from daisyhub.serving import HttpServer, OperatorsApp
-from daisyhub.weights import WeightStager
+from daisyhub.weights import WeightLoadController
 
 __all__ = ["FleetDaemon"]
 
-_US_PER_NS = 1000
+_NS_PER_US = 1000
 _MS_PER_S = 1000.0
-# Seconds after which a part that failed is started again.
-_RESTART_PAUSE_S = 0.5
-# Seconds for which changes of servers gather for each daemon known, and the
-# most; half of the time in which a leaving endpoint must be known.
-_GATHER_S = 0.03
-_LONGEST_GATHER_S = 1.0
-# Seconds between looks at entries that lapsed while the store was away.
-_EXPIRE_S = 0.25
-# Seconds for which a leaving daemon still takes requests: the platform takes
-# a daemon out after two questions, one a second, without a ready answer.
-_LEAVE_NOTICE_S = 2.3
-# Part of the grace time by which open requests must have ended.
-_LEAVE_SHARE = 0.75
-# Seconds after the store's return within which lapsed entries come back.
-_STORE_SETTLE_S = 3.0
+# Seconds until a failed controller is restarted.
+_CONTROLLER_RESTART_DELAY_S = 0.5
+# Seconds for which server changes are batched, per known peer, and the maximum:
+# half of the 2 s within which a leaving endpoint must be taken out of use.
+_BATCH_DELAY_PER_PEER_S = 0.03
+_MAX_BATCH_DELAY_S = 1.0
+# Seconds between checks for endpoints whose entries expired while the store was
+# unavailable and did not reappear.
+_EXPIRY_CHECK_INTERVAL_S = 0.25
+# Seconds for which a leaving daemon still accepts requests: the platform stops
+# sending callers after two failed readiness checks, one per second.
+_DRAIN_NOTICE_S = 2.3
+# Fraction of the grace time within which open requests must have ended.
+_DRAIN_SHARE_OF_GRACE = 0.75
+# Seconds within which expired entries reappear after the store recovers.
+_STORE_RECOVERY_S = 3.0
 
 
 class FleetDaemon:
@@ -100,26 +101,29 @@
 
     Args:
         cfg: Its settings.
-        settings_path: Their file, read again on SIGHUP.
+        settings_path: The settings file, checked for changes on SIGHUP.
+
+    Attributes:
+        incarnation: Start of this process, microseconds since the epoch.
     """
 
     def __init__(self, cfg: FleetSettings, settings_path: str):
         self.cfg = cfg
         self._settings_path = settings_path
-        self.incarnation = time.time_ns() // _US_PER_NS
+        self.incarnation = time.time_ns() // _NS_PER_US
         self.log = DecisionLog(cfg.daemon_id)
         self.metrics = Metrics()
         self._endpoint_wire = PlatformEndpointWire()
         self._lot_wire = PlatformLotWire()
         self._is_draining = False
-        self._store_failed_s = float("-inf")
+        self._last_store_failure_s = float("-inf")
         self._build_store()
         self._build_state()
         self._build_servers()
 
     @property
     def process(self) -> str:
-        """Unique for this start of this daemon."""
+        """Name that is unique to this start of this daemon."""
         return f"{self.cfg.daemon_id}/{self.incarnation}"
 
     def _build_store(self) -> None:
@@ -131,25 +135,25 @@
         self.network = PeerNetwork(cfg, self.incarnation, CLUSTER_PROTOCOL)
         self.peers = PeerTable(cfg.daemon_id, self.log)
         direct = PlatformStore(
-            address_of(cfg.store), self.http, cfg.call_timeout_s
+            parse_address(cfg.store), self.http, cfg.call_timeout_s
         )
-        carrier = PeerCarrier(
+        relay_provider = PeerRelayProvider(
             self.network, self.peers, cfg.failure_domain, cfg.call_timeout_s
         )
-        self.store = RelayedStore(direct, carrier, self.log)
-        callee = StoreCallee(direct)
-        self.network.add_callee(StoreAsked, callee.answer)
+        self.store = RelayedStore(direct, relay_provider, self.log)
+        request_handler = StoreRequestHandler(direct)
+        self.network.add_request_handler(StoreRequest, request_handler.handle)
 
     def _build_state(self) -> None:
         cfg = self.cfg
-        self.clock = TrueClock()
+        self.clock = ClusterClock()
         self.meter = UsageMeter(cfg.usage_window_s, self.clock.now_s)
         self.manifests = ManifestController(PlatformManifestReader(), self.log)
         self.directory = EndpointDirectory(random.random, self.http.has_idle)
         self.cluster = ClusterController(
             cfg.daemon_id,
             cfg.peer_address,
-            tuple(address_of(seed) for seed in cfg.seeds),
+            tuple(parse_address(seed) for seed in cfg.seeds),
             self.network,
             self.peers,
             self.clock,
@@ -158,30 +162,34 @@
             self._ping,
             self.log,
         )
-        self.book = UsageBook()
+        self.usage_aggregator = UsageAggregator()
         self.network.add_receiver(self.cluster.receive)
-        self.network.add_receiver(self._note_usage)
-        self.network.add_callee(ManifestAsked, self.cluster.answer_manifest)
+        self.network.add_receiver(self._record_usage)
+        self.network.add_request_handler(
+            ManifestRequest, self.cluster.handle_manifest_request
+        )
         self.watchers = (
             KindWatcher(
                 self.store,
                 CONFIG_KIND,
                 self.log,
                 self._on_config,
-                may_be_late=self._may_be_late,
+                can_be_stale=self._can_be_stale,
             ),
             KindWatcher(
                 self.store,
                 SERVERS_KIND,
                 self.log,
                 self._on_server,
-                self._gather_s,
-                self._may_be_late,
+                self._batch_delay_s,
+                self._can_be_stale,
             ),
         )
         self.cluster.set_watchers(self.watchers)
-        self.rollouts = self._duty("rollouts")
-        self.accounts = self._duty("accounts")
+        # The holder of the first duty runs lots and weight loads; the holder of
+        # the second reports usage, completes retirements and verifies watches.
+        self.rollouts = self._build_duty("rollouts")
+        self.accounts = self._build_duty("accounts")
         self.sender = Sender(
             self.directory,
             self.http,
@@ -191,14 +199,19 @@
         )
         self._build_lots()
         self.verifier = WatchVerifier(self.accounts, self.watchers)
-        self.retirements = Retirements(self.accounts, self.store, self.log)
+        self.retirements = RetirementController(
+            self.accounts, self.store, self.log
+        )
         self.reporter = UsageReporter(
             self.accounts,
-            self.book,
+            self.usage_aggregator,
             self._live_incarnations,
             self.store,
-            PlatformDesk(
-                address_of(cfg.order_desk), cfg.daemon_id, self.http, self.log
+            PlatformOrderDeskClient(
+                parse_address(cfg.order_desk),
+                cfg.daemon_id,
+                self.http,
+                self.log,
             ),
             self.clock.now_s,
             cfg.usage_window_s,
@@ -207,22 +220,27 @@
         )
 
     def _live_incarnations(self) -> dict[str, int]:
-        """Returns who counts; the own counts are brought up to date."""
+        """Returns the live daemons' incarnations by id, this one included.
+
+        Updates this daemon's own usage counts first.
+        """
         own = (self.cfg.daemon_id, self.incarnation)
-        self.book.note(*own, self.meter.snapshot(), self.meter.closed_before())
+        self.usage_aggregator.update(
+            *own, self.meter.snapshot(), self.meter.closed_before()
+        )
         live = {p.daemon_id: p.incarnation for p in self.peers.live()}
         return {**live, self.cfg.daemon_id: self.incarnation}
 
-    def _note_usage(self, envelope, message: object) -> None:
+    def _record_usage(self, envelope, message: object) -> None:
         if isinstance(message, Ping):
-            self.book.note(
+            self.usage_aggregator.update(
                 envelope.sender,
                 envelope.incarnation,
                 message.usage,
                 message.closed_before,
             )
 
-    def _duty(self, duty: str) -> DutyController:
+    def _build_duty(self, duty: str) -> DutyController:
         cfg = self.cfg
         core = DutyCore(
             self.process, cfg.lease_ms / _MS_PER_S, cfg.fencing_checked
@@ -233,7 +251,7 @@
 
     def _build_lots(self) -> None:
         self.lots = LotStore(self.store)
-        tools = HolderTools(
+        dependencies = LotHolderDependencies(
             store=self.store,
             lots=self.lots,
             directory=self.directory,
@@ -245,22 +263,22 @@
                 self.manifests, self.sender, self._endpoint_wire, self.log
             ),
             is_loading=self._is_loading,
-            is_alone=self.peers.is_missing_some,
+            has_lost_peers=self.peers.has_lost_peers,
             clock=self.clock,
             metrics=self.metrics,
             log=self.log,
             status_s=self.cfg.status_s,
         )
-        self.holder = LotHolder(self.rollouts, tools)
-        self.weights = WeightStager(
+        self.holder = LotHolder(self.rollouts, dependencies)
+        self.weights = WeightLoadController(
             self.rollouts,
             self.cfg.daemon_id,
             self.store,
             PlatformVersionReader(),
-            PlatformEnginePort(self.http, self.log),
+            PlatformEngineClient(self.http, self.log),
             self.directory,
             self.manifests,
-            self.holder.runs_at,
+            self.holder.open_run_count,
             self.holder.demand,
             self.cfg.loads_share,
             self.log,
@@ -273,12 +291,19 @@
             self.network,
             self.log,
         )
-        self.network.add_callee(LotHeadAsked, self.holder.answer_head)
-        self.network.add_callee(LotResultsAsked, self.holder.answer_results)
-        self.network.add_callee(LotBodyAsked, self.holder.answer_body)
+        self.network.add_request_handler(
+            LotHeadRequest, self.holder.handle_head_request
+        )
+        self.network.add_request_handler(
+            LotResultsRequest, self.holder.handle_results_request
+        )
+        self.network.add_request_handler(
+            LotItemBodyRequest, self.holder.handle_body_request
+        )
         self.network.add_receiver(self.holder.receive)
 
     def _is_loading(self, endpoint_id: str) -> bool:
+        """Calls `weights.is_loading`; `weights` is built after the holder."""
         return self.weights.is_loading(endpoint_id)
 
     def _build_servers(self) -> None:
@@ -288,7 +313,7 @@
                 FindRouteFilter(self.manifests),
                 KeyFilter(self.manifests),
                 BodyFilter(self.manifests),
-                HandedInLotsFilter(
+                SubmittedLotsFilter(
                     self.lots,
                     self.reader,
                     self._lot_wire,
@@ -302,17 +327,19 @@
             handler, PlatformCallerWire(), self.metrics, self.log
         )
         self.callers_server = HttpServer(
-            self.app, address_of(cfg.callers), cfg.grace_s
+            self.app, parse_address(cfg.callers), cfg.grace_s
         )
         operators = OperatorsApp(
             self.metrics, self.is_ready, self.status, "/v1/readiness"
         )
-        self.readiness_server = HttpServer(operators, address_of(cfg.readiness))
+        self.readiness_server = HttpServer(
+            operators, parse_address(cfg.readiness)
+        )
         self.metrics_server = HttpServer(operators, cfg.metrics_address)
 
     @property
     def controllers(self) -> tuple[Controller, ...]:
-        """All controllers."""
+        """The controllers that `run` starts and `status` reports."""
         return (
             self.cluster,
             *self.watchers,
@@ -326,7 +353,7 @@
         )
 
     def is_ready(self) -> bool:
-        """Whether new callers should come here."""
+        """Whether the platform should send callers to this daemon."""
         has_endpoints = bool(self.directory.all())
         return (
             self.manifests.manifest is not None
@@ -335,7 +362,7 @@
         )
 
     def status(self) -> dict[str, object]:
-        """Returns the state of every part in plain JSON values."""
+        """Returns the state of the daemon and its controllers, for JSON."""
         manifest = self.manifests.manifest
         return {
             "daemon_id": self.cfg.daemon_id,
@@ -344,7 +371,7 @@
             "is_ready": self.is_ready(),
             "manifest": manifest.version if manifest else 0,
             "open_requests": self.app.open_requests,
-            **{_title(part): part.status() for part in self.controllers},
+            **{_status_key(c): c.status() for c in self.controllers},
         }
 
     def _ping(self) -> Ping:
@@ -354,57 +381,68 @@
             wall_s=time.time(),
             speed=self.cfg.processor_speed,
             is_leaving=self._is_draining,
-            reaches_store=self.store.is_direct,
+            reaches_store=self.store.is_directly_reachable,
             manifest_revision=self.manifests.revision,
-            duties=self._duties(),
-            newest={w.kind: w.newest_change for w in self.watchers},
+            duties=self._held_duties(),
+            newest={w.kind: w.newest_revision for w in self.watchers},
             usage=self.meter.snapshot(),
             closed_before=self.meter.closed_before(),
         )
 
-    def _duties(self) -> dict[str, int]:
-        """Returns the numbers of the duties that this daemon has."""
+    def _held_duties(self) -> dict[str, int]:
+        """Returns the fencing numbers of the duties that are held here."""
         duties = (self.rollouts, self.accounts)
         return {d.duty: d.fencing for d in duties if d.fencing}
 
-    def _gather_s(self) -> float:
-        """Returns how long changes of servers may gather before a watch.
+    def _batch_delay_s(self) -> float:
+        """Returns how many seconds to batch changes before the next watch.
 
-        Every change is a call at every daemon, so more daemons wait longer;
-        an endpoint that leaves must get no work after two seconds.
+        Every change causes a store call by every daemon, so the delay grows
+        with their number. It is limited because a leaving endpoint must
+        receive no requests after two seconds.
         """
-        return min(_LONGEST_GATHER_S, _GATHER_S * len(self.peers.all()))
+        return min(
+            _MAX_BATCH_DELAY_S, _BATCH_DELAY_PER_PEER_S * len(self.peers.all())
+        )
+
+    def _can_be_stale(self) -> bool:
+        """Whether watches may return stale data.
 
-    def _may_be_late(self) -> bool:
-        """Whether a daemon with a duty would tell of changes missed here."""
-        return not self._duties() and self.peers.hears_holder()
+        Only if a live duty holder reaches the store: its pings report the
+        newest revisions, so that changes missed here are detected.
+        """
+        return (
+            not self._held_duties() and self.peers.has_live_holder_with_store()
+        )
 
     def _on_config(self, found: StoredObject) -> None:
         if found.name == CONFIG_NAME:
             self.manifests.adopt(found, "store")
 
     def _on_server(self, found: StoredObject) -> None:
-        """Takes an endpoint's entry; one that can't be read names none."""
+        """Applies a server's entry; an invalid one removes the endpoint."""
         if found.is_deleted:
             self._remove_endpoint(found.name)
             return
         try:
             entry = read_server(found.name, found.spec)
         except ValueError as exc:
-            self.log.note(
+            self.log.record(
                 "endpoint_unreadable",
                 name=found.name,
                 revision=found.revision,
                 reason=str(exc),
             )
+            # The entry exists, so it did not expire during a store failure:
+            # the endpoint is removed at once.
             self.directory.remove(
                 found.name, time.monotonic(), is_store_stable=True
             )
             return
         known = self.directory.get(found.name)
-        self.directory.adopt(entry)
+        self.directory.upsert(entry)
         if known is None or known.entry.is_leaving != entry.is_leaving:
-            self.log.note(
+            self.log.record(
                 "endpoint",
                 name=found.name,
                 pool=entry.pool,
@@ -418,20 +456,23 @@
             )
 
     def _remove_endpoint(self, name: str) -> None:
+        """Removes an endpoint whose entry was deleted or has expired."""
         now_s = time.monotonic()
-        is_stable = now_s - self._store_failed_s > _STORE_SETTLE_S
-        self.log.note("endpoint_removed", name=name, is_store_stable=is_stable)
+        is_stable = now_s - self._last_store_failure_s > _STORE_RECOVERY_S
+        self.log.record(
+            "endpoint_removed", name=name, is_store_stable=is_stable
+        )
         self.directory.remove(name, now_s, is_store_stable=is_stable)
 
     async def run(self) -> None:
-        """Runs until SIGTERM, then ends within the grace time."""
-        self.log.note(
+        """Runs until SIGTERM or SIGINT, then stops within the grace time."""
+        self.log.record(
             "start", process=self.process, domain=self.cfg.failure_domain
         )
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self.network.run)
             for controller in self.controllers:
-                tasks.start_soon(self._keep_running, controller)
+                tasks.start_soon(self._run_with_restarts, controller)
             tasks.start_soon(self._expire_entries)
             for server in (
                 self.callers_server,
@@ -439,37 +480,44 @@
                 self.metrics_server,
             ):
                 tasks.start_soon(server.run_until_stopped)
-            wanted = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-            # Open until the end: without it, a further signal would kill.
-            with anyio.open_signal_receiver(*wanted) as signals:
-                await self._wait_for_end(signals)
+            handled_signals = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+            # Open until the end: without the receiver, a further signal would
+            # kill the process.
+            with anyio.open_signal_receiver(*handled_signals) as signals:
+                await self._wait_for_stop_signal(signals)
                 await self._shut_down()
                 tasks.cancel_scope.cancel()
         await self.http.aclose()
         self.network.close()
 
-    async def _wait_for_end(self, signals: AsyncIterator[int]) -> None:
-        async for number in signals:
-            if number != signal.SIGHUP:
+    async def _wait_for_stop_signal(self, signals: AsyncIterator[int]) -> None:
+        async for signal_number in signals:
+            if signal_number != signal.SIGHUP:
                 return
-            self._reload()
+            self._check_settings_file()
 
-    def _reload(self) -> None:
-        """Reads the settings again; what changes takes effect at a restart."""
+    def _check_settings_file(self) -> None:
+        """Logs whether the settings file is valid and has changed.
+
+        Changes take effect at a restart.
+        """
         try:
             cfg = load_fleet_settings(self._settings_path)
         except (DocumentError, OSError) as exc:
-            self.log.note("reload_failed", reason=str(exc))
+            self.log.record("reload_failed", reason=str(exc))
             return
-        self.log.note("reload", is_changed=cfg != self.cfg)
+        self.log.record("reload", is_changed=cfg != self.cfg)
+
+    async def _run_with_restarts(self, controller: Controller) -> None:
+        """Runs a controller and restarts it after an exception.
 
-    async def _keep_running(self, controller: Controller) -> None:
-        """Runs a controller; a fault in one must not end the others."""
+        A fault in one controller must not end the others.
+        """
         while True:
             try:
                 await controller.run()
             except Exception as exc:
-                self.log.note(
+                self.log.record(
                     "controller_fault",
                     controller=controller.name,
                     reason=repr(exc),
@@ -477,49 +525,51 @@
                 self.metrics.count("controller_faults", part=controller.name)
             else:
                 return
-            await anyio.sleep(_RESTART_PAUSE_S)
+            await anyio.sleep(_CONTROLLER_RESTART_DELAY_S)
 
     async def _expire_entries(self) -> None:
-        """Takes out endpoints whose entries didn't come back."""
+        """Removes endpoints whose entries stay absent while the store works."""
         while True:
-            await anyio.sleep(_EXPIRE_S)
+            await anyio.sleep(_EXPIRY_CHECK_INTERVAL_S)
             now_s = time.monotonic()
-            self._note_cut_domains()
+            self._update_unreachable_domains()
             if not all(watcher.is_current for watcher in self.watchers):
-                self._store_failed_s = now_s
+                self._last_store_failure_s = now_s
                 continue
             for name in self.directory.expire(now_s):
-                self.log.note("endpoint_lapsed", name=name)
+                self.log.record("endpoint_lapsed", name=name)
 
-    def _note_cut_domains(self) -> None:
-        """Tells the directory which failure domains seem to be cut off."""
+    def _update_unreachable_domains(self) -> None:
+        """Passes the failure domains without live peers to the directory."""
         own = frozenset((self.cfg.failure_domain,))
-        self.directory.set_cut_domains(self.peers.silent_domains() - own)
+        self.directory.set_unreachable_domains(
+            self.peers.unreachable_domains() - own
+        )
 
     async def _shut_down(self) -> None:
-        """Takes no new callers, ends what is open, and goes."""
+        """Releases the duties, drains open requests and stops the servers."""
         started_s = time.monotonic()
-        self.log.note("stop", open_requests=self.app.open_requests)
+        self.log.record("stop", open_requests=self.app.open_requests)
         self._is_draining = True
         self.app.is_draining = True
-        await self.holder.keep_texts()
+        await self.holder.save_unfinished_texts()
         for duty in (self.rollouts, self.accounts):
             duty.set_leaving()
             await duty.release()
-        self.cluster.ping_all()
-        await anyio.sleep(_LEAVE_NOTICE_S)
+        self.cluster.send_pings()
+        await anyio.sleep(_DRAIN_NOTICE_S)
         self.callers_server.stop()
-        latest_s = started_s + _LEAVE_SHARE * self.cfg.grace_s
-        # The server itself waits for requests of which a part has come.
-        with anyio.move_on_after(max(0.0, latest_s - time.monotonic())):
+        drain_end_s = started_s + _DRAIN_SHARE_OF_GRACE * self.cfg.grace_s
+        # The server itself waits for requests that were partly received.
+        with anyio.move_on_after(max(0.0, drain_end_s - time.monotonic())):
             await self.callers_server.stopped.wait()
         self.readiness_server.stop()
         self.metrics_server.stop()
-        self.log.note("stopped", open_requests=self.app.open_requests)
+        self.log.record("stopped", open_requests=self.app.open_requests)
 
 
-def _title(part: Controller) -> str:
-    """Returns the name of a part; several of one kind differ by subject."""
-    if isinstance(part, DutyController):
-        return f"duty {part.duty}"
-    return part.name
+def _status_key(controller: Controller) -> str:
+    """Returns a controller's key in the status; duties share one name."""
+    if isinstance(controller, DutyController):
+        return f"duty {controller.duty}"
+    return controller.name
--- a/daisyhub/platform/_desk.py
+++ b/daisyhub/platform/_desk.py
@@ -1,29 +1,29 @@
-"""The platform's calls for usage (`usage`) and endpoint orders (`scale`)."""
+"""Client for usage reports (`/usage`) and endpoint orders (`/scale`)."""
 
 import msgspec
 
-from daisyhub.billing import DeskOutcome, OrderDesk
+from daisyhub.billing import OrderDeskClient, OrderDeskOutcome
 from daisyhub.connections import HttpClient, RequestFailedError
-from daisyhub.exceptions import Ran
+from daisyhub.exceptions import ExecutionStatus
 from daisyhub.logs import DecisionLog
 from daisyhub.settings import Address
 
-__all__ = ["PlatformDesk"]
+__all__ = ["PlatformOrderDeskClient"]
 
 _OK = 200
 _CONFLICT = 409
-# Seconds for a call; the platform answers in milliseconds, or is slow.
-_TIMEOUT_S = 1.0
+# Timeout of a call; the platform normally responds in milliseconds.
+_CALL_TIMEOUT_S = 1.0
 
 
-class PlatformDesk(OrderDesk):
+class PlatformOrderDeskClient(OrderDeskClient):
     """Calls the platform's `cloud-api`.
 
     Args:
-        address: Where it listens.
-        holder: Machine name that each call carries.
-        http: Sends the calls.
-        log: Where failures are noted.
+        address: Address of `cloud-api`.
+        holder: This daemon's id, sent with each call as the duty's holder.
+        http: HTTP client.
+        log: Log of failed calls.
     """
 
     def __init__(
@@ -36,41 +36,53 @@
 
     async def report_usage(
         self, window: int, counts: dict[str, int], fencing: int
-    ) -> DeskOutcome:
-        """Reports a window; see `OrderDesk.report_usage`."""
+    ) -> OrderDeskOutcome:
+        """Reports a window; a conflict means that `fencing` is stale."""
         body = {"window-id": window, "counts": counts}
-        return await self._call("/usage", body, fencing, DeskOutcome.DEPOSED)
+        return await self._call(
+            "/usage", body, fencing, OrderDeskOutcome.STALE_FENCING
+        )
 
     async def order_endpoints(
         self, pool: str, domain: str, count: int, *, cheap: bool, fencing: int
-    ) -> DeskOutcome:
-        """Orders endpoints; a conflict here means that none are to be had."""
+    ) -> OrderDeskOutcome:
+        """Orders endpoints; a conflict means that no capacity is available."""
         body = {"service": pool, "zone": domain, "desired-count": count}
         if cheap:
             body["spot"] = True
-        return await self._call("/scale", body, fencing, DeskOutcome.REFUSED)
+        return await self._call(
+            "/scale", body, fencing, OrderDeskOutcome.REFUSED
+        )
 
     async def _call(
-        self, path: str, body: dict, fencing: int, on_conflict: DeskOutcome
-    ) -> DeskOutcome:
+        self, path: str, body: dict, fencing: int, on_conflict: OrderDeskOutcome
+    ) -> OrderDeskOutcome:
         headers = (
             (b"content-type", b"application/json"),
             (b"daisyhub-duty-holder", self._holder.encode()),
             (b"daisyhub-fencing-token", str(fencing).encode()),
         )
         try:
-            answer = await self._http.request(
+            response = await self._http.request(
                 "POST",
                 self._address,
                 path,
                 headers=headers,
                 body=msgspec.json.encode(body),
-                timeout_s=_TIMEOUT_S,
+                timeout_s=_CALL_TIMEOUT_S,
             )
         except RequestFailedError as exc:
-            self._log.note("desk_call_failed", path=path, reason=str(exc))
-            is_sent = exc.ran is not Ran.NOT_RUN
-            return DeskOutcome.UNKNOWN if is_sent else DeskOutcome.REFUSED
-        if answer.status == _CONFLICT:
+            self._log.record("desk_call_failed", path=path, reason=str(exc))
+            may_be_done = exc.ran is not ExecutionStatus.NOT_RUN
+            return (
+                OrderDeskOutcome.UNKNOWN
+                if may_be_done
+                else OrderDeskOutcome.REFUSED
+            )
+        if response.status == _CONFLICT:
             return on_conflict
-        return DeskOutcome.DONE if answer.status == _OK else DeskOutcome.REFUSED
+        return (
+            OrderDeskOutcome.DONE
+            if response.status == _OK
+            else OrderDeskOutcome.REFUSED
+        )
--- a/daisyhub/rollouts/_lot_events.py
+++ b/daisyhub/rollouts/_lot_events.py
@@ -1,39 +1,39 @@
-"""Events and actions of a lot's core."""
+"""Events and actions of `LotCore`."""
 
 import dataclasses
 import enum
 
-from daisyhub.rollouts._lot_types import EngineAnswer, Group, LotState
+from daisyhub.rollouts._lot_types import EngineResponse, Group, LotState
 
 __all__ = [
-    "AckAsked",
+    "AckRequested",
     "CancelSample",
-    "CloseAsked",
+    "CloseRequested",
     "CountUsage",
+    "DeliverGroups",
     "Generate",
-    "GiveUp",
-    "HandOver",
     "LotReleased",
     "LotTick",
-    "OpenAsked",
-    "PullAsked",
+    "OpenRequested",
+    "PullRequested",
     "ReadState",
+    "RefusalReason",
     "RefuseCall",
-    "RefusedBecause",
     "SampleFailed",
-    "SampleReady",
+    "SampleReceived",
+    "SendProgress",
     "StateRead",
     "StateReadFailed",
-    "TellProgress",
-    "WriteDone",
-    "WriteInDoubt",
-    "WriteRefused",
+    "StateWriteRejected",
+    "StateWriteUncertain",
+    "StateWritten",
+    "StopServing",
     "WriteState",
 ]
 
 
-class RefusedBecause(enum.Enum):
-    """Why a call ends without what it asked for."""
+class RefusalReason(enum.Enum):
+    """Why a call was refused."""
 
     RELEASED = "the lot moves to another daemon"
     CLOSED = "the lot is closed"
@@ -48,31 +48,31 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SampleReady:
-    """An engine answered attempt `attempt`; the core checks the answer."""
+class SampleReceived:
+    """An engine responded to an attempt; the response isn't validated yet."""
 
     attempt: int
-    answer: EngineAnswer
+    response: EngineResponse
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SampleFailed:
-    """Attempt `attempt` produced nothing."""
+    """An attempt failed without a sample."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class PullAsked:
-    """The trainer asks for groups.
+class PullRequested:
+    """The trainer requested groups.
 
     Attributes:
-        call: Unique number of the call at this holder.
+        call: Number of the call, unique at this holder.
         pull_id: Id of the pull.
         version: The trainer's weight version.
-        max_groups: At most this many groups.
-        until_s: End of the trainer's wait.
-        acks: Earlier pulls that the trainer has taken.
+        max_groups: Maximum number of groups.
+        until_s: Monotonic time at which the trainer's wait ends.
+        acks: Ids of earlier pulls that the trainer acknowledges.
     """
 
     call: int
@@ -84,16 +84,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class OpenAsked:
-    """The trainer opens the lot, again or for the first time."""
+class OpenRequested:
+    """The trainer requested to open the lot, perhaps repeatedly."""
 
     call: int
     until_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class AckAsked:
-    """The trainer has taken the samples of a pull."""
+class AckRequested:
+    """The trainer acknowledged the samples of a pull."""
 
     call: int
     pull_id: str
@@ -101,8 +101,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True, kw_only=True)
-class CloseAsked:
-    """The trainer closes the lot."""
+class CloseRequested:
+    """The trainer requested to close the lot."""
 
     call: int
     until_s: float
@@ -110,12 +110,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LotReleased:
-    """This daemon stops serving the lot."""
+    """This daemon has to stop serving the lot."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateRead:
-    """The store's state; version 0 if there is none."""
+    """The lot's object was read; version 0 if there is none."""
 
     state: LotState
     version: int
@@ -123,27 +123,27 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateReadFailed:
-    """The store didn't answer a read."""
+    """A read of the lot's object failed."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteDone:
-    """The write with this id took effect as `version`."""
+class StateWritten:
+    """The write with this id took effect; the object has this version."""
 
     write_id: str
     version: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteRefused:
-    """The object is at another version than this write expected."""
+class StateWriteRejected:
+    """The write was rejected: the object has another version."""
 
     write_id: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class WriteInDoubt:
-    """Whether the write with this id took effect is unknown."""
+class StateWriteUncertain:
+    """It is unknown whether the write with this id took effect."""
 
     write_id: str
 
@@ -155,7 +155,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WriteState:
-    """Action: write the lot's object if it is at `expected_version`."""
+    """Action: write the lot's object if it has `expected_version`."""
 
     write_id: str
     state: LotState
@@ -164,13 +164,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Generate:
-    """Action: ask an engine for one sample of a group's prompt.
+    """Action: request one sample of a group's prompt from an engine.
 
     Attributes:
-        attempt: Names this attempt in the answer.
-        group: The group.
-        index: The sample's place in the group.
-        others: Attempts for the same sample; use another engine.
+        attempt: Number of the attempt; repeated in its outcome.
+        group: Index of the group.
+        index: Index of the sample in the group.
+        others: Running attempts for the same sample; their engines are used
+            only if there is no other.
     """
 
     attempt: int
@@ -181,14 +182,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CancelSample:
-    """Action: give an attempt up; its answer isn't needed any more."""
+    """Action: cancel an attempt whose response isn't needed any more."""
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class HandOver:
-    """Action: answer the pull; without groups nothing was ready."""
+class DeliverGroups:
+    """Action: respond to a pull; no groups if none was ready in time."""
 
     call: int
     pull_id: str
@@ -197,8 +198,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class TellProgress:
-    """Action: answer an open, ack or close."""
+class SendProgress:
+    """Action: respond to an open, acknowledge or close call."""
 
     call: int
     remaining: int
@@ -208,20 +209,25 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RefuseCall:
-    """Action: end a call with its final answer at once."""
+    """Action: refuse a call."""
 
     call: int
-    reason: RefusedBecause
+    reason: RefusalReason
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CountUsage:
-    """Action: bill these samples, by their token counts."""
+    """Action: bill samples.
+
+    Attributes:
+        groups: The groups of the samples.
+        tokens: Token count of each sample.
+    """
 
     groups: tuple[int, ...]
     tokens: tuple[int, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class GiveUp:
-    """Action: stop serving the lot here; nothing is open any more."""
+class StopServing:
+    """Action: stop serving the lot here; no call or write is pending."""
--- a/daisyhub/testing/object_store.py
+++ b/daisyhub/testing/object_store.py
@@ -1,4 +1,4 @@
-"""A store of objects in memory, with faults on demand."""
+"""An in-memory object store into which faults can be injected."""
 
 import collections
 import enum
@@ -21,21 +21,33 @@
 
 
 class Fault(enum.Enum):
-    """What happens to one call."""
+    """A fault of one call.
+
+    Attributes:
+        REFUSED: The call fails without effect.
+        RESPONSE_LOST: The call takes effect and fails.
+        DELAYED: The call fails; a write takes effect in `run_delayed_writes`.
+        HISTORY_GONE: A watch fails because its revision is too old.
+        EMPTY: A watch returns no changes, or a stale read finds nothing.
+    """
 
     REFUSED = "refused"
-    LOST = "lost"
-    LATE = "late"
-    GONE = "gone"
-    DEAF = "deaf"
+    RESPONSE_LOST = "lost"
+    DELAYED = "late"
+    HISTORY_GONE = "gone"
+    EMPTY = "deaf"
 
 
 class MemoryStore(ObjectStore):
-    """Keeps objects in memory; one instance may serve many clients.
-
-    `faults` holds what happens to the next calls of a verb: refused without
-    effect, done with the answer lost, done by `carry_out_late` with the
-    answer lost, history gone, or a watch that hears nothing.
+    """Stores objects in memory; one instance can serve many clients.
+
+    Attributes:
+        revision: Revision of the last change.
+        objects: The objects, by kind and name.
+        faults: Faults of the next calls, by verb: the name of a method, or
+            "stale read" for a read that can be stale.
+        calls: Number of calls, by verb. A read that can be stale counts as
+            "stale read" too, a watch that can be stale as "stale watch" only.
     """
 
     def __init__(self):
@@ -43,46 +55,50 @@
         self.objects: dict[tuple[str, str], StoredObject] = {}
         self.faults: dict[str, collections.deque[Fault]] = {}
         self.calls: collections.Counter[str] = collections.Counter()
-        self._log: list[StoredObject] = []
-        self._late: list = []
-        self._news = anyio.Event()
+        self._changes: list[StoredObject] = []
+        self._delayed_writes: list = []
+        self._changed = anyio.Event()
 
     def fail_next(self, verb: str, *faults: Fault) -> None:
-        """Lets the next calls of a verb meet faults."""
+        """Adds faults for the next calls of a verb, in order."""
         self.faults.setdefault(verb, collections.deque()).extend(faults)
 
-    def carry_out_late(self) -> None:
-        """Does the writes whose answers were lost before they were done."""
-        late, self._late = self._late, []
-        for write in late:
+    def run_delayed_writes(self) -> None:
+        """Applies the writes that `Fault.DELAYED` deferred; skips conflicts."""
+        delayed_writes, self._delayed_writes = self._delayed_writes, []
+        for write in delayed_writes:
             try:
                 write()
             except ObjectConflictError:
                 continue
 
     def put(self, kind: str, name: str, spec: bytes, status=b"null"):
-        """Writes an object as an operator would."""
+        """Writes an object unconditionally and without faults; returns it."""
         return self._store(kind, name, spec, status)
 
     def drop(self, kind: str, name: str) -> None:
-        """Deletes an object as an operator would."""
-        known = self.objects.pop((kind, name), None)
-        if known is not None:
-            self._note(kind, name, known.spec, known.status, deleted=True)
+        """Deletes an object, if it exists, without faults."""
+        existing = self.objects.pop((kind, name), None)
+        if existing is not None:
+            self._append_change(
+                kind, name, existing.spec, existing.status, deleted=True
+            )
 
     async def read(
-        self, kind: str, name: str, *, may_be_late: bool = False
+        self, kind: str, name: str, *, can_be_stale: bool = False
     ) -> StoredObject | None:
         """See `ObjectStore.read`."""
-        if may_be_late:
-            self.calls["late read"] += 1
-            if self._next_fault("late read") is Fault.DEAF:
+        if can_be_stale:
+            self.calls["stale read"] += 1
+            if self._next_fault("stale read") is Fault.EMPTY:
                 return None
-        return self._meet("read", lambda: self.objects.get((kind, name)))
+        return self._call_with_fault(
+            "read", lambda: self.objects.get((kind, name))
+        )
 
     async def list_all(self, kind: str) -> ObjectList:
         """See `ObjectStore.list_all`."""
-        return self._meet("list_all", lambda: self._list(kind))
+        return self._call_with_fault("list_all", lambda: self._list(kind))
 
     async def watch(
         self,
@@ -90,36 +106,36 @@
         *,
         after_revision: int,
         wait_s: float,
-        may_be_late: bool = False,
+        can_be_stale: bool = False,
     ) -> WatchBatch:
         """See `ObjectStore.watch`."""
-        self.calls["late watch" if may_be_late else "watch"] += 1
+        self.calls["stale watch" if can_be_stale else "watch"] += 1
         fault = self._next_fault("watch")
-        if fault is Fault.GONE:
+        if fault is Fault.HISTORY_GONE:
             raise HistoryGoneError(kind)
-        if fault is Fault.DEAF:
+        if fault is Fault.EMPTY:
             await anyio.sleep(wait_s)
             return WatchBatch(revision=after_revision, changes=())
         if fault is not None:
             raise ObjectStoreError("watch", may_be_done=False)
         with anyio.move_on_after(wait_s):
-            while not self._since(kind, after_revision):
-                await self._news.wait()
+            while not self._changes_since(kind, after_revision):
+                await self._changed.wait()
         return WatchBatch(
             revision=self.revision,
-            changes=tuple(self._since(kind, after_revision)),
+            changes=tuple(self._changes_since(kind, after_revision)),
         )
 
     async def create(self, kind: str, name: str, spec: bytes) -> StoredObject:
         """See `ObjectStore.create`."""
 
         def write() -> StoredObject:
-            known = self.objects.get((kind, name))
-            if known is not None:
-                raise ObjectConflictError(f"{kind}/{name} exists", known)
+            existing = self.objects.get((kind, name))
+            if existing is not None:
+                raise ObjectConflictError(f"{kind}/{name} exists", existing)
             return self._store(kind, name, spec)
 
-        return self._meet("create", write)
+        return self._call_with_fault("create", write)
 
     async def replace(
         self, kind: str, name: str, spec: bytes, *, revision: int
@@ -127,12 +143,14 @@
         """See `ObjectStore.replace`."""
 
         def write() -> StoredObject:
-            known = self.objects.get((kind, name))
-            if known is None or known.revision != revision:
-                raise ObjectConflictError(f"{kind}/{name} differs", known)
-            return self._store(kind, name, spec, known.status)
+            existing = self.objects.get((kind, name))
+            if existing is None or existing.revision != revision:
+                raise ObjectConflictError(
+                    f"{kind}/{name} is not at revision {revision}", existing
+                )
+            return self._store(kind, name, spec, existing.status)
 
-        return self._meet("replace", write)
+        return self._call_with_fault("replace", write)
 
     async def set_status(
         self, kind: str, name: str, status: bytes
@@ -140,51 +158,57 @@
         """See `ObjectStore.set_status`."""
 
         def write() -> StoredObject | None:
-            known = self.objects.get((kind, name))
-            if known is None:
+            existing = self.objects.get((kind, name))
+            if existing is None:
                 return None
-            return self._store(kind, name, known.spec, status)
+            return self._store(kind, name, existing.spec, status)
 
-        return self._meet("set_status", write)
+        return self._call_with_fault("set_status", write)
 
     async def delete(self, kind: str, name: str) -> None:
         """See `ObjectStore.delete`."""
-        self._meet("delete", lambda: self.drop(kind, name))
+        self._call_with_fault("delete", lambda: self.drop(kind, name))
 
-    def _meet(self, verb: str, call):
-        """Makes a call as its fault wants it."""
+    def _call_with_fault(self, verb: str, call):
+        """Runs a call with the next fault of its verb, if there is one."""
         self.calls[verb] += 1
         fault = self._next_fault(verb)
         if fault is None:
             return call()
-        if fault is Fault.LOST:
+        if fault is Fault.RESPONSE_LOST:
             call()
-        elif fault is Fault.LATE:
-            self._late.append(call)
-        is_unknown = fault in (Fault.LOST, Fault.LATE) and verb not in _READS
-        raise ObjectStoreError(f"{verb}: {fault}", may_be_done=is_unknown)
+        elif fault is Fault.DELAYED:
+            self._delayed_writes.append(call)
+        may_be_done = (
+            fault in (Fault.RESPONSE_LOST, Fault.DELAYED) and verb not in _READS
+        )
+        raise ObjectStoreError(f"{verb}: {fault}", may_be_done=may_be_done)
 
     def _next_fault(self, verb: str) -> Fault | None:
-        waiting = self.faults.get(verb)
-        return waiting.popleft() if waiting else None
+        pending_faults = self.faults.get(verb)
+        return pending_faults.popleft() if pending_faults else None
 
     def _list(self, kind: str) -> ObjectList:
         items = [o for (k, _), o in sorted(self.objects.items()) if k == kind]
         return ObjectList(revision=self.revision, items=tuple(items))
 
-    def _since(self, kind: str, revision: int) -> list[StoredObject]:
+    def _changes_since(self, kind: str, revision: int) -> list[StoredObject]:
         return [
-            o for o in self._log if o.kind == kind and o.revision > revision
+            o for o in self._changes if o.kind == kind and o.revision > revision
         ]
 
     def _store(self, kind, name, spec, status=b"null") -> StoredObject:
-        found = self._note(kind, name, spec, status, deleted=False)
-        self.objects[(kind, name)] = found
-        return found
+        stored_object = self._append_change(
+            kind, name, spec, status, deleted=False
+        )
+        self.objects[(kind, name)] = stored_object
+        return stored_object
 
-    def _note(self, kind, name, spec, status, *, deleted) -> StoredObject:
+    def _append_change(
+        self, kind, name, spec, status, *, deleted
+    ) -> StoredObject:
         self.revision += 1
-        found = StoredObject(
+        stored_object = StoredObject(
             kind=kind,
             name=name,
             revision=self.revision,
@@ -192,7 +216,7 @@
             spec=spec,
             status=status,
         )
-        self._log.append(found)
-        self._news.set()
-        self._news = anyio.Event()
-        return found
+        self._changes.append(stored_object)
+        self._changed.set()
+        self._changed = anyio.Event()
+        return stored_object
--- a/daisyhub/weights/__init__.py
+++ b/daisyhub/weights/__init__.py
@@ -1,42 +1,46 @@
-"""New weight versions, brought to engines in stages."""
+"""Loading of new weight versions by engines, a few at a time.
 
-from daisyhub.weights._controller import VersionReader, WeightStager
-from daisyhub.weights._port import (
-    EnginePort,
+Used by the daemons of `daisyhub.platform`; those of `daisyhub.daemon` use
+`daisyhub.rollouts` for this.
+"""
+
+from daisyhub.weights._controller import VersionReader, WeightLoadController
+from daisyhub.weights._engine_client import (
+    EngineClient,
     EngineReport,
     LoadMode,
     OrderOutcome,
     VersionOrder,
 )
-from daisyhub.weights._sharing import share_engines
-from daisyhub.weights._stage_core import (
-    AskReport,
+from daisyhub.weights._load_core import (
+    EngineObservation,
+    EnginesObserved,
+    FetchReport,
     OrderAnswered,
     ReportFailed,
-    ReportRead,
+    ReportReceived,
     SendOrder,
-    Sight,
-    SightsTaken,
-    StageCore,
-    VersionNamed,
+    VersionPublished,
+    WeightLoadCore,
 )
+from daisyhub.weights._sharing import assign_engines
 
 __all__ = [
-    "AskReport",
-    "EnginePort",
+    "EngineClient",
+    "EngineObservation",
     "EngineReport",
+    "EnginesObserved",
+    "FetchReport",
     "LoadMode",
     "OrderAnswered",
     "OrderOutcome",
     "ReportFailed",
-    "ReportRead",
+    "ReportReceived",
     "SendOrder",
-    "Sight",
-    "SightsTaken",
-    "StageCore",
-    "VersionNamed",
     "VersionOrder",
+    "VersionPublished",
     "VersionReader",
-    "WeightStager",
-    "share_engines",
+    "WeightLoadController",
+    "WeightLoadCore",
+    "assign_engines",
 ]
